--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -16,7 +16,7 @@
 use super::admission::Exchange;
 use super::signals::{self, Answered};
 use crate::event::{self, Event};
-use crate::http::{Body, Reply};
+use crate::http::{Body, ResponseBody};
 use crate::node::{Node, Reservation, crashes, note_load_change, watch};
 use crate::port::{AnswerHead, Dispatch};
 use crate::runtime;
@@ -47,7 +47,7 @@
         /// What has come.
         first: Bytes,
         /// The rest.
-        rest: Reply,
+        rest: ResponseBody,
     },
 }
 
@@ -272,7 +272,7 @@
 /// What is held back is reserved; an answer for which there is no room is passed on as it comes.
 async fn read_first(
     exchange: &Exchange,
-    mut reply: Reply,
+    mut reply: ResponseBody,
     held: &mut Reservation,
 ) -> Option<AnswerBody> {
     let is_streaming = exchange.route.kind.is_streaming();
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -26,7 +26,7 @@
 use super::relay;
 use super::respond::{ANSWERED, Record};
 use crate::event::{self, Event};
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use crate::node::{Node, crashes, rollouts};
 use crate::runtime;
 
@@ -39,7 +39,7 @@
     /// What has come.
     pub first: Bytes,
     /// The rest.
-    pub rest: Reply,
+    pub rest: ResponseBody,
     /// Counts the request at the server.
     pub load: LoadGuard,
 }
@@ -90,7 +90,7 @@
     splitter: Option<Splitter>,
     sequence: Sequence,
     ready: VecDeque<Bytes>,
-    reply: Option<Reply>,
+    reply: Option<ResponseBody>,
     tried: Tried,
     pace: Pace,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -145,7 +145,7 @@
         &self,
         to: SocketAddr,
         request: Request<Body>,
-    ) -> Result<Response<Reply>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut request = request;
         while let Some(mut connection) = self.take_idle(to) {
             match connection.sender.try_send_request(request).await {
@@ -212,11 +212,11 @@
         to: SocketAddr,
         mut connection: Connection,
         response: Response<Incoming>,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         connection.until = runtime::boot_time() + keep_for(response.headers());
         let idle = self.idle.clone();
         let idle_per_address = self.idle_per_address.clone();
-        response.map(|body| Reply {
+        response.map(|body| ResponseBody {
             body,
             is_ended: false,
             kept: Some(Kept { to, connection, idle, idle_per_address }),
@@ -255,7 +255,7 @@
 
 /// The body of a response. The connection is kept once it has been read to its end, and closed at
 /// once where the body is dropped before that.
-pub struct Reply {
+pub struct ResponseBody {
     body: Incoming,
     is_ended: bool,
     kept: Option<Kept>,
@@ -268,7 +268,7 @@
     idle_per_address: Arc<AtomicUsize>,
 }
 
-impl HttpBody for Reply {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -288,7 +288,7 @@
     }
 }
 
-impl Drop for Reply {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         let Some(mut kept) = self.kept.take() else { return };
         if !self.is_ended && !self.body.is_end_stream() {
--- a/crates/keeljunction/src/backend/tokens.rs
+++ b/crates/keeljunction/src/backend/tokens.rs
@@ -54,7 +54,7 @@
 
 impl Tokens {
     /// Reads tokens from the body of an engine's response.
-    pub fn new(body: http::Reply, prefill: u64) -> Self {
+    pub fn new(body: http::ResponseBody, prefill: u64) -> Self {
         let events = BodyDataStream::new(body).eventsource();
         Self { events: Box::pin(events.map(Result::ok)), prefill }
     }
