--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -46,21 +46,21 @@
 
 /// Explains why there is no response.
 #[derive(Debug)]
-pub enum Failure {
+pub enum SendError {
     /// No byte of the request left; it cannot have run.
     NotSent(String),
     /// Some of it may have arrived.
     MaybeSent(String),
 }
 
-impl Failure {
+impl SendError {
     /// Returns `true` if no byte of the request left.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "not sent: {why}"),
@@ -69,7 +69,7 @@
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for SendError {}
 
 type Idle = Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>;
 
@@ -140,19 +140,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::NotSent`] only where no byte of the request left this machine.
+    /// Returns [`SendError::NotSent`] only where no byte of the request left this machine.
     pub async fn send(
         &self,
         to: SocketAddr,
         request: Request<Body>,
-    ) -> Result<Response<ResponseBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let mut request = request;
         while let Some(mut connection) = self.take_idle(to) {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.keep(to, connection, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(Failure::MaybeSent(error.into_error().to_string())),
+                    None => return Err(SendError::MaybeSent(error.into_error().to_string())),
                 },
             }
         }
@@ -162,7 +162,7 @@
             Err(mut error) => {
                 let is_unsent = error.take_message().is_some();
                 let why = error.into_error().to_string();
-                Err(if is_unsent { Failure::NotSent(why) } else { Failure::MaybeSent(why) })
+                Err(if is_unsent { SendError::NotSent(why) } else { SendError::MaybeSent(why) })
             }
         }
     }
@@ -184,12 +184,12 @@
         kept.pop()
     }
 
-    async fn connect(&self, to: SocketAddr) -> Result<Connection, Failure> {
+    async fn connect(&self, to: SocketAddr) -> Result<Connection, SendError> {
         let connecting = runtime::within(self.connect_within, TcpStream::connect(to)).await;
         let stream = match connecting {
             Some(Ok(stream)) => stream,
-            Some(Err(error)) => return Err(Failure::NotSent(error.to_string())),
-            None => return Err(Failure::NotSent("no connection in time".to_owned())),
+            Some(Err(error)) => return Err(SendError::NotSent(error.to_string())),
+            None => return Err(SendError::NotSent("no connection in time".to_owned())),
         };
         self.opened.fetch_add(1, Ordering::Relaxed);
         let _ = stream.set_nodelay(true);
@@ -199,7 +199,7 @@
         let socket = Socket::new(stream);
         let writes = socket.get_writes();
         let made = http1::handshake(socket).await;
-        let (sender, connection) = made.map_err(|error| Failure::NotSent(error.to_string()))?;
+        let (sender, connection) = made.map_err(|error| SendError::NotSent(error.to_string()))?;
         let driver = runtime::task(async move {
             let _ = drive(pin!(connection), &writes).await;
         });
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -8,7 +8,7 @@
 mod socket;
 
 pub use body::{Body, read};
-pub use client::{Client, Failure, ResponseBody};
+pub use client::{Client, ResponseBody, SendError};
 pub use peer::Peer;
 pub use server::{Limits, Open, Server, Stop};
 pub use socket::{Socket, Writes, drive};
--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use super::{ATTEMPT, KEY, PREFILL, PRIORITY, Tokens};
-use crate::http::{self, Body, Failure};
+use crate::http::{self, Body, SendError};
 use crate::runtime;
 
 const MAX_ANSWER: usize = 4 << 20;
@@ -88,10 +88,10 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::NotSent`] where the engine cannot have run it, which it also says
+    /// Returns [`SendError::NotSent`] where the engine cannot have run it, which it also says
     /// itself by status 429 or 503.
-    pub async fn send(&self, send: &Send<'_>) -> Result<Response<Tokens>, Failure> {
-        let body = engine_body(send).map_err(Failure::NotSent)?;
+    pub async fn send(&self, send: &Send<'_>) -> Result<Response<Tokens>, SendError> {
+        let body = engine_body(send).map_err(SendError::NotSent)?;
         let request = self
             .request(Method::POST, send.path)
             .header("content-type", "application/json")
@@ -106,8 +106,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] where the engine does not answer or does not know the attempt.
-    pub async fn attach(&self, attempt: &str, offset: u64) -> Result<Response<Tokens>, Failure> {
+    /// Returns a [`SendError`] where the engine does not answer or does not know the attempt.
+    pub async fn attach(&self, attempt: &str, offset: u64) -> Result<Response<Tokens>, SendError> {
         let path = format!("/attempts/{attempt}?from={offset}");
         self.stream(self.request(Method::GET, &path).body(Body::empty())).await
     }
@@ -125,8 +125,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] where that did not work.
-    pub async fn import(&self, from: &str, attempt: &str) -> Result<(), Failure> {
+    /// Returns a [`SendError`] where that did not work.
+    pub async fn import(&self, from: &str, attempt: &str) -> Result<(), SendError> {
         let body = json!({ "from": from, "attempt": attempt }).to_string();
         let request = self.request(Method::POST, "/kv/import").body(Body::from(body));
         self.exchange(request.map_err(not_sent)?).await.map(|_| ())
@@ -148,8 +148,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] where the engine does not answer.
-    pub async fn load(&self) -> Result<Load, Failure> {
+    /// Returns a [`SendError`] where the engine does not answer.
+    pub async fn load(&self) -> Result<Load, SendError> {
         self.read("/load").await
     }
 
@@ -157,8 +157,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] where the engine does not answer.
-    pub async fn events(&self, from: u64) -> Result<Events, Failure> {
+    /// Returns a [`SendError`] where the engine does not answer.
+    pub async fn events(&self, from: u64) -> Result<Events, SendError> {
         self.read(&format!("/cache/events?from={from}")).await
     }
 
@@ -166,18 +166,18 @@
         Request::builder().method(method).uri(path).header("host", self.address.to_string())
     }
 
-    async fn read<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<T, Failure> {
+    async fn read<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<T, SendError> {
         let request = self.request(Method::GET, path).body(Body::empty()).map_err(not_sent)?;
         let content = self.exchange(request).await?;
-        serde_json::from_slice(&content).map_err(|error| Failure::MaybeSent(error.to_string()))
+        serde_json::from_slice(&content).map_err(|error| SendError::MaybeSent(error.to_string()))
     }
 
-    async fn exchange(&self, request: Request<Body>) -> Result<Bytes, Failure> {
+    async fn exchange(&self, request: Request<Body>) -> Result<Bytes, SendError> {
         let exchange = async {
             let response = self.http.send(self.address, request).await?;
             let status = response.status();
             let content = http::read(response.into_body(), MAX_ANSWER).await;
-            let content = content.ok_or_else(|| Failure::MaybeSent("broke off".to_owned()))?;
+            let content = content.ok_or_else(|| SendError::MaybeSent("broke off".to_owned()))?;
             if status == StatusCode::OK { Ok(content) } else { Err(refused(status)) }
         };
         runtime::within(self.within, exchange).await.unwrap_or_else(|| Err(late()))
@@ -186,13 +186,16 @@
     async fn stream(
         &self,
         request: Result<Request<Body>, hyper::http::Error>,
-    ) -> Result<Response<Tokens>, Failure> {
+    ) -> Result<Response<Tokens>, SendError> {
         let request = request.map_err(not_sent)?;
         let sent = runtime::within(self.within, self.http.send(self.address, request)).await;
         let response = sent.unwrap_or_else(|| Err(late()))?;
         match response.status() {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                return Err(Failure::NotSent(format!("refused with status {}", response.status())));
+                return Err(SendError::NotSent(format!(
+                    "refused with status {}",
+                    response.status()
+                )));
             }
             _ => {}
         }
@@ -212,14 +215,14 @@
     serde_json::to_vec(&body).map_err(|error| error.to_string())
 }
 
-fn not_sent(error: impl std::fmt::Display) -> Failure {
-    Failure::NotSent(error.to_string())
+fn not_sent(error: impl std::fmt::Display) -> SendError {
+    SendError::NotSent(error.to_string())
 }
 
-fn refused(status: StatusCode) -> Failure {
-    Failure::MaybeSent(format!("status {status}"))
+fn refused(status: StatusCode) -> SendError {
+    SendError::MaybeSent(format!("status {status}"))
 }
 
-fn late() -> Failure {
-    Failure::MaybeSent("no answer in time".to_owned())
+fn late() -> SendError {
+    SendError::MaybeSent("no answer in time".to_owned())
 }
--- a/crates/keeljunction/src/backend/plain.rs
+++ b/crates/keeljunction/src/backend/plain.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 
 use super::{ATTEMPT, KEY};
-use crate::http::{self, Body, Failure};
+use crate::http::{self, Body, SendError};
 use crate::runtime;
 
 const MAX_ANSWER: usize = 16 << 20;
@@ -46,13 +46,13 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::NotSent`] only where no byte of the request left.
+    /// Returns [`SendError::NotSent`] only where no byte of the request left.
     pub async fn send(
         &self,
         http: &http::Client,
         to: SocketAddr,
         time: Duration,
-    ) -> Result<Reply, Failure> {
+    ) -> Result<Reply, SendError> {
         let mut request = Request::builder()
             .method(self.method)
             .uri(self.path)
@@ -63,7 +63,7 @@
             request = request.header(name, value);
         }
         let request = request.body(Body::from(self.body.clone()));
-        let request = request.map_err(|error| Failure::NotSent(error.to_string()))?;
+        let request = request.map_err(|error| SendError::NotSent(error.to_string()))?;
         let exchange = async {
             let response = http.send(to, request).await?;
             let status = response.status().as_u16();
@@ -71,10 +71,11 @@
             let media_type = media_type.and_then(|value| value.to_str().ok());
             let media_type = media_type.unwrap_or(DEFAULT_TYPE).to_owned();
             let body = http::read(response.into_body(), MAX_ANSWER).await;
-            let body = body.ok_or_else(|| Failure::MaybeSent("the answer broke off".to_owned()))?;
+            let body =
+                body.ok_or_else(|| SendError::MaybeSent("the answer broke off".to_owned()))?;
             Ok(Reply { status, media_type, body })
         };
-        let late = || Err(Failure::MaybeSent("no answer in time".to_owned()));
+        let late = || Err(SendError::MaybeSent("no answer in time".to_owned()));
         runtime::within(time, exchange).await.unwrap_or_else(late)
     }
 }
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -11,7 +11,7 @@
 use super::answer::{Attempt, done};
 use super::{Answer, Node, ending, grant};
 use crate::backend::{Engine, Piece, Plain, Send, Tokens};
-use crate::http::Failure;
+use crate::http::SendError;
 use crate::runtime;
 
 /// Returns the engine at an address.
@@ -59,8 +59,8 @@
             );
             End::Finished
         }
-        Err(Failure::NotSent(why)) => not_sent(&why),
-        Err(Failure::MaybeSent(why)) => broken(&why),
+        Err(SendError::NotSent(why)) => not_sent(&why),
+        Err(SendError::MaybeSent(why)) => broken(&why),
     }
 }
 
@@ -104,8 +104,8 @@
             ending::finish_plain(node, answer, &attempt.id, end);
             End::Finished
         }
-        Err(Failure::NotSent(why)) => not_sent(&why),
-        Err(Failure::MaybeSent(why)) => broken(&why),
+        Err(SendError::NotSent(why)) => not_sent(&why),
+        Err(SendError::MaybeSent(why)) => broken(&why),
     }
 }
 
@@ -157,8 +157,8 @@
 }
 
 /// Notes that bytes may have reached the server, unless it is certain that none did.
-fn note_sent(answer: &Answer, failure: Option<&Failure>) {
-    if !failure.is_some_and(Failure::is_not_sent) {
+fn note_sent(answer: &Answer, failure: Option<&SendError>) {
+    if !failure.is_some_and(SendError::is_not_sent) {
         answer.set_sent();
     }
 }
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -156,8 +156,8 @@
     async fn exchange(&self, request: Request<Body>) -> Result<Bytes, Fault> {
         let sent = self.http.send(self.settings.address, request).await;
         let response = sent.map_err(|failure| match failure {
-            http::Failure::NotSent(why) => Fault::NotSent(why),
-            http::Failure::MaybeSent(why) => Fault::Unknown(why),
+            http::SendError::NotSent(why) => Fault::NotSent(why),
+            http::SendError::MaybeSent(why) => Fault::Unknown(why),
         })?;
         let status = response.status();
         if status != StatusCode::OK {
--- a/crates/standin/src/harness/call.rs
+++ b/crates/standin/src/harness/call.rs
@@ -7,7 +7,7 @@
 use futures_lite::StreamExt;
 use http_body_util::BodyDataStream;
 use hyper::{Method, Request};
-use keeljunction::http::{Body, Client, Failure, read};
+use keeljunction::http::{Body, Client, SendError, read};
 use keeljunction::runtime;
 use serde_json::{Value, json};
 use std::pin::Pin;
@@ -108,8 +108,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Failure`] where there is no response at all.
-    pub async fn send(&self, client: &Client, to: SocketAddr) -> Result<Answer, Failure> {
+    /// Returns the [`SendError`] where there is no response at all.
+    pub async fn send(&self, client: &Client, to: SocketAddr) -> Result<Answer, SendError> {
         let mut stream = self.open(client, to).await?;
         while stream.next().await {}
         Ok(stream.answer)
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Failure`] where there is no response at all.
-    pub async fn open(&self, client: &Client, to: SocketAddr) -> Result<Stream, Failure> {
+    /// Returns the [`SendError`] where there is no response at all.
+    pub async fn open(&self, client: &Client, to: SocketAddr) -> Result<Stream, SendError> {
         let started = Instant::now();
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -130,7 +130,7 @@
             request = request.header(name, value);
         }
         let request = request.body(Body::from(self.body.clone()));
-        let request = request.map_err(|error| Failure::NotSent(error.to_string()))?;
+        let request = request.map_err(|error| SendError::NotSent(error.to_string()))?;
         let response = client.send(to, request).await?;
         let header = |name: &str| {
             response.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned)
