--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -21,7 +21,7 @@
 
 use super::rejection::Rejection;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::node::memory::Reservation;
@@ -179,7 +179,7 @@
 
 /// What ends the wait for more of a body. Most bodies come with their head and need none.
 struct Wait {
-    stop: Stop,
+    stop: StopSignal,
     /// Only wakes the wait: a tick that comes late, after a suspension too, counts as one.
     tick: Timer,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -47,12 +47,12 @@
 
 /// A signal that is given once, and that any number of tasks wait for.
 #[derive(Clone, Debug)]
-pub struct Stop {
+pub struct StopSignal {
     sender: async_channel::Sender<Infallible>,
     receiver: async_channel::Receiver<Infallible>,
 }
 
-impl Stop {
+impl StopSignal {
     /// Makes a signal that has not been given.
     pub fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
@@ -70,7 +70,7 @@
     }
 }
 
-impl Default for Stop {
+impl Default for StopSignal {
     fn default() -> Self {
         Self::new()
     }
@@ -92,7 +92,7 @@
     listener: TcpListener,
     limits: Limits,
     head_within: HeadWithin,
-    stop: Stop,
+    stop: StopSignal,
     open: Open,
 }
 
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// Returns the system's error where the address cannot be had.
-    pub async fn bind(address: SocketAddr, limits: Limits, stop: Stop) -> io::Result<Self> {
+    pub async fn bind(address: SocketAddr, limits: Limits, stop: StopSignal) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let head_within: HeadWithin = Arc::new(|| HEAD_WITHIN);
         Ok(Self { listener, limits, head_within, stop, open: Open::default() })
@@ -198,7 +198,7 @@
     answer: F,
     limits: Limits,
     head_within: Duration,
-    stop: Stop,
+    stop: StopSignal,
 ) where
     F: Fn(Request<Incoming>) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Response<Body>> + Send + 'static,
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -12,7 +12,7 @@
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::runtime::{self, lock};
 
 /// The time between two samples of the resident memory: at the bandwidth of a small VM's link, 10
@@ -44,7 +44,7 @@
     }
 
     /// Returns the signal that this upload is evicted.
-    pub(crate) fn watch(&mut self) -> Stop {
+    pub(crate) fn watch(&mut self) -> StopSignal {
         self.has_stop = true;
         let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -16,7 +16,7 @@
 use super::{Node, connections, duty, listeners, memory, peers, quarantine_rows, stop, watch};
 use crate::event::{self, Event};
 use crate::exchange;
-use crate::http::{Limits, Server, Stop};
+use crate::http::{Limits, Server, StopSignal};
 use crate::port::Platform;
 use crate::runtime::{self, Clock};
 use crate::settings::Settings;
@@ -41,11 +41,11 @@
 /// Returns [`ErrorKind::Unavailable`] where an address cannot be listened at.
 pub async fn serve(settings: Settings, path: PathBuf, platform: Platform) -> Result<(), Error> {
     let mut settings = settings;
-    let closing = Stop::new();
+    let closing = StopSignal::new();
     let (callers, at) =
         bind("listen.callers", settings.listen.callers, &settings, &closing).await?;
     settings.listen.callers = at;
-    let never = Stop::new();
+    let never = StopSignal::new();
     let (readiness, at) =
         bind("listen.readiness", settings.listen.readiness, &settings, &never).await?;
     settings.listen.readiness = at;
@@ -110,7 +110,7 @@
     key: &'static str,
     address: SocketAddr,
     settings: &Settings,
-    stop: &Stop,
+    stop: &StopSignal,
 ) -> Result<(Server, SocketAddr), Error> {
     let limits = Limits { connections: count_connections(settings), ..Limits::default() };
     let bound = Server::bind(address, limits, stop.clone()).await;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -44,7 +44,7 @@
 use super::skipped;
 use super::uploads::Uploads;
 use crate::feeds::Feeds;
-use crate::http::{Client, Stop};
+use crate::http::{Client, StopSignal};
 use crate::metrics::Metrics;
 use crate::port::Platform;
 use crate::runtime::{self, Clock, lock};
@@ -94,7 +94,7 @@
     /// Answers on their way to callers.
     pub feeds: Feeds,
     /// The signal on which the listeners close.
-    pub closing: Stop,
+    pub closing: StopSignal,
     /// Datagrams between nodes.
     pub(super) link: Link,
     /// News for other nodes that wait to be sent.
@@ -244,7 +244,12 @@
 
 impl Node {
     /// Makes a node that knows nothing yet.
-    pub fn new(settings: Settings, platform: Platform, closing: Stop, start: Start) -> Arc<Self> {
+    pub fn new(
+        settings: Settings,
+        platform: Platform,
+        closing: StopSignal,
+        start: Start,
+    ) -> Arc<Self> {
         let Start { incarnation, clock, link, topology } = start;
         let topology = Arc::new(topology);
         let bounds = settings.bounds;
--- a/crates/gateway/src/node/uploads.rs
+++ b/crates/gateway/src/node/uploads.rs
@@ -5,12 +5,12 @@
 
 use keeljunction_core::serving::memory::HolderId;
 
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::runtime::lock;
 
 /// Signals to uploads that they are evicted.
 #[derive(Default)]
-pub(crate) struct Uploads(pub(super) Mutex<HashMap<HolderId, Stop>>);
+pub(crate) struct Uploads(pub(super) Mutex<HashMap<HolderId, StopSignal>>);
 
 impl Uploads {
     pub(super) fn evict(&self, ids: &[HolderId]) {
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -4,13 +4,14 @@
 use std::time::Duration;
 
 use hyper::{Request, Response};
-use keeljunction_gateway::http::{Body, Client, Limits, Server, Stop, read};
+use keeljunction_gateway::http::{Body, Client, Limits, Server, StopSignal, read};
 use keeljunction_gateway::runtime;
 
 /// Starts a server that answers every request.
 async fn serve() -> SocketAddr {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server = Server::bind(any, Limits::default(), Stop::new()).await.expect("a free port");
+    let server =
+        Server::bind(any, Limits::default(), StopSignal::new()).await.expect("a free port");
     let address = server.get_address().expect("an address");
     runtime::spawn(server.serve(|_| async { Response::new(Body::from("ok")) }));
     address
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -13,7 +13,7 @@
 use super::service::Service;
 use super::{Node, adoption, claims, control, gossip, housekeeping, settlement, stop, watch};
 use crate::caller;
-use crate::http::{Limits, Server, Stop};
+use crate::http::{Limits, Server, StopSignal};
 use crate::peer::Listener;
 use crate::runtime;
 use crate::settings::Settings;
@@ -45,10 +45,10 @@
     let listen = settings.listen.clone();
     let limits =
         Limits { head_bytes: settings.limits.head_bytes, connections: settings.limits.connections };
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let bound = Server::bind(listen.caller, limits, stop.clone()).await;
     let callers = bound.map_err(|error| busy("listen.caller", listen.caller, &error))?;
-    let bound = Server::bind(listen.operator, limits, Stop::new()).await;
+    let bound = Server::bind(listen.operator, limits, StopSignal::new()).await;
     let operators = bound.map_err(|error| busy("listen.operator", listen.operator, &error))?;
     let bound = Listener::bind(listen.peer, &settings.peer_credential).await;
     let peers = bound.map_err(|error| busy("listen.peer", listen.peer, &error))?;
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -90,7 +90,7 @@
     /// Claims waiting to be written.
     pub claims: Claims,
     /// Given once the node has stopped.
-    pub ended: http::Stop,
+    pub ended: http::StopSignal,
     urgent: (Sender<()>, Receiver<()>),
     force: Mutex<Option<Arc<Force>>>,
     budget: Mutex<Budget>,
@@ -131,7 +131,7 @@
             records: Mutex::default(),
             book: Book::default(),
             claims: Claims::new(),
-            ended: http::Stop::new(),
+            ended: http::StopSignal::new(),
             urgent: async_channel::bounded(1),
             force: Mutex::default(),
             budget: Mutex::new(Budget::new(allowance)),
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use keeljunction::http::{Body, Limits, Server, Stop};
+use keeljunction::http::{Body, Limits, Server, StopSignal};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -58,7 +58,7 @@
     Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
-    let server = match Server::bind(address, Limits::default(), Stop::new()).await {
+    let server = match Server::bind(address, Limits::default(), StopSignal::new()).await {
         Ok(server) => server,
         Err(error) => return eprintln!("cannot listen at {address}: {error}"),
     };
