--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -195,7 +195,7 @@
 
     async fn end(&mut self) -> Next {
         let stopped = async {
-            self.stop.given().await;
+            self.stop.wait().await;
             Next::Evicted
         };
         let due = async {
--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -60,12 +60,12 @@
     }
 
     /// Gives the signal, once and for all.
-    pub fn give(&self) {
+    pub fn send(&self) {
         self.sender.close();
     }
 
     /// Waits until the signal is given.
-    pub async fn given(&self) {
+    pub async fn wait(&self) {
         let _ = self.receiver.recv().await;
     }
 }
@@ -135,7 +135,7 @@
     {
         loop {
             let accepted = future::or(async { Some(self.listener.accept().await) }, async {
-                self.stop.given().await;
+                self.stop.wait().await;
                 None
             });
             match accepted.await {
@@ -218,7 +218,7 @@
     let socket = Socket::new(stream);
     let writes = socket.get_writes();
     let mut connection = pin!(builder.serve_connection(socket, service));
-    let stopping = pin!(stop.given());
+    let stopping = pin!(stop.wait());
     let ended = async {
         let _ = drive(connection.as_mut(), &writes).await;
         false
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -49,7 +49,7 @@
         let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
-            stop.give();
+            stop.send();
         }
         stop
     }
--- a/crates/gateway/src/node/uploads.rs
+++ b/crates/gateway/src/node/uploads.rs
@@ -16,7 +16,7 @@
     pub(super) fn evict(&self, ids: &[HolderId]) {
         let stops = lock(&self.0);
         for stop in ids.iter().filter_map(|id| stops.get(id)) {
-            stop.give();
+            stop.send();
         }
     }
 }
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -64,9 +64,9 @@
     println!("{}", serde_json::to_string(&at).unwrap_or_default());
     log::info!("node {} listens: {at:?}", node.get_name());
     runtime::spawn(wait_for_signal(node.clone()));
-    node.ended.given().await;
+    node.ended.wait().await;
     runtime::sleep(LINGER).await;
-    stop.give();
+    stop.send();
     let waited = runtime::within(WRITE_OUT, async {
         while open.get() > 0 {
             runtime::sleep(LOOK).await;
--- a/crates/keeljunction/src/node/stop.rs
+++ b/crates/keeljunction/src/node/stop.rs
@@ -23,7 +23,7 @@
     let node = node.clone();
     runtime::spawn(async move {
         run(&node, within).await;
-        node.ended.give();
+        node.ended.send();
     });
 }
 
