--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -10,5 +10,5 @@
 pub use body::{Body, read};
 pub use client::{Client, ResponseBody, SendError};
 pub use peer::Peer;
-pub use server::{Limits, Open, Server, StopSignal};
+pub use server::{ConnectionCount, Limits, Server, StopSignal};
 pub use socket::{Socket, Writes, drive};
--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -78,9 +78,9 @@
 
 /// A count of open connections.
 #[derive(Clone, Debug, Default)]
-pub struct Open(Arc<AtomicUsize>);
+pub struct ConnectionCount(Arc<AtomicUsize>);
 
-impl Open {
+impl ConnectionCount {
     /// Returns how many connections are open.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::SeqCst)
@@ -93,7 +93,7 @@
     limits: Limits,
     head_within: HeadWithin,
     stop: StopSignal,
-    open: Open,
+    open: ConnectionCount,
 }
 
 impl Server {
@@ -105,7 +105,7 @@
     pub async fn bind(address: SocketAddr, limits: Limits, stop: StopSignal) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let head_within: HeadWithin = Arc::new(|| HEAD_WITHIN);
-        Ok(Self { listener, limits, head_within, stop, open: Open::default() })
+        Ok(Self { listener, limits, head_within, stop, open: ConnectionCount::default() })
     }
 
     /// Sets how long connections that come from now on may rest; the closure runs for each of them.
@@ -123,7 +123,7 @@
     }
 
     /// Returns the count of open connections.
-    pub fn get_open(&self) -> Open {
+    pub fn get_connection_count(&self) -> ConnectionCount {
         self.open.clone()
     }
 
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -84,7 +84,7 @@
     runtime::spawn(metrics.serve(move |request| listeners::metrics(shown.clone(), request)));
     let resting = node.clone();
     let callers = callers.with_head_within(Arc::new(move || resting.get_rest_bound()));
-    let open = callers.get_open();
+    let open = callers.get_connection_count();
     runtime::spawn(callers.serve(move |request| exchange::answer(answering.clone(), request)));
     wait_for_end(&node, path).await?;
     runtime::within(WRITE_OUT, async {
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -57,7 +57,7 @@
     let node = Node::new(settings, at.peer.to_string());
     start_loops(&node);
     runtime::spawn(peers.serve(Service::new(node.clone())));
-    let open = callers.get_open();
+    let open = callers.get_connection_count();
     let (answering, operating) = (node.clone(), node.clone());
     runtime::spawn(callers.serve(move |request| caller::answer(answering.clone(), request)));
     runtime::spawn(operators.serve(move |request| caller::operator(operating.clone(), request)));
