--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -24,7 +24,7 @@
 use super::source::{Source, Step};
 use crate::event::{self, Event};
 use crate::feeds::{Handle, Look};
-use crate::http::{Body, Peer};
+use crate::http::{Body, ConnectionHandle};
 use crate::node::{Node, Reservation};
 use crate::runtime::{self, lock};
 
@@ -47,7 +47,7 @@
 pub(super) struct Recipient {
     request: String,
     passage: Arc<Passage>,
-    peer: Option<Peer>,
+    peer: Option<ConnectionHandle>,
 }
 
 impl Recipient {
@@ -218,7 +218,7 @@
         drop(flow);
         drop(leftover);
         if let Some(peer) = peer {
-            peer.cut();
+            peer.reset();
         }
     }
 }
--- a/crates/gateway/src/exchange/flow.rs
+++ b/crates/gateway/src/exchange/flow.rs
@@ -9,7 +9,7 @@
 
 use super::respond::Record;
 use super::source::{Source, Step};
-use crate::http::Peer;
+use crate::http::ConnectionHandle;
 use crate::node::Reservation;
 
 /// The state of an answer, which the caller's connection and the task that reads ahead share.
@@ -41,7 +41,7 @@
     /// When the server last sent some of them.
     pub read_at: Millis,
     /// The caller's connection.
-    pub peer: Option<Peer>,
+    pub peer: Option<ConnectionHandle>,
 }
 
 /// What is left of an answer. It is dropped after the lock on its flow is released, because its drop
@@ -54,7 +54,12 @@
 
 impl Flow {
     /// Makes the state of an answer of which nothing was read.
-    pub fn new(buffer: Buffer, held: Reservation, peer: Option<Peer>, now: Millis) -> Self {
+    pub fn new(
+        buffer: Buffer,
+        held: Reservation,
+        peer: Option<ConnectionHandle>,
+        now: Millis,
+    ) -> Self {
         Self {
             source: None,
             record: None,
--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -9,7 +9,7 @@
 use keeljunction_core::serving::refusal::Refusal;
 
 use crate::event::{self, Event};
-use crate::http::{Body, Peer};
+use crate::http::{Body, ConnectionHandle};
 use crate::metrics::{RequestLabels, ServiceLabels};
 use crate::node::Node;
 use crate::node::state::InFlight;
@@ -120,7 +120,7 @@
     /// What was passed on to the caller.
     pub passage: Arc<Passage>,
     /// The caller's connection.
-    pub peer: Option<Peer>,
+    pub peer: Option<ConnectionHandle>,
     /// Names the request's content, once its body is there.
     pub fingerprint: Option<Fingerprint>,
     status: u16,
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -9,6 +9,6 @@
 
 pub use body::{Body, read};
 pub use client::{Client, ResponseBody, SendError};
-pub use peer::Peer;
+pub use peer::ConnectionHandle;
 pub use server::{ConnectionCount, Limits, Server, StopSignal};
 pub use socket::{Socket, Writes, drive};
--- a/crates/gateway/src/http/peer.rs
+++ b/crates/gateway/src/http/peer.rs
@@ -13,9 +13,9 @@
 
 /// A caller's connection.
 #[derive(Clone, Debug)]
-pub struct Peer(TcpStream);
+pub struct ConnectionHandle(TcpStream);
 
-impl Peer {
+impl ConnectionHandle {
     /// Takes a handle of a connection and bounds what the system buffers for it.
     pub fn new(stream: &TcpStream) -> Self {
         if let Err(error) = set_socket_send_buffer_size(stream, SEND_BUFFER_BYTES) {
@@ -26,7 +26,7 @@
 
     /// Ends the connection at once, with all that waits to be sent: the caller sees a reset, and no
     /// answer that looks whole.
-    pub fn cut(&self) {
+    pub fn reset(&self) {
         if let Err(error) = set_socket_linger(&self.0, Some(Duration::ZERO)) {
             log::debug!("what waits on a connection is not dropped: {error}");
         }
--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -17,7 +17,7 @@
 use hyper::{Request, Response};
 use smol_hyper::rt::SmolTimer;
 
-use super::{Body, Peer, Socket, drive};
+use super::{Body, ConnectionHandle, Socket, drive};
 use crate::runtime;
 
 /// Returns how long a connection may rest before the next request's head is whole.
@@ -205,7 +205,7 @@
 {
     let _ = stream.set_nodelay(true);
     let watched = stream.clone();
-    let peer = Peer::new(&stream);
+    let peer = ConnectionHandle::new(&stream);
     let service = service_fn(|mut request: Request<Incoming>| {
         request.extensions_mut().insert(peer.clone());
         let response = answer(request);
