--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -21,7 +21,7 @@
 use crate::runtime;
 
 /// Returns how long a connection may rest before the next request's head is whole.
-pub type HeadWithin = Arc<dyn Fn() -> Duration + Send + Sync>;
+pub type HeadTimeout = Arc<dyn Fn() -> Duration + Send + Sync>;
 
 /// Time for a request's head to arrive where no other time is set.
 const HEAD_WITHIN: Duration = Duration::from_secs(10);
@@ -91,7 +91,7 @@
 pub struct Server {
     listener: TcpListener,
     limits: Limits,
-    head_within: HeadWithin,
+    head_within: HeadTimeout,
     stop: StopSignal,
     open: ConnectionCount,
 }
@@ -104,12 +104,12 @@
     /// Returns the system's error where the address cannot be had.
     pub async fn bind(address: SocketAddr, limits: Limits, stop: StopSignal) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let head_within: HeadWithin = Arc::new(|| HEAD_WITHIN);
+        let head_within: HeadTimeout = Arc::new(|| HEAD_WITHIN);
         Ok(Self { listener, limits, head_within, stop, open: ConnectionCount::default() })
     }
 
     /// Sets how long connections that come from now on may rest; the closure runs for each of them.
-    pub fn with_head_within(self, head_within: HeadWithin) -> Self {
+    pub fn with_head_timeout(self, head_within: HeadTimeout) -> Self {
         Self { head_within, ..self }
     }
 
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -83,7 +83,7 @@
     runtime::spawn(readiness.serve(move |request| listeners::readiness(checked.clone(), request)));
     runtime::spawn(metrics.serve(move |request| listeners::metrics(shown.clone(), request)));
     let resting = node.clone();
-    let callers = callers.with_head_within(Arc::new(move || resting.get_rest_bound()));
+    let callers = callers.with_head_timeout(Arc::new(move || resting.get_rest_bound()));
     let open = callers.get_connection_count();
     runtime::spawn(callers.serve(move |request| exchange::answer(answering.clone(), request)));
     wait_for_end(&node, path).await?;
