--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -97,7 +97,7 @@
 }
 
 /// Reads a body whole, up to `most` bytes; `None` where it is longer or breaks off.
-pub async fn read<B>(mut body: B, most: usize) -> Option<Bytes>
+pub async fn read_body<B>(mut body: B, most: usize) -> Option<Bytes>
 where
     B: HttpBody<Data = Bytes> + Unpin,
 {
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod server;
 mod socket;
 
-pub use body::{Body, read};
+pub use body::{Body, read_body};
 pub use client::{Client, ResponseBody, SendError};
 pub use peer::ConnectionHandle;
 pub use server::{ConnectionCount, Limits, Server, StopSignal};
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response, StatusCode};
 use keeljunction_core::serving::table_version::TableVersion;
 
-use crate::http::{Body, read};
+use crate::http::{Body, read_body};
 use crate::node::{Node, document, watch};
 use crate::port::Row;
 use crate::runtime;
@@ -142,7 +142,7 @@
         if response.status() != StatusCode::OK {
             return None;
         }
-        read(response.into_body(), LONGEST_ANSWER).await
+        read_body(response.into_body(), LONGEST_ANSWER).await
     };
     let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
     runtime::within(bound.mul_f64(CALL_PART), fetching).await.flatten()
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hyper::{Request, Response};
-use keeljunction_gateway::http::{Body, Client, Limits, Server, StopSignal, read};
+use keeljunction_gateway::http::{Body, Client, Limits, Server, StopSignal, read_body};
 use keeljunction_gateway::runtime;
 
 /// Starts a server that answers every request.
@@ -20,7 +20,7 @@
 async fn ask(client: &Client, to: SocketAddr) {
     let request = Request::get("/").header("host", "x").body(Body::empty()).expect("a request");
     let response = client.send(to, request).await.expect("an answer");
-    assert_eq!(read(response.into_body(), 100).await.as_deref(), Some(&b"ok"[..]));
+    assert_eq!(read_body(response.into_body(), 100).await.as_deref(), Some(&b"ok"[..]));
     // The connection is kept once it is ready again.
     while client.get_idle(to) == 0 {
         runtime::sleep(Duration::from_millis(1)).await;
--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -176,7 +176,7 @@
         let exchange = async {
             let response = self.http.send(self.address, request).await?;
             let status = response.status();
-            let content = http::read(response.into_body(), MAX_ANSWER).await;
+            let content = http::read_body(response.into_body(), MAX_ANSWER).await;
             let content = content.ok_or_else(|| SendError::MaybeSent("broke off".to_owned()))?;
             if status == StatusCode::OK { Ok(content) } else { Err(refused(status)) }
         };
--- a/crates/keeljunction/src/backend/plain.rs
+++ b/crates/keeljunction/src/backend/plain.rs
@@ -70,7 +70,7 @@
             let media_type = response.headers().get("content-type");
             let media_type = media_type.and_then(|value| value.to_str().ok());
             let media_type = media_type.unwrap_or(DEFAULT_TYPE).to_owned();
-            let body = http::read(response.into_body(), MAX_ANSWER).await;
+            let body = http::read_body(response.into_body(), MAX_ANSWER).await;
             let body =
                 body.ok_or_else(|| SendError::MaybeSent("the answer broke off".to_owned()))?;
             Ok(Reply { status, media_type, body })
--- a/crates/keeljunction/src/caller/check.rs
+++ b/crates/keeljunction/src/caller/check.rs
@@ -175,7 +175,7 @@
 
 async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Problem> {
     let most = node.settings.limits.body_bytes;
-    http::read(body, most).await.ok_or_else(|| {
+    http::read_body(body, most).await.ok_or_else(|| {
         let detail = format!("the body is longer than {most} bytes, or broke off");
         Problem::refused(StatusCode::PAYLOAD_TOO_LARGE, detail)
     })
--- a/crates/keeljunction/src/command/status.rs
+++ b/crates/keeljunction/src/command/status.rs
@@ -68,7 +68,7 @@
     let exchange = async {
         let response =
             client.send(node, request).await.map_err(|error| failed(error.to_string()))?;
-        let content = http::read(response.into_body(), MAX_ANSWER).await;
+        let content = http::read_body(response.into_body(), MAX_ANSWER).await;
         content.ok_or_else(|| failed("the answer broke off".to_owned()))
     };
     let content = runtime::within(time, exchange).await;
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -163,7 +163,7 @@
         if status != StatusCode::OK {
             return Err(refusal(status));
         }
-        let content = http::read(response.into_body(), MAX_ANSWER).await;
+        let content = http::read_body(response.into_body(), MAX_ANSWER).await;
         content.ok_or_else(|| Fault::Unknown("the answer broke off".to_owned()))
     }
 
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -327,7 +327,7 @@
     let Ok(response) = engine.http.send(from, request).await else {
         return reply::status(StatusCode::BAD_GATEWAY);
     };
-    let content = http::read(response.into_body(), 16 << 20).await.unwrap_or_default();
+    let content = http::read_body(response.into_body(), 16 << 20).await.unwrap_or_default();
     let sent: Value = serde_json::from_slice(&content).unwrap_or_default();
     match serde_json::from_value::<Vec<u64>>(sent["blocks"].clone()) {
         Ok(blocks) => {
--- a/crates/standin/src/harness/call.rs
+++ b/crates/standin/src/harness/call.rs
@@ -7,7 +7,7 @@
 use futures_lite::StreamExt;
 use http_body_util::BodyDataStream;
 use hyper::{Method, Request};
-use keeljunction::http::{Body, Client, SendError, read};
+use keeljunction::http::{Body, Client, SendError, read_body};
 use keeljunction::runtime;
 use serde_json::{Value, json};
 use std::pin::Pin;
@@ -144,7 +144,7 @@
         };
         let is_stream = header("content-type").is_some_and(|kind| kind == "text/event-stream");
         if !is_stream {
-            let body = read(response.into_body(), MAX_ANSWER).await;
+            let body = read_body(response.into_body(), MAX_ANSWER).await;
             answer.is_whole = body.is_some() && answer.status < 400;
             answer.body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
             return Ok(Stream { answer, started, events: None });
@@ -240,6 +240,6 @@
 ) -> Result<Value, String> {
     let response = client.send(to, request).await.map_err(|failure| failure.to_string())?;
     let status = response.status();
-    let body = read(response.into_body(), MAX_ANSWER).await.ok_or("the body broke off")?;
+    let body = read_body(response.into_body(), MAX_ANSWER).await.ok_or("the body broke off")?;
     serde_json::from_slice(&body).map_err(|error| format!("{status}, not JSON: {error}"))
 }
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -34,7 +34,7 @@
 
 /// Reads a body as bytes.
 pub async fn read(body: Incoming) -> Bytes {
-    keeljunction::http::read(body, MAX_BODY).await.unwrap_or_default()
+    keeljunction::http::read_body(body, MAX_BODY).await.unwrap_or_default()
 }
 
 /// Reads a body as JSON.
