--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -109,7 +109,7 @@
     }
 
     /// Sets how long a connection may rest and still be used again.
-    pub fn with_rest(self, rest: Duration) -> Self {
+    pub fn with_idle_timeout(self, rest: Duration) -> Self {
         Self { rest, ..self }
     }
 
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -31,7 +31,7 @@
 fn a_connection_that_has_not_rested_for_long_is_used_again() {
     runtime::run(1, async {
         let to = serve().await;
-        let client = Client::new(Duration::from_secs(5)).with_rest(Duration::from_secs(60));
+        let client = Client::new(Duration::from_secs(5)).with_idle_timeout(Duration::from_secs(60));
         for _ in 0..3 {
             ask(&client, to).await;
         }
@@ -43,7 +43,7 @@
 fn a_connection_that_rested_for_long_is_not_used_again_as_it_may_have_gone_silent() {
     runtime::run(1, async {
         let to = serve().await;
-        let client = Client::new(Duration::from_secs(5)).with_rest(Duration::ZERO);
+        let client = Client::new(Duration::from_secs(5)).with_idle_timeout(Duration::ZERO);
         for _ in 0..3 {
             ask(&client, to).await;
         }
