--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns how many connections to an address rest.
-    pub fn get_idle(&self, address: SocketAddr) -> usize {
+    pub fn get_idle_count(&self, address: SocketAddr) -> usize {
         runtime::lock(&self.idle).get(&address).map_or(0, Vec::len)
     }
 
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -22,7 +22,7 @@
     let response = client.send(to, request).await.expect("an answer");
     assert_eq!(read_body(response.into_body(), 100).await.as_deref(), Some(&b"ok"[..]));
     // The connection is kept once it is ready again.
-    while client.get_idle(to) == 0 {
+    while client.get_idle_count(to) == 0 {
         runtime::sleep(Duration::from_millis(1)).await;
     }
 }
@@ -47,7 +47,7 @@
         for _ in 0..3 {
             ask(&client, to).await;
         }
-        assert_eq!((client.get_opened(), client.get_idle(to)), (3, 1));
+        assert_eq!((client.get_opened(), client.get_idle_count(to)), (3, 1));
     });
 }
 
@@ -66,6 +66,6 @@
         for asked in asking {
             asked.await;
         }
-        assert!(client.get_idle(to) <= 2, "{} connections rest", client.get_idle(to));
+        assert!(client.get_idle_count(to) <= 2, "{} connections rest", client.get_idle_count(to));
     });
 }
