--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns how many connections were made so far.
-    pub fn get_opened(&self) -> u64 {
+    pub fn get_opened_count(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -35,7 +35,7 @@
         for _ in 0..3 {
             ask(&client, to).await;
         }
-        assert_eq!(client.get_opened(), 1);
+        assert_eq!(client.get_opened_count(), 1);
     });
 }
 
@@ -47,7 +47,7 @@
         for _ in 0..3 {
             ask(&client, to).await;
         }
-        assert_eq!((client.get_opened(), client.get_idle_count(to)), (3, 1));
+        assert_eq!((client.get_opened_count(), client.get_idle_count(to)), (3, 1));
     });
 }
 
