--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -117,7 +117,7 @@
     ///
     /// A server accepts a number of connections from all nodes together: those that rest here must
     /// leave room for the other nodes' requests.
-    pub fn set_idle_per_address(&self, most: usize) {
+    pub fn set_max_idle_per_address(&self, most: usize) {
         self.idle_per_address.store(most, Ordering::Relaxed);
     }
 
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -56,7 +56,7 @@
     runtime::run(1, async {
         let to = serve().await;
         let client = Client::new(Duration::from_secs(5));
-        client.set_idle_per_address(2);
+        client.set_max_idle_per_address(2);
         let asking: Vec<_> = (0..5)
             .map(|_| {
                 let client = client.clone();
