--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -132,7 +132,7 @@
     }
 
     /// Closes all idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         runtime::lock(&self.idle).remove(&address);
     }
 
