--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -197,7 +197,7 @@
             log::warn!("a connection to {to} that goes silent shows late: {error}");
         }
         let socket = Socket::new(stream);
-        let writes = socket.get_writes();
+        let writes = socket.get_write_state();
         let made = http1::handshake(socket).await;
         let (sender, connection) = made.map_err(|error| SendError::NotSent(error.to_string()))?;
         let driver = runtime::task(async move {
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -11,4 +11,4 @@
 pub use client::{Client, ResponseBody, SendError};
 pub use peer::ConnectionHandle;
 pub use server::{ConnectionCount, Limits, Server, StopSignal};
-pub use socket::{Socket, Writes, drive};
+pub use socket::{Socket, WriteState, drive};
--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -216,7 +216,7 @@
     builder.timer(SmolTimer::new()).header_read_timeout(head_within);
     builder.max_buf_size(limits.head_bytes.max(8192));
     let socket = Socket::new(stream);
-    let writes = socket.get_writes();
+    let writes = socket.get_write_state();
     let mut connection = pin!(builder.serve_connection(socket, service));
     let stopping = pin!(stop.wait());
     let ended = async {
--- a/crates/gateway/src/http/socket.rs
+++ b/crates/gateway/src/http/socket.rs
@@ -31,9 +31,9 @@
 
 /// How the writes to a socket go in one turn of its connection.
 #[derive(Clone, Debug, Default)]
-pub struct Writes(Arc<AtomicU8>);
+pub struct WriteState(Arc<AtomicU8>);
 
-impl Writes {
+impl WriteState {
     fn begin(&self) {
         self.0.store(CLEAR, Ordering::Relaxed);
     }
@@ -57,17 +57,17 @@
 #[derive(Debug)]
 pub struct Socket<T> {
     inner: FuturesIo<T>,
-    writes: Writes,
+    writes: WriteState,
 }
 
 impl<T> Socket<T> {
     /// Wraps a socket.
     pub fn new(inner: T) -> Self {
-        Self { inner: FuturesIo::new(inner), writes: Writes::default() }
+        Self { inner: FuturesIo::new(inner), writes: WriteState::default() }
     }
 
     /// Returns how the writes go, for the driver of the connection.
-    pub fn get_writes(&self) -> Writes {
+    pub fn get_write_state(&self) -> WriteState {
         self.writes.clone()
     }
 }
@@ -103,7 +103,7 @@
 }
 
 /// Drives a connection over a [`Socket`] to its end.
-pub async fn drive<C>(mut connection: Pin<&mut C>, writes: &Writes) -> C::Output
+pub async fn drive<C>(mut connection: Pin<&mut C>, writes: &WriteState) -> C::Output
 where
     C: Future,
 {
--- a/crates/gateway/tests/blocked_writes.rs
+++ b/crates/gateway/tests/blocked_writes.rs
@@ -118,7 +118,7 @@
     let peer = Peer { request, room: PIECE, blocked_in_a_row, ..Peer::default() };
     let shared = Shared(Rc::new(RefCell::new(peer)));
     let socket = Socket::new(shared.clone());
-    let writes = socket.get_writes();
+    let writes = socket.get_write_state();
     let service = service_fn(|_: Request<_>| async {
         let piece = || Ok::<_, Infallible>(Frame::data(Bytes::from(vec![b'x'; PIECE])));
         let body = StreamBody::new(stream::iter((0..PIECES).map(move |_| piece())));
