--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -63,7 +63,7 @@
     let held = Reservation::new(node, Kind::ReadAhead);
     let feed = Feed::new(node, recipient, held, due);
     lock(&feed.flow).source = Some(source);
-    Body::stream(FeedBody(feed), None)
+    Body::from_stream(FeedBody(feed), None)
 }
 
 /// Returns the body that passes on an answer that was read whole. `held` is its reservation.
@@ -78,7 +78,7 @@
     flow.record = Some(Box::new(record));
     flow.is_ended = true;
     drop(flow);
-    Body::stream(FeedBody(feed), Some(length))
+    Body::from_stream(FeedBody(feed), Some(length))
 }
 
 impl Feed {
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -32,12 +32,12 @@
     }
 
     /// Makes a body from a channel of pieces.
-    pub fn pieces(pieces: Receiver<io::Result<Bytes>>) -> Self {
+    pub fn from_channel(pieces: Receiver<io::Result<Bytes>>) -> Self {
         Self::Pieces(Box::pin(pieces))
     }
 
     /// Makes a body from a stream of pieces, of a length in all where it is known.
-    pub fn stream(
+    pub fn from_stream(
         pieces: impl Stream<Item = io::Result<Bytes>> + Send + 'static,
         length: Option<u64>,
     ) -> Self {
--- a/crates/keeljunction/src/caller/handler.rs
+++ b/crates/keeljunction/src/caller/handler.rs
@@ -130,7 +130,7 @@
             let _ = sender.try_send(Err(io::Error::from(io::ErrorKind::TimedOut)));
         }
     });
-    let mut response = Response::new(Body::pieces(receiver));
+    let mut response = Response::new(Body::from_channel(receiver));
     let headers = response.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("text/event-stream"));
     headers.insert("cache-control", HeaderValue::from_static("no-store"));
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -228,7 +228,7 @@
             .send(Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset)))
             .await;
     });
-    let mut response = Response::new(Body::pieces(receiver));
+    let mut response = Response::new(Body::from_channel(receiver));
     let headers = response.headers_mut();
     headers.insert("content-type", hyper::header::HeaderValue::from_static("text/event-stream"));
     response
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -29,7 +29,7 @@
 pub fn cut() -> Response<Body> {
     let (sender, receiver) = async_channel::bounded(1);
     let _ = sender.try_send(Err(io::Error::from(io::ErrorKind::ConnectionReset)));
-    Response::new(Body::pieces(receiver))
+    Response::new(Body::from_channel(receiver))
 }
 
 /// Reads a body as bytes.
