--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -302,7 +302,7 @@
         urgency: exchange.has_engine.then_some(exchange.urgency),
         last_event: order.last_event,
     };
-    (node.platform.dialect.write_request)(&mut headers, &dispatch);
+    (node.platform.header_codec.write_request)(&mut headers, &dispatch);
     let path = exchange.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = exchange.get_body();
     let body = match content.is_empty() {
@@ -323,7 +323,7 @@
     sent_at: Millis,
     parts: &Parts,
 ) -> Option<Failed> {
-    let head = (node.platform.dialect.read_answer)(parts);
+    let head = (node.platform.header_codec.read_answer)(parts);
     let fault = find_fault(exchange, parts, &head);
     if !head.is_other_server && !is_foreign(exchange, &head) {
         let is_run = matches!(fault, None | Some(Failed::ServerError));
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -7,7 +7,7 @@
 
 /// Translates heads between the callers' and servers' protocol and the product's own terms.
 #[derive(Clone, Copy)]
-pub struct Dialect {
+pub struct HeaderCodec {
     /// Reads a caller's request.
     pub read_request: fn(&request::Parts) -> RequestHead,
     /// Turns a caller's headers into those that a server gets.
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -11,7 +11,7 @@
 
 pub use control::{CapacityOrder, Control, ControlFuture, DutyHolder, UsageReport};
 pub use dialect::{
-    AnswerHead, Dialect, Dispatch, Prompt, PromptPart, RequestHead, UnreadableHeader,
+    AnswerHead, Dispatch, HeaderCodec, Prompt, PromptPart, RequestHead, UnreadableHeader,
 };
 pub use rollouts::{RolloutRow, Rollouts};
 pub use table::{
@@ -22,7 +22,7 @@
 /// An adapter to a platform.
 pub struct Platform {
     /// Reads and writes the heads of requests and answers.
-    pub dialect: Dialect,
+    pub header_codec: HeaderCodec,
     /// The platform's table service.
     pub table: Table,
     /// The calls that one node at a time may make.
