--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -302,7 +302,7 @@
         urgency: exchange.has_engine.then_some(exchange.urgency),
         last_event: order.last_event,
     };
-    (node.platform.header_codec.write_request)(&mut headers, &dispatch);
+    (node.platform.header_codec.encode_request)(&mut headers, &dispatch);
     let path = exchange.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = exchange.get_body();
     let body = match content.is_empty() {
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -54,7 +54,7 @@
 /// left.
 pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let (mut parts, body) = request.into_parts();
-    let head = (node.platform.header_codec.read_request)(&parts);
+    let head = (node.platform.header_codec.decode_request)(&parts);
     let mut record = Record::begin(node.clone(), &head);
     let mut arriving = Arriving::new(body, &parts.headers);
     record.peer = parts.extensions.remove();
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy)]
 pub struct HeaderCodec {
     /// Reads a caller's request.
-    pub read_request: fn(&request::Parts) -> RequestHead,
+    pub decode_request: fn(&request::Parts) -> RequestHead,
     /// Turns a caller's headers into those that a server gets.
-    pub write_request: fn(&mut HeaderMap, &Dispatch<'_>),
+    pub encode_request: fn(&mut HeaderMap, &Dispatch<'_>),
     /// Reads a server's answer.
     pub read_answer: fn(&response::Parts) -> AnswerHead,
 }
