--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -323,7 +323,7 @@
     sent_at: Millis,
     parts: &Parts,
 ) -> Option<Failed> {
-    let head = (node.platform.header_codec.read_answer)(parts);
+    let head = (node.platform.header_codec.decode_response)(parts);
     let fault = find_fault(exchange, parts, &head);
     if !head.is_other_server && !is_foreign(exchange, &head) {
         let is_run = matches!(fault, None | Some(Failed::ServerError));
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -13,7 +13,7 @@
     /// Turns a caller's headers into those that a server gets.
     pub encode_request: fn(&mut HeaderMap, &Dispatch<'_>),
     /// Reads a server's answer.
-    pub read_answer: fn(&response::Parts) -> AnswerHead,
+    pub decode_response: fn(&response::Parts) -> AnswerHead,
 }
 
 /// What a caller's head says.
