--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -18,7 +18,7 @@
 use crate::event::{self, Event};
 use crate::http::{Body, ResponseBody};
 use crate::node::{Node, Reservation, crashes, note_load_change, watch};
-use crate::port::{AnswerHead, Dispatch};
+use crate::port::{Dispatch, ResponseHead};
 use crate::runtime;
 
 /// The most bytes of an answer that are held back until it is known to be whole.
@@ -339,7 +339,7 @@
 }
 
 /// Returns what is wrong with the head of an answer.
-fn find_fault(exchange: &Exchange, parts: &Parts, head: &AnswerHead) -> Option<Failed> {
+fn find_fault(exchange: &Exchange, parts: &Parts, head: &ResponseHead) -> Option<Failed> {
     let status = parts.status;
     if head.is_other_server {
         return Some(Failed::OtherServer);
@@ -361,6 +361,6 @@
 }
 
 /// Returns `true` if an answer belongs to another request.
-fn is_foreign(exchange: &Exchange, head: &AnswerHead) -> bool {
+fn is_foreign(exchange: &Exchange, head: &ResponseHead) -> bool {
     head.request_id.is_some() && head.request_id != exchange.head.id
 }
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -6,7 +6,7 @@
 
 use crate::event::{self, Event};
 use crate::node::{News, Node, watch};
-use crate::port::{AnswerHead, UnreadableHeader};
+use crate::port::{ResponseHead, UnreadableHeader};
 
 /// How a server answered.
 pub(super) struct Answered {
@@ -22,8 +22,8 @@
 ///
 /// Only an answer to a request that ran ends a limit: what rejects a request may know less than what
 /// runs it. What an earlier start of the server said holds no more.
-pub(super) fn note(node: &Node, server: &Server, answered: &Answered, head: &AnswerHead) {
-    let AnswerHead { signal, unreadable, .. } = head;
+pub(super) fn note(node: &Node, server: &Server, answered: &Answered, head: &ResponseHead) {
+    let ResponseHead { signal, unreadable, .. } = head;
     let Answered { sent_at, status, is_run } = *answered;
     note_unreadable(node, server, unreadable);
     let is_superseded = node.with(|state| state.directory.is_superseded(server));
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -13,7 +13,7 @@
     /// Turns a caller's headers into those that a server gets.
     pub encode_request: fn(&mut HeaderMap, &Dispatch<'_>),
     /// Reads a server's answer.
-    pub decode_response: fn(&response::Parts) -> AnswerHead,
+    pub decode_response: fn(&response::Parts) -> ResponseHead,
 }
 
 /// What a caller's head says.
@@ -68,7 +68,7 @@
 
 /// What a server's head says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that the answer belongs to.
     pub request_id: Option<String>,
     /// Whether the server signed the answer.
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -11,7 +11,7 @@
 
 pub use control::{CapacityOrder, Control, ControlFuture, DutyHolder, UsageReport};
 pub use dialect::{
-    AnswerHead, Dispatch, HeaderCodec, Prompt, PromptPart, RequestHead, UnreadableHeader,
+    Dispatch, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
 };
 pub use rollouts::{RolloutRow, Rollouts};
 pub use table::{
