--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -325,7 +325,7 @@
 ) -> Option<Failed> {
     let head = (node.platform.header_codec.decode_response)(parts);
     let fault = find_fault(exchange, parts, &head);
-    if !head.is_other_server && !is_foreign(exchange, &head) {
+    if !head.is_wrong_server && !is_foreign(exchange, &head) {
         let is_run = matches!(fault, None | Some(Failed::ServerError));
         let answered = Answered { sent_at, status: parts.status, is_run };
         signals::note(node, server, &answered, &head);
@@ -341,7 +341,7 @@
 /// Returns what is wrong with the head of an answer.
 fn find_fault(exchange: &Exchange, parts: &Parts, head: &ResponseHead) -> Option<Failed> {
     let status = parts.status;
-    if head.is_other_server {
+    if head.is_wrong_server {
         return Some(Failed::OtherServer);
     }
     if head.is_not_executed {
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -76,7 +76,7 @@
     /// Whether the server says that it did not run the request.
     pub is_not_executed: bool,
     /// Whether another server than the one that was meant stands at the address.
-    pub is_other_server: bool,
+    pub is_wrong_server: bool,
     /// Whether the body is encoded, and so not what the server made.
     pub is_encoded: bool,
     /// Requests that wait at the server, where it reports them.
