--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -18,7 +18,7 @@
 use crate::event::{self, Event};
 use crate::http::{Body, ResponseBody};
 use crate::node::{Node, Reservation, crashes, note_load_change, watch};
-use crate::port::{Dispatch, ResponseHead};
+use crate::port::{ForwardContext, ResponseHead};
 use crate::runtime;
 
 /// The most bytes of an answer that are held back until it is known to be whole.
@@ -295,7 +295,7 @@
 
 fn build(node: &Node, exchange: &Exchange, order: &Order<'_>) -> Option<Request<Body>> {
     let mut headers: HeaderMap = exchange.headers.clone();
-    let dispatch = Dispatch {
+    let dispatch = ForwardContext {
         left: exchange.get_left(node.now()),
         server_id: &order.server.id,
         account: exchange.account.as_deref(),
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -11,7 +11,7 @@
     /// Reads a caller's request.
     pub decode_request: fn(&request::Parts) -> RequestHead,
     /// Turns a caller's headers into those that a server gets.
-    pub encode_request: fn(&mut HeaderMap, &Dispatch<'_>),
+    pub encode_request: fn(&mut HeaderMap, &ForwardContext<'_>),
     /// Reads a server's answer.
     pub decode_response: fn(&response::Parts) -> ResponseHead,
 }
@@ -53,7 +53,7 @@
 
 /// What the node says to a server beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct Dispatch<'a> {
+pub struct ForwardContext<'a> {
     /// Milliseconds that are left.
     pub left: Millis,
     /// The server that is meant, so that another at its address does not run the request.
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -11,7 +11,7 @@
 
 pub use control::{CapacityOrder, Control, ControlFuture, DutyHolder, UsageReport};
 pub use dialect::{
-    Dispatch, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
+    ForwardContext, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
 };
 pub use rollouts::{RolloutRow, Rollouts};
 pub use table::{
