--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -296,7 +296,7 @@
 fn build(node: &Node, exchange: &Exchange, order: &Order<'_>) -> Option<Request<Body>> {
     let mut headers: HeaderMap = exchange.headers.clone();
     let dispatch = ForwardContext {
-        left: exchange.get_left(node.now()),
+        time_left: exchange.get_left(node.now()),
         server_id: &order.server.id,
         account: exchange.account.as_deref(),
         urgency: exchange.has_engine.then_some(exchange.urgency),
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardContext<'a> {
     /// Milliseconds that are left.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The server that is meant, so that another at its address does not run the request.
     pub server_id: &'a str,
     /// The client account that holds the caller's key.
