--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -164,7 +164,7 @@
     /// The server.
     pub server: &'a Server,
     /// The last event that the caller has got, where a stream goes on.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// How long to wait for the head of the answer.
     pub within: Millis,
 }
@@ -183,7 +183,7 @@
         Ok(_) => true,
         Err((failed, _)) => failed.may_have_run() && *failed != Failed::Timeout,
     };
-    if has_begun && order.last_event.is_none() {
+    if has_begun && order.last_event_id.is_none() {
         exchange.count_usage(node);
     }
     answered
@@ -227,7 +227,7 @@
     load.note_first_token();
     // A sample is of how fast a server reads; a round trip to another region would distort it.
     let is_sample = !node.is_crossing(data_centre);
-    if is_sample && exchange.has_engine && order.last_event.is_none() {
+    if is_sample && exchange.has_engine && order.last_event_id.is_none() {
         let sample = Sample {
             server: short_id(&order.server.id),
             is_alone,
@@ -300,7 +300,7 @@
         server_id: &order.server.id,
         account: exchange.account.as_deref(),
         urgency: exchange.has_engine.then_some(exchange.urgency),
-        last_event: order.last_event,
+        last_event_id: order.last_event_id,
     };
     (node.platform.header_codec.encode_request)(&mut headers, &dispatch);
     let path = exchange.uri.path_and_query().map_or("/", |path| path.as_str());
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends the request to the server that was picked, from the event after `last_event` on where a stream
+/// Sends the request to the server that was picked, from the event after `last_event_id` on where a stream
 /// goes on.
 ///
 /// # Errors
@@ -59,13 +59,13 @@
     record: &mut Record,
     progress: &mut Progress,
     pick: &Pick,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<Answer, Option<Box<Answer>>> {
     let server = &pick.server;
     progress.tried.all.push(server.id.clone());
     node.with(|state| state.rollouts.count_sent(server));
     let sent_at = node.now();
-    let order = Order { server, last_event, within: exchange.get_left(sent_at) };
+    let order = Order { server, last_event_id, within: exchange.get_left(sent_at) };
     match attempt::send(node, exchange, &order).await {
         Ok(answer) => {
             node.with(|state| {
@@ -100,7 +100,7 @@
     exchange: &Exchange,
     record: &mut Record,
     tried: &mut Tried,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Option<Answer> {
     let mut progress = Progress {
         tried: tried.clone(),
@@ -114,7 +114,7 @@
         let pick = next_attempt(node, exchange, &progress).await.ok()?;
         note_choice(node, exchange, record, &pick);
         let tried_server =
-            try_server(node, exchange, record, &mut progress, &pick, last_event).await;
+            try_server(node, exchange, record, &mut progress, &pick, last_event_id).await;
         tried.clone_from(&progress.tried);
         if let Ok(answer) = tried_server {
             return Some(answer);
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -62,7 +62,7 @@
     let relay = Relay {
         status,
         splitter: is_resumable(&exchange).then(Splitter::default),
-        sequence: Sequence::after(exchange.head.last_event),
+        sequence: Sequence::after(exchange.head.last_event_id),
         ready: VecDeque::new(),
         reply: Some(rest),
         tried: Tried { all: vec![server.id.clone()], ended: Vec::new() },
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -28,7 +28,7 @@
     /// The size and parts of the prompt, for model servers.
     pub prompt: Option<Prompt>,
     /// The last event that the caller has got already.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The size and parts of a prompt.
@@ -63,7 +63,7 @@
     /// The request's priority, for model servers; 0 is the most urgent.
     pub urgency: Option<u32>,
     /// The last event that the caller has got, where a stream goes on.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What a server's head says.
