--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -264,7 +264,7 @@
     if configuration.accounts.is_none() {
         return Ok(None);
     }
-    let account = head.key.as_deref().and_then(|key| configuration.find_account(key));
+    let account = head.api_key.as_deref().and_then(|key| configuration.find_account(key));
     match account {
         Some(account) => Ok(Some(account)),
         None if route.allow_anonymous => Ok(None),
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -24,7 +24,7 @@
     /// How long the caller will wait, in milliseconds.
     pub deadline: Option<Millis>,
     /// The key that the caller presents.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// The size and parts of the prompt, for model servers.
     pub prompt: Option<Prompt>,
     /// The last event that the caller has got already.
