--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -80,7 +80,7 @@
     /// Whether the body is encoded, and so not what the server made.
     pub is_encoded: bool,
     /// Requests that wait at the server, where it reports them.
-    pub waiting: Option<u32>,
+    pub queued_requests: Option<u32>,
     /// What the server says about the requests that follow.
     pub signal: Signal,
     /// Headers of the signal that cannot be read, or are read as less than they say.
