--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -15,7 +15,7 @@
 use super::Node;
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, Rows, Selection, TableError, TableName, Transaction, Write, answer_within,
+    Condition, Rows, Selection, TableError, TableName, Transaction, Write, with_timeout,
 };
 
 /// Stands between a row's key and its era.
@@ -75,7 +75,7 @@
     selection: Selection,
     within: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, answer_within(within, (node.platform.table.read_some)(selection)).await)
+    take(node, with_timeout(within, (node.platform.table.read_some)(selection)).await)
 }
 
 /// Waits for rows that changed after a version. The service holds the call for `hold` where nothing changes,
@@ -95,7 +95,7 @@
         return Err(TableError::HistoryGone);
     }
     let watching = (node.platform.table.watch)(table, after, hold);
-    let rows = take(node, answer_within(hold + within, watching).await)?;
+    let rows = take(node, with_timeout(hold + within, watching).await)?;
     if rows.version.era != after.era {
         return Err(TableError::HistoryGone);
     }
@@ -118,7 +118,7 @@
         return Err(TableError::Superseded);
     }
     let committing = (node.platform.table.commit)(transaction);
-    let answer = take(node, answer_within(within, committing).await);
+    let answer = take(node, with_timeout(within, committing).await);
     let answered_in = match &answer {
         Ok(rows) | Err(TableError::Conflict(rows)) => Some(rows.version.era),
         Err(_) => None,
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -16,7 +16,7 @@
 pub use rollouts::{RolloutRow, Rollouts};
 pub use table::{
     Condition, Row, Rows, Selection, Table, TableError, TableFuture, TableName, Transaction, Write,
-    answer_within,
+    with_timeout,
 };
 
 /// An adapter to a platform.
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -34,7 +34,7 @@
     /// Returns the call's error.
     pub async fn read_first(&self, table: TableName, within: Duration) -> Result<Rows, TableError> {
         let selection = Selection { table, from: String::new(), most: PAGE };
-        answer_within(within, (self.read_some)(selection)).await
+        with_timeout(within, (self.read_some)(selection)).await
     }
 
     /// Reads the pages after the first one.
@@ -53,7 +53,7 @@
             // The key that comes right after the last one.
             let from = format!("{}\0", last.key);
             let selection = Selection { table, from, most: PAGE };
-            let page = answer_within(within, (self.read_some)(selection)).await?;
+            let page = with_timeout(within, (self.read_some)(selection)).await?;
             if page.version.era != whole.version.era {
                 return Err(TableError::HistoryGone);
             }
@@ -69,7 +69,7 @@
 /// # Errors
 ///
 /// Returns the call's error, and [`TableError::Unanswered`] where the time is over.
-pub async fn answer_within(time: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
+pub async fn with_timeout(time: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
     let answer = runtime::within(time, call).await;
     answer.unwrap_or_else(|| Err(TableError::Unanswered("no answer in time".to_owned())))
 }
