--- a/crates/gateway/src/node/duty.rs
+++ b/crates/gateway/src/node/duty.rs
@@ -141,7 +141,7 @@
 }
 
 fn transaction(row: &LeaseRow, current: &Known) -> Transaction {
-    let (table, version) = (TableName::Own(TABLE), current.version);
+    let (table, version) = (TableName::Internal(TABLE), current.version);
     let key = table::era_key(KEY, version.era);
     let condition = Condition { table, key: key.clone(), version };
     let removals = current.earlier.iter().map(|key| Write { table, key: key.clone(), value: None });
@@ -153,7 +153,7 @@
 /// Reads the lease's row; a row that is this node's confirms its lease.
 async fn read(node: &Node, unreadable: &mut Option<Unreadable>) -> Result<Known, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), ANSWER_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), ANSWER_WITHIN).await?;
     let clock = TableClock { asked_at, table_time: rows.table_time };
     let era = rows.version.era;
     let key = table::era_key(KEY, era);
--- a/crates/gateway/src/node/era_origin.rs
+++ b/crates/gateway/src/node/era_origin.rs
@@ -15,7 +15,7 @@
 use crate::port::{Row, Rows, TableError, TableName};
 use crate::runtime;
 
-const TABLE: TableName = TableName::Own("eras");
+const TABLE: TableName = TableName::Internal("eras");
 const CALL_WITHIN: Duration = Duration::from_millis(700);
 
 /// The origin of an era, as its row keeps it.
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -145,13 +145,13 @@
     let value = serde_json::to_vec(&entry)
         .map_err(|error| TableError::Unanswered(format!("not sent: {error}")))?;
     let key = sample::make_key(&entry.name);
-    let write = Write { table: TableName::Own(TABLE), key, value: Some(value) };
+    let write = Write { table: TableName::Internal(TABLE), key, value: Some(value) };
     let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
     table::commit(node, transaction, LIST_WITHIN).await.map(|_| ())
 }
 
 async fn read_whole(node: &Node) -> Result<bool, TableError> {
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN).await?.rows;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN).await?.rows;
     let entries: Vec<Entry> = rows.iter().filter_map(decode).collect();
     let is_listed = entries.contains(&node.get_entry());
     let now = node.now();
@@ -182,7 +182,7 @@
 }
 
 async fn read_from(node: &Node, key: &str, most: usize) -> Result<Rows, TableError> {
-    let selection = Selection { table: TableName::Own(TABLE), from: key.to_owned(), most };
+    let selection = Selection { table: TableName::Internal(TABLE), from: key.to_owned(), most };
     table::read_some(node, selection, CALL_WITHIN).await
 }
 
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -107,7 +107,7 @@
 /// Takes over the rows that hold, and removes the others.
 async fn load(node: &Arc<Node>) -> Result<TableClock, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN).await?;
     let mut removals = Vec::new();
     for row in &rows.rows {
         match decode(row) {
@@ -142,11 +142,11 @@
     }
     let Verdict { service, servers_crashed, .. } = *verdict;
     let value = serde_json::to_vec(&Refused { service, until, servers_crashed }).ok();
-    Write { table: TableName::Own(TABLE), key, value }
+    Write { table: TableName::Internal(TABLE), key, value }
 }
 
 fn make_removal(key: String) -> Write {
-    Write { table: TableName::Own(TABLE), key, value: None }
+    Write { table: TableName::Internal(TABLE), key, value: None }
 }
 
 fn make_verdict(fingerprint: Fingerprint, refused: Refused, left: Millis) -> Verdict {
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -109,7 +109,7 @@
             return true;
         }
         let asked_at = node.now();
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN);
         let Ok(rows) = reading.await else { return false };
         let era = rows.version.era;
         let is_return = era != self.era;
@@ -236,7 +236,7 @@
         let value = serde_json::to_vec(&record).ok();
         let key = table::era_key(service, self.era);
         let writing =
-            table::replace(node, TableName::Own(TABLE), &key, version, value, CALL_WITHIN);
+            table::replace(node, TableName::Internal(TABLE), &key, version, value, CALL_WITHIN);
         let Ok(rows) = writing.await.inspect_err(note_failure) else {
             return false;
         };
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -102,7 +102,7 @@
         if fence == self.fence {
             return true;
         }
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN);
         let Ok(rows) = reading.await else { return false };
         if let Err(error) = era_origin::find(node).await {
             event::emit(&Event::TableCallFailed { what: "era", error: error.to_string() });
@@ -179,7 +179,7 @@
         if kept.is_empty() {
             return;
         }
-        let name = TableName::Own(TABLE);
+        let name = TableName::Internal(TABLE);
         let key = usage_rows::make_running_key(self.era);
         let (version, value) = (self.running.version, usage_rows::encode_running(&kept));
         match table::replace(node, name, &key, version, value, CALL_WITHIN).await {
@@ -217,7 +217,7 @@
 
     /// Makes the transaction that freezes a window, and removes rows that are no longer needed.
     fn make_transaction(&self, node: &Node, window: WindowNumber, counts: &Counts) -> Transaction {
-        let (table, version) = (TableName::Own(TABLE), TableVersion::absent(self.era));
+        let (table, version) = (TableName::Internal(TABLE), TableVersion::absent(self.era));
         let key = FrozenKey { window, era: self.era }.encode();
         let condition = Condition { table, key: key.clone(), version };
         let write = Write { table, key, value: serde_json::to_vec(counts).ok() };
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -84,7 +84,7 @@
     /// The status of the operator's orders.
     Status,
     /// A table of the product's own.
-    Own(&'static str),
+    Internal(&'static str),
 }
 
 /// Some rows of a table that follow each other in the order of their keys.
