--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -52,7 +52,7 @@
 ///
 /// Dropping the future, or the body of the response, cancels what is still running: the caller has
 /// left.
-pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let (mut parts, body) = request.into_parts();
     let head = (node.platform.header_codec.decode_request)(&parts);
     let mut record = Record::begin(node.clone(), &head);
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -85,7 +85,7 @@
     let resting = node.clone();
     let callers = callers.with_head_timeout(Arc::new(move || resting.get_rest_bound()));
     let open = callers.get_connection_count();
-    runtime::spawn(callers.serve(move |request| exchange::answer(answering.clone(), request)));
+    runtime::spawn(callers.serve(move |request| exchange::handle(answering.clone(), request)));
     wait_for_end(&node, path).await?;
     runtime::within(WRITE_OUT, async {
         while open.get() > 0 {
