--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -29,7 +29,7 @@
 }
 
 /// Disconnects all callers that rest; called shortly before the node ends.
-pub fn disconnect_resting(node: &Node) {
+pub fn disconnect_stalled(node: &Node) {
     let now = node.now();
     for feed in node.feeds.list() {
         let Some(look) = (feed.look)(now) else { continue };
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -46,7 +46,7 @@
 use respond::{Record, close_after};
 use upload::Arriving;
 
-pub use callers::{disconnect_resting, watch as watch_callers};
+pub use callers::{disconnect_stalled, watch as watch_callers};
 
 /// Answers a caller's request.
 ///
--- a/crates/gateway/src/node/stop.rs
+++ b/crates/gateway/src/node/stop.rs
@@ -35,7 +35,7 @@
     let drained = runtime::within(grace - notices, async {
         while node.get_in_flight() > 0 {
             if runtime::boot_time() >= release_at {
-                exchange::disconnect_resting(node);
+                exchange::disconnect_stalled(node);
             }
             runtime::sleep(LOOK).await;
         }
