--- a/crates/gateway/src/port/control.rs
+++ b/crates/gateway/src/port/control.rs
@@ -11,14 +11,14 @@
 /// The platform's control calls.
 pub struct Control {
     /// Reports how many requests of each client account began in a window.
-    pub report_usage: Box<dyn Fn(DutyHolder, UsageReport) -> ControlFuture + Send + Sync>,
+    pub report_usage: Box<dyn Fn(LeaseHolder, UsageReport) -> ControlFuture + Send + Sync>,
     /// Sets how many servers a data centre should have.
-    pub set_capacity: Box<dyn Fn(DutyHolder, CapacityOrder) -> ControlFuture + Send + Sync>,
+    pub set_capacity: Box<dyn Fn(LeaseHolder, CapacityOrder) -> ControlFuture + Send + Sync>,
 }
 
 /// The node that makes a call, with the fence of its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DutyHolder {
+pub struct LeaseHolder {
     /// The node's name.
     pub name: String,
     /// Rises with each new holder.
