--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -9,7 +9,7 @@
 use crate::event::{self, Event};
 use crate::node::pause::{Pause, jitter};
 use crate::node::{Node, table};
-use crate::port::{Row, Rows, Selection, TableError, TableName, Transaction, Write};
+use crate::port::{Row, RowRange, Rows, TableError, TableName, Transaction, Write};
 use crate::runtime;
 
 /// The table in which nodes list themselves.
@@ -182,7 +182,7 @@
 }
 
 async fn read_from(node: &Node, key: &str, most: usize) -> Result<Rows, TableError> {
-    let selection = Selection { table: TableName::Internal(TABLE), from: key.to_owned(), most };
+    let selection = RowRange { table: TableName::Internal(TABLE), from: key.to_owned(), most };
     table::read_some(node, selection, CALL_WITHIN).await
 }
 
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -15,7 +15,7 @@
 use super::Node;
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, Rows, Selection, TableError, TableName, Transaction, Write, with_timeout,
+    Condition, RowRange, Rows, TableError, TableName, Transaction, Write, with_timeout,
 };
 
 /// Stands between a row's key and its era.
@@ -72,7 +72,7 @@
 /// Returns the call's error.
 pub(super) async fn read_some(
     node: &Node,
-    selection: Selection,
+    selection: RowRange,
     within: Duration,
 ) -> Result<Rows, TableError> {
     take(node, with_timeout(within, (node.platform.table.read_some)(selection)).await)
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -15,7 +15,7 @@
 };
 pub use rollouts::{RolloutRow, Rollouts};
 pub use table::{
-    Condition, Row, Rows, Selection, Table, TableError, TableFuture, TableName, Transaction, Write,
+    Condition, Row, RowRange, Rows, Table, TableError, TableFuture, TableName, Transaction, Write,
     with_timeout,
 };
 
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -19,7 +19,7 @@
 /// The calls of a table service. All reads are linearizable.
 pub struct Table {
     /// Reads some rows of a table, or fewer where an answer does not hold them.
-    pub read_some: Box<dyn Fn(Selection) -> TableFuture<Rows> + Send + Sync>,
+    pub read_some: Box<dyn Fn(RowRange) -> TableFuture<Rows> + Send + Sync>,
     /// Waits for rows that changed after a version, for a time at most.
     pub watch: Box<dyn Fn(TableName, TableVersion, Duration) -> TableFuture<Rows> + Send + Sync>,
     /// Writes rows, all or none.
@@ -33,7 +33,7 @@
     ///
     /// Returns the call's error.
     pub async fn read_first(&self, table: TableName, within: Duration) -> Result<Rows, TableError> {
-        let selection = Selection { table, from: String::new(), most: PAGE };
+        let selection = RowRange { table, from: String::new(), most: PAGE };
         with_timeout(within, (self.read_some)(selection)).await
     }
 
@@ -52,7 +52,7 @@
         while let Some(last) = whole.rows.last().filter(|_| whole.has_more) {
             // The key that comes right after the last one.
             let from = format!("{}\0", last.key);
-            let selection = Selection { table, from, most: PAGE };
+            let selection = RowRange { table, from, most: PAGE };
             let page = with_timeout(within, (self.read_some)(selection)).await?;
             if page.version.era != whole.version.era {
                 return Err(TableError::HistoryGone);
@@ -89,7 +89,7 @@
 
 /// Some rows of a table that follow each other in the order of their keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Selection {
+pub struct RowRange {
     /// The table.
     pub table: TableName,
     /// The first key; empty for the table's first row.
