--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -75,7 +75,7 @@
     selection: RowRange,
     within: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, with_timeout(within, (node.platform.table.read_some)(selection)).await)
+    take(node, with_timeout(within, (node.platform.table.read_range)(selection)).await)
 }
 
 /// Waits for rows that changed after a version. The service holds the call for `hold` where nothing changes,
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -19,7 +19,7 @@
 /// The calls of a table service. All reads are linearizable.
 pub struct Table {
     /// Reads some rows of a table, or fewer where an answer does not hold them.
-    pub read_some: Box<dyn Fn(RowRange) -> TableFuture<Rows> + Send + Sync>,
+    pub read_range: Box<dyn Fn(RowRange) -> TableFuture<Rows> + Send + Sync>,
     /// Waits for rows that changed after a version, for a time at most.
     pub watch: Box<dyn Fn(TableName, TableVersion, Duration) -> TableFuture<Rows> + Send + Sync>,
     /// Writes rows, all or none.
@@ -34,7 +34,7 @@
     /// Returns the call's error.
     pub async fn read_first(&self, table: TableName, within: Duration) -> Result<Rows, TableError> {
         let selection = RowRange { table, from: String::new(), most: PAGE };
-        with_timeout(within, (self.read_some)(selection)).await
+        with_timeout(within, (self.read_range)(selection)).await
     }
 
     /// Reads the pages after the first one.
@@ -53,7 +53,7 @@
             // The key that comes right after the last one.
             let from = format!("{}\0", last.key);
             let selection = RowRange { table, from, most: PAGE };
-            let page = with_timeout(within, (self.read_some)(selection)).await?;
+            let page = with_timeout(within, (self.read_range)(selection)).await?;
             if page.version.era != whole.version.era {
                 return Err(TableError::HistoryGone);
             }
