--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -181,8 +181,8 @@
     Ok(is_listed)
 }
 
-async fn read_from(node: &Node, key: &str, most: usize) -> Result<Rows, TableError> {
-    let selection = RowRange { table: TableName::Internal(TABLE), from: key.to_owned(), most };
+async fn read_from(node: &Node, key: &str, limit: usize) -> Result<Rows, TableError> {
+    let selection = RowRange { table: TableName::Internal(TABLE), from: key.to_owned(), limit };
     table::read_some(node, selection, CALL_WITHIN).await
 }
 
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -33,7 +33,7 @@
     ///
     /// Returns the call's error.
     pub async fn read_first(&self, table: TableName, within: Duration) -> Result<Rows, TableError> {
-        let selection = RowRange { table, from: String::new(), most: PAGE };
+        let selection = RowRange { table, from: String::new(), limit: PAGE };
         with_timeout(within, (self.read_range)(selection)).await
     }
 
@@ -52,7 +52,7 @@
         while let Some(last) = whole.rows.last().filter(|_| whole.has_more) {
             // The key that comes right after the last one.
             let from = format!("{}\0", last.key);
-            let selection = RowRange { table, from, most: PAGE };
+            let selection = RowRange { table, from, limit: PAGE };
             let page = with_timeout(within, (self.read_range)(selection)).await?;
             if page.version.era != whole.version.era {
                 return Err(TableError::HistoryGone);
@@ -95,7 +95,7 @@
     /// The first key; empty for the table's first row.
     pub from: String,
     /// How many rows, at the most.
-    pub most: usize,
+    pub limit: usize,
 }
 
 /// A row.
