--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -106,7 +106,7 @@
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::Superseded`] where a condition is of an earlier era than the
+/// Returns the call's error, and [`TableError::StaleEra`] where a condition is of an earlier era than the
 /// table service: the write counts for nothing.
 pub(super) async fn commit(
     node: &Node,
@@ -115,7 +115,7 @@
 ) -> Result<Rows, TableError> {
     let era = transaction.conditions.first().map(|condition| condition.version.era);
     if era.is_some_and(|era| node.with(|state| state.eras.is_superseded(era))) {
-        return Err(TableError::Superseded);
+        return Err(TableError::StaleEra);
     }
     let committing = (node.platform.table.commit)(transaction);
     let answer = take(node, with_timeout(within, committing).await);
@@ -124,7 +124,7 @@
         Err(_) => None,
     };
     match era.zip(answered_in) {
-        Some((era, answered_in)) if era != answered_in => Err(TableError::Superseded),
+        Some((era, answered_in)) if era != answered_in => Err(TableError::StaleEra),
         _ => answer,
     }
 }
@@ -158,7 +158,7 @@
                 era: rows.version.era.get_number(),
                 known: known.get_number(),
             });
-            return Err(TableError::Superseded);
+            return Err(TableError::StaleEra);
         }
     }
     answer
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -162,7 +162,7 @@
     HistoryGone,
     /// The table service has come back from an older copy since the rows were read that a condition names, or
     /// an answer is of the time before its return. A write may have been done, and is gone.
-    Superseded,
+    StaleEra,
     /// The service refused; nothing was done.
     Refused(u16),
     /// There was no answer; a write may have been done or may still be.
@@ -174,7 +174,7 @@
         match self {
             Self::Conflict(_) => write!(f, "a condition did not hold"),
             Self::HistoryGone => write!(f, "the history is gone"),
-            Self::Superseded => write!(f, "the table service came back from an older copy"),
+            Self::StaleEra => write!(f, "the table service came back from an older copy"),
             Self::Refused(status) => write!(f, "refused with status {status}"),
             Self::Unanswered(why) => write!(f, "no answer: {why}"),
         }
