--- a/crates/gateway/src/node/rollout_status.rs
+++ b/crates/gateway/src/node/rollout_status.rs
@@ -54,7 +54,7 @@
         if is_written && !is_due_again(node, &status) {
             return true;
         }
-        let row = (node.platform.rollouts.encode_status)(&Status {
+        let row = (node.platform.rollout_codec.encode_status)(&Status {
             service: order.service.clone(),
             target_version: order.target_version.clone(),
             stage,
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -18,7 +18,7 @@
         log::warn!("the order {} is gone from its table: the roll-out goes on", row.key);
         return;
     };
-    let order = match (node.platform.rollouts.decode)(&row.key, value, row.version) {
+    let order = match (node.platform.rollout_codec.decode)(&row.key, value, row.version) {
         Ok(order) => order,
         Err(error) => return event::emit(&Event::DocumentRejected { error: error.to_string() }),
     };
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -229,7 +229,7 @@
 }
 
 fn adopt_row(node: &Node, row: &Row) -> Option<u64> {
-    if (node.platform.rollouts.is_order)(&row.key) {
+    if (node.platform.rollout_codec.is_order)(&row.key) {
         rollouts::take_order(node, row);
         return None;
     }
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -13,7 +13,7 @@
 pub use dialect::{
     ForwardContext, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
 };
-pub use rollouts::{RolloutRow, Rollouts};
+pub use rollouts::{RolloutCodec, RolloutRow};
 pub use table::{
     Condition, Row, RowRange, Rows, Table, TableError, TableFuture, TableName, Transaction, Write,
     with_timeout,
@@ -32,5 +32,5 @@
     /// Reads a server's own entry, given its key.
     pub decode_server: fn(&str, &[u8]) -> Result<Server, Error>,
     /// Reads orders of roll-outs, and writes their status.
-    pub rollouts: Rollouts,
+    pub rollout_codec: RolloutCodec,
 }
--- a/crates/gateway/src/port/rollouts.rs
+++ b/crates/gateway/src/port/rollouts.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::table_version::TableVersion;
 
 /// The translation of roll-outs, whose orders stand in the table of the configuration.
-pub struct Rollouts {
+pub struct RolloutCodec {
     /// Returns `true` if a row of that table, given its key, is an order.
     pub is_order: fn(&str) -> bool,
     /// Reads an order, given its key and the version of its row.
