--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -198,7 +198,7 @@
     let is_alone = node.with(|state| state.loads.total(&order.server.id).get_waiting_tokens() == 0);
     let mut load = LoadGuard::begin(node, order.server, exchange);
     let sent_at = node.now();
-    let sending = node.servers.send(order.server.address, request);
+    let sending = node.http_client.send(order.server.address, request);
     let data_centre = &order.server.data_centre;
     let response = sending.await.map_err(|failure| match failure.is_not_sent() {
         true => (Failed::NotConnected, None),
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -154,7 +154,7 @@
     pub fn update(&self, node: &Node) {
         let now = node.now();
         self.in_flight.set(node.get_in_flight() as i64);
-        self.connections_opened.set(node.servers.get_opened() as i64);
+        self.connections_opened.set(node.http_client.get_opened() as i64);
         let (sampled_out, dropped) = crate::log::get_losses();
         self.sampled_out_lines.set(sampled_out as i64);
         self.dropped_lines.set(dropped as i64);
--- a/crates/gateway/src/node/connections.rs
+++ b/crates/gateway/src/node/connections.rs
@@ -28,7 +28,7 @@
         if let Some((configuration, nodes)) = known
             && let Some(most) = get_share(&configuration, nodes)
         {
-            node.servers.set_idle_per_address(most);
+            node.http_client.set_idle_per_address(most);
         }
         runtime::sleep(LOOK).await;
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -52,7 +52,7 @@
 /// Looks whether a server still listens, and has not started again.
 async fn look(node: Arc<Node>, server: Server) {
     runtime::sleep(GATHER).await;
-    let is_listening = node.servers.is_listening(server.address).await;
+    let is_listening = node.http_client.is_listening(server.address).await;
     let runs = lock(&node.cut_runs).remove(&server.id).unwrap_or_default();
     if is_listening && !node.with(|state| state.directory.is_superseded(&server)) {
         return;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -88,7 +88,7 @@
     /// This incarnation of the node.
     pub incarnation: Incarnation,
     /// Connections to servers.
-    pub servers: Client,
+    pub http_client: Client,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Answers on their way to callers.
@@ -308,7 +308,7 @@
             clock,
             topology,
             incarnation,
-            servers: Client::new(CONNECT_WITHIN),
+            http_client: Client::new(CONNECT_WITHIN),
             metrics,
             feeds: Feeds::default(),
             closing,
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -222,7 +222,7 @@
     for change in &changes {
         match change {
             Change::Gone(server) => {
-                node.servers.forget(server.address);
+                node.http_client.forget(server.address);
                 node.with(|known| known.forget_server(server));
             }
             Change::Joined(server) => node.with(|known| known.rollouts.note_joined(now, server)),
