--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -17,7 +17,7 @@
 
 use super::respond::{Record, Refused};
 use super::upload::{Arriving, Bounds, Upload};
-use crate::node::cut_runs::CutRun;
+use crate::node::interrupted_attempts::InterruptedAttempt;
 use crate::node::{self, Node};
 use crate::port::{Prompt, RequestHead};
 use crate::runtime::lock;
@@ -173,11 +173,16 @@
     /// since when its answer came.
     pub fn cut_run(
         &self,
-        cut_at: Millis,
-        began_at: Millis,
-        answering_since: Option<Millis>,
-    ) -> CutRun {
-        CutRun { fingerprint: self.fingerprint, began_at, cut_at, answering_since }
+        interrupted_at: Millis,
+        sent_at: Millis,
+        response_started_at: Option<Millis>,
+    ) -> InterruptedAttempt {
+        InterruptedAttempt {
+            fingerprint: self.fingerprint,
+            sent_at,
+            interrupted_at,
+            response_started_at,
+        }
     }
 
     /// Gives the client account's units back where the request did not run.
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -12,7 +12,7 @@
 use keeljunction_core::serving::load::short_id;
 use keeljunction_core::serving::quarantine::{Crash, Run, SUSPECTED_FOR};
 
-use super::cut_runs::CutRun;
+use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
 use crate::event::{self, Event, Running};
 use crate::metrics::ServiceLabels;
@@ -27,12 +27,13 @@
 /// Notes that the connection of a run broke off, and looks at the server soon.
 ///
 /// A server that is leaving or gone breaks off for another reason.
-pub(crate) fn note_cut(node: &Arc<Node>, server: &Server, run: CutRun) {
-    let is_suspect = run.answering_since.is_none_or(|since| run.cut_at < since + SUSPECTED_FOR);
+pub(crate) fn note_cut(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
+    let is_suspect =
+        run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPECTED_FOR);
     if !is_suspect || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
-    let mut pending = lock(&node.cut_runs);
+    let mut pending = lock(&node.interrupted_attempts);
     let is_first = !pending.contains_key(&server.id);
     let runs = pending.entry(server.id.clone()).or_default();
     if runs.len() < MOST_RUNS {
@@ -53,7 +54,7 @@
 async fn look(node: Arc<Node>, server: Server) {
     runtime::sleep(GATHER).await;
     let is_listening = node.http_client.is_listening(server.address).await;
-    let runs = lock(&node.cut_runs).remove(&server.id).unwrap_or_default();
+    let runs = lock(&node.interrupted_attempts).remove(&server.id).unwrap_or_default();
     if is_listening && !node.with(|state| state.directory.is_superseded(&server)) {
         return;
     }
@@ -71,8 +72,8 @@
 }
 
 /// Makes the report of a server that crashed.
-fn make_report(now: Millis, server: &Server, runs: &[CutRun]) -> Crash {
-    let crashed_at = runs.iter().map(|run| run.cut_at).min().unwrap_or(now);
+fn make_report(now: Millis, server: &Server, runs: &[InterruptedAttempt]) -> Crash {
+    let crashed_at = runs.iter().map(|run| run.interrupted_at).min().unwrap_or(now);
     let runs = runs.iter();
     let runs = runs.map(|run| Run { fingerprint: run.fingerprint, ran_for: run.get_span() });
     Crash {
--- a/crates/gateway/src/node/cut_runs.rs
+++ b/crates/gateway/src/node/interrupted_attempts.rs
@@ -7,24 +7,24 @@
 use keeljunction_core::serving::quarantine::Fingerprint;
 
 /// Runs that broke off, by the id of the server, until the node has looked at it.
-pub(crate) type Pending = Mutex<HashMap<String, Vec<CutRun>>>;
+pub(crate) type Pending = Mutex<HashMap<String, Vec<InterruptedAttempt>>>;
 
 /// A run of a request whose connection broke off.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CutRun {
+pub(crate) struct InterruptedAttempt {
     /// Names the request's content.
     pub fingerprint: Fingerprint,
     /// When it was sent to the server.
-    pub began_at: Millis,
+    pub sent_at: Millis,
     /// When its connection broke off.
-    pub cut_at: Millis,
+    pub interrupted_at: Millis,
     /// Since when its answer came.
-    pub answering_since: Option<Millis>,
+    pub response_started_at: Option<Millis>,
 }
 
-impl CutRun {
+impl InterruptedAttempt {
     /// Returns the milliseconds between its being sent and the end of its connection.
     pub(super) fn get_span(&self) -> Millis {
-        self.cut_at.saturating_sub(self.began_at)
+        self.interrupted_at.saturating_sub(self.sent_at)
     }
 }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -10,7 +10,7 @@
 //! | `pauses` | notices that the process stood still |
 //! | `peers` | exchanges what nodes tell each other |
 //! | [`memory`] | reserves memory for what is held for callers and servers |
-//! | `cut_runs`, `uploads` | hold what `crashes` and [`memory`] keep of requests that are served |
+//! | `interrupted_attempts`, `uploads` | hold what `crashes` and [`memory`] keep of requests that are served |
 //! | `crashes` | finds out which servers crashed, and under which requests |
 //! | `crossing` | counts what requests send to other regions and get from there |
 //! | [`document`] | packs what peers get from each other |
@@ -25,10 +25,10 @@
 mod connections;
 pub(crate) mod crashes;
 mod crossing;
-pub(crate) mod cut_runs;
 pub mod document;
 pub mod duty;
 mod era_origin;
+pub(crate) mod interrupted_attempts;
 mod listeners;
 pub mod memory;
 mod pause;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -33,8 +33,8 @@
     Frozen, Incarnation, Ledger, Outgoing, count_kept, window_at,
 };
 
-use super::cut_runs;
 use super::document::Document;
+use super::interrupted_attempts;
 use super::peers::audience::{Audience, Samples};
 use super::peers::carrying::Carrying;
 use super::peers::link::Link;
@@ -106,7 +106,7 @@
     /// Requests for permits of limited servers that wait for decisions.
     pub(super) pending_permits: Questions<backpressure::Decision>,
     /// Runs that broke off at servers that may have ended.
-    pub(super) cut_runs: cut_runs::Pending,
+    pub(super) interrupted_attempts: interrupted_attempts::Pending,
     /// Signals to uploads that are evicted.
     pub(crate) uploads: Uploads,
     /// What the node knows of the deployment.
@@ -317,7 +317,7 @@
             pending_loads: pending_loads::Pending::default(),
             pending_decisions: Questions::default(),
             pending_permits: Questions::default(),
-            cut_runs: cut_runs::Pending::default(),
+            interrupted_attempts: interrupted_attempts::Pending::default(),
             uploads: Uploads::default(),
             state: Mutex::new(state),
             fetching: Fetching::default(),
