--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -207,7 +207,11 @@
                 // The server's other requests fail with it: it is ejected at once.
                 node.with(|state| state.health.fail_to_connect(node.now(), &order.server.id));
             }
-            crashes::note_cut(node, order.server, exchange.cut_run(node.now(), sent_at, None));
+            crashes::note_interrupted_attempt(
+                node,
+                order.server,
+                exchange.cut_run(node.now(), sent_at, None),
+            );
             (Failed::Ended, None)
         }
     })?;
@@ -220,7 +224,11 @@
     let mut held = Reservation::new(node, Kind::ReadAhead);
     let Some(body) = read_first(exchange, reply, &mut held).await else {
         note_end(node, order.server);
-        crashes::note_cut(node, order.server, exchange.cut_run(node.now(), sent_at, None));
+        crashes::note_interrupted_attempt(
+            node,
+            order.server,
+            exchange.cut_run(node.now(), sent_at, None),
+        );
         return Err((Failed::Cut, None));
     };
     node.count_crossing(data_centre, 0, body.count_bytes());
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -27,7 +27,7 @@
 /// Notes that the connection of a run broke off, and looks at the server soon.
 ///
 /// A server that is leaving or gone breaks off for another reason.
-pub(crate) fn note_cut(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
+pub(crate) fn note_interrupted_attempt(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
     let is_suspect =
         run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPECTED_FOR);
     if !is_suspect || node.with(|state| is_leaving(&state.directory, server)) {
