--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -49,7 +49,7 @@
     };
     // The server may have said something while the decision was waited for.
     let now = node.now();
-    if node.with(|state| state.is_barred(now, server)) {
+    if node.with(|state| state.is_in_backoff(now, server)) {
         return_unsent(node, server, permit).await;
         return None;
     }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -212,20 +212,20 @@
 
 impl State {
     /// Returns `true` if a server takes no request now, by what it said in its answers.
-    pub(crate) fn is_barred(&self, now: Millis, server: &Server) -> bool {
+    pub(crate) fn is_in_backoff(&self, now: Millis, server: &Server) -> bool {
         self.backpressure.get_wait(now, server).is_some()
     }
 
     /// Returns the shortest time until a server of a service takes a request again, of those that take
     /// none now by what they said in their answers; `None` where there is none.
-    pub(crate) fn get_shortest_wait(&self, now: Millis, service: &str) -> Option<Millis> {
+    pub(crate) fn get_min_backoff(&self, now: Millis, service: &str) -> Option<Millis> {
         let servers = self.directory.iter_ready(service);
         servers.filter_map(|server| self.backpressure.get_wait(now, server)).min()
     }
 
     /// Returns `true` if no server of a service takes requests now, by what they said in their answers.
-    pub(crate) fn is_all_barred(&self, now: Millis, service: &str) -> bool {
-        self.directory.iter_ready(service).all(|server| self.is_barred(now, server))
+    pub(crate) fn is_service_in_backoff(&self, now: Millis, service: &str) -> bool {
+        self.directory.iter_ready(service).all(|server| self.is_in_backoff(now, server))
     }
 
     /// Counts this node's requests in flight at servers of a service that have another version than
