--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::directory::{Departure, Server};
 
 use crate::event::{self, Event};
-use crate::node::{News, Node, watch};
+use crate::node::{Node, Notification, watch};
 use crate::port::{AnswerHead, UnreadableHeader};
 
 /// How a server answered.
@@ -52,10 +52,10 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.push(News::LimitSeen(sighting));
+        node.push(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(News::ServerDeparts(departure));
+        node.push(Notification::ServerDeparts(departure));
     }
 }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -51,8 +51,8 @@
 
 pub use memory::Reservation;
 pub(crate) use peers::loads::{ask as ask_loads, note_change as note_load_change};
-pub(crate) use peers::message::News;
-pub(crate) use peers::news::report_begun;
+pub(crate) use peers::message::Notification;
+pub(crate) use peers::notifications::report_begun;
 pub(crate) use peers::permits::{self, Permit};
 pub(crate) use peers::quarantine::note_answered;
 pub(crate) use peers::quota::consume as consume_units;
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -43,7 +43,7 @@
     /// Answers that.
     Versions(Versions),
     /// Something that must not wait for the next report.
-    News(News),
+    Notification(Notification),
     /// Asks the node that keeps the load of some servers for it.
     AskLoads {
         /// Names the question at the one who asks.
@@ -227,7 +227,7 @@
 
 /// Something that must not wait for the next report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum Notification {
     /// The list of servers has changed.
     ServersChanged(Batch),
     /// The sender has adopted a configuration.
--- a/crates/gateway/src/node/peers/mod.rs
+++ b/crates/gateway/src/node/peers/mod.rs
@@ -16,7 +16,7 @@
 //! | `questions` | holds questions that wait for answers |
 //! | `quarantine` | exchanges which requests crash servers |
 //! | `versions` | confirms what this node knows of the platform's tables, or gets what it lacks |
-//! | `news` | passes on what must not wait for the next report |
+//! | `notifications` | passes on what must not wait for the next report |
 //! | `calls` | gets what does not fit a datagram |
 //!
 //! Nothing that has to hold depends on one datagram arriving: what is not heard makes a node more
@@ -29,7 +29,7 @@
 pub(super) mod link;
 pub(super) mod loads;
 pub(super) mod message;
-pub(super) mod news;
+pub(super) mod notifications;
 pub(super) mod pending_loads;
 pub(crate) mod permits;
 pub(crate) mod quarantine;
@@ -52,7 +52,7 @@
     runtime::spawn(listen(node.clone()));
     runtime::spawn(report::run(node.clone()));
     runtime::spawn(versions::ask(node.clone()));
-    runtime::spawn(news::send(node.clone()));
+    runtime::spawn(notifications::send(node.clone()));
     runtime::spawn(loads::send_changes(node.clone()));
 }
 
@@ -73,7 +73,9 @@
                 node.link.send(node.now(), from, &versions).await;
             }
             Message::Versions(versions) => versions::take(&node, from, asked_at, &versions),
-            Message::News(news) => news::take(&node, from, news).await,
+            Message::Notification(notification) => {
+                notifications::take(&node, from, notification).await
+            }
             Message::AskLoads { question, node: asking, servers } => {
                 loads::answer(&node, from, question, &asking, &servers).await;
             }
--- a/crates/gateway/src/node/peers/news.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -16,7 +16,7 @@
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{Counts, WindowNumber};
 
-use super::message::{Message, News};
+use super::message::{Message, Notification};
 use super::{calls, permits, quarantine};
 use crate::node::state::State;
 use crate::node::{Node, rollouts, table, watch};
@@ -32,7 +32,7 @@
 
 /// Sends this node's news for as long as the process runs.
 pub(super) async fn send(node: Arc<Node>) {
-    while let Ok(news) = node.news.1.recv().await {
+    while let Ok(notification) = node.notifications.1.recv().await {
         let now = node.now();
         let to = node.with(|state| match state.members.get_own_aggregator() {
             Some(aggregator) => vec![aggregator.address],
@@ -42,7 +42,7 @@
                 to
             }
         });
-        node.link.send_to_all(now, to, &Message::News(news)).await;
+        node.link.send_to_all(now, to, &Message::Notification(notification)).await;
     }
 }
 
@@ -50,8 +50,8 @@
 pub(in crate::node) async fn send_frozen(node: &Node, window: WindowNumber, counts: &Counts) {
     let now = node.now();
     let to = node.with(|state| list_others(state, now));
-    let news = News::UsageFrozen(window, counts.clone());
-    node.link.send_to_all(now, to, &Message::News(news)).await;
+    let notification = Notification::UsageFrozen(window, counts.clone());
+    node.link.send_to_all(now, to, &Message::Notification(notification)).await;
 }
 
 /// Lists the other aggregators of this region, and the carriers of the others.
@@ -71,37 +71,37 @@
         return;
     }
     let (name, server) = (node.incarnation.node.clone(), short_id(server));
-    node.push(News::RequestBegun { node: name, server, work: *work, reading_ms });
+    node.push(Notification::RequestBegun { node: name, server, work: *work, reading_ms });
 }
 
 /// Takes the news of another node.
-pub(super) async fn take(node: &Arc<Node>, from: SocketAddr, news: News) {
-    match news {
-        News::RequestBegun { node: peer, server, work, reading_ms } => {
+pub(super) async fn take(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
+    match notification {
+        Notification::RequestBegun { node: peer, server, work, reading_ms } => {
             let until = node.now() + reading_ms;
             node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
         }
-        News::RequestJudged(verdict) => {
+        Notification::RequestJudged(verdict) => {
             if quarantine::take_verdict(node, verdict) {
-                pass_on(node, from, news).await;
+                pass_on(node, from, notification).await;
             }
         }
-        News::LimitSeen(sighting) => {
+        Notification::LimitSeen(sighting) => {
             if permits::take_sighting(node, &sighting) {
-                pass_on(node, from, news).await;
+                pass_on(node, from, notification).await;
             }
         }
-        News::ServerDeparts(ref departure) => {
+        Notification::ServerDeparts(ref departure) => {
             if watch::take_departure(node, departure) {
-                pass_on(node, from, news).await;
+                pass_on(node, from, notification).await;
             }
         }
-        News::UsageFrozen(window, counts) => {
+        Notification::UsageFrozen(window, counts) => {
             node.with(|state| state.frozen.note_heard(window, &counts));
         }
-        News::RolloutChanged(announcement) => take_rollout(node, from, announcement).await,
-        News::ServersChanged(batch) => take_servers(node, from, batch).await,
-        News::ConfigurationChanged { version } => {
+        Notification::RolloutChanged(announcement) => take_rollout(node, from, announcement).await,
+        Notification::ServersChanged(batch) => take_servers(node, from, batch).await,
+        Notification::ConfigurationChanged { version } => {
             let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
             if known < Some(version) {
                 runtime::spawn(get_configuration(node.clone(), from, version));
@@ -114,7 +114,7 @@
 async fn take_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
     let now = node.now();
     if node.with(|state| rollouts::merge(state, now, &announcement)) {
-        pass_on(node, from, News::RolloutChanged(announcement)).await;
+        pass_on(node, from, Notification::RolloutChanged(announcement)).await;
     }
 }
 
@@ -122,7 +122,7 @@
 async fn take_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
     let version = batch.version;
     table::note_era(node, version.era);
-    let news = News::ServersChanged(batch.clone());
+    let notification = Notification::ServersChanged(batch.clone());
     let (changes, is_new) = node.with(|state| {
         let before = state.directory.get_version();
         let changes = state.directory.update(batch);
@@ -133,7 +133,7 @@
         None => runtime::spawn(get_servers(node.clone(), from, version)),
     }
     if is_new {
-        pass_on(node, from, news).await;
+        pass_on(node, from, notification).await;
     }
 }
 
@@ -163,13 +163,13 @@
     }
     let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
     if known >= Some(version) {
-        pass_on(&node, from, News::ConfigurationChanged { version }).await;
+        pass_on(&node, from, Notification::ConfigurationChanged { version }).await;
     }
 }
 
 /// Passes news on: to this node's group, to the other aggregators where it came from the group, and
 /// to those of this region where it came from another one.
-async fn pass_on(node: &Node, from: SocketAddr, news: News) {
+async fn pass_on(node: &Node, from: SocketAddr, notification: Notification) {
     let now = node.now();
     let is_far = node.link.get_far_region(from).is_some();
     let to = node.with(|state| {
@@ -185,5 +185,5 @@
         to.retain(|address| *address != from);
         to
     });
-    node.link.send_to_all(now, to, &Message::News(news)).await;
+    node.link.send_to_all(now, to, &Message::Notification(notification)).await;
 }
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -21,7 +21,7 @@
 use keeljunction_core::serving::table_version::TableVersion;
 use serde::{Deserialize, Serialize};
 
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::rollout_status::Statuses;
 use super::{Node, table};
 use crate::event::{self, Event};
@@ -286,7 +286,7 @@
     node.with(|state| state.rollouts.confirm_stage(now, &order.service, order.number, stage));
     let barred = node.with(|state| state.rollouts.list_barred(&order.service));
     let announcement = Announcement { order: order.clone(), stage, age: Some(0), barred };
-    node.push(News::RolloutChanged(announcement));
+    node.push(Notification::RolloutChanged(announcement));
 }
 
 /// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::rollout::{Announcement, Order, Phase, Side, Stage, Tolerance};
 
 use super::Node;
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::state::State;
 use crate::event::{self, Event};
 use crate::port::Row;
@@ -25,7 +25,7 @@
     let announcement = Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
     let now = node.now();
     if node.with(|state| merge(state, now, &announcement)) {
-        node.push(News::RolloutChanged(announcement));
+        node.push(Notification::RolloutChanged(announcement));
     }
 }
 
@@ -40,7 +40,7 @@
         emit_changed(&order, Stage::Pending);
         let announcement =
             Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
-        node.push(News::RolloutChanged(announcement));
+        node.push(Notification::RolloutChanged(announcement));
     }
 }
 
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -38,7 +38,7 @@
 use super::peers::audience::{Audience, Samples};
 use super::peers::carrying::Carrying;
 use super::peers::link::Link;
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::peers::pending_loads;
 use super::peers::questions::Questions;
 use super::skipped;
@@ -54,8 +54,8 @@
 /// confirmed. A request that was sent after a key's removal and the bound arrives, and is checked,
 /// later than that; the rest is left for clocks that drift.
 const FRESH_PART: f64 = 0.95;
-/// News for other nodes that wait to be sent; more are dropped, and show in the next report.
-const NEWS_WAITING: usize = 256;
+/// Notifications for other nodes that wait to be sent; more are dropped, and show in the next report.
+const NOTIFICATION_CAPACITY: usize = 256;
 /// A server that does not take a connection within this time is passed over: the way there takes
 /// some milliseconds, and a lost opening packet is sent again only after a second.
 const CONNECT_WITHIN: Duration = Duration::from_millis(250);
@@ -97,8 +97,8 @@
     pub closing: Stop,
     /// Datagrams between nodes.
     pub(super) link: Link,
-    /// News for other nodes that wait to be sent.
-    pub(super) news: (Sender<News>, Receiver<News>),
+    /// Notifications for other nodes that wait to be sent.
+    pub(super) notifications: (Sender<Notification>, Receiver<Notification>),
     /// Requests for loads that wait for answers, and changed loads that wait to be sent.
     pub(super) pending_loads: pending_loads::Pending,
     /// Requests that the owners of their client accounts decide about.
@@ -313,7 +313,7 @@
             feeds: Feeds::default(),
             closing,
             link,
-            news: async_channel::bounded(NEWS_WAITING),
+            notifications: async_channel::bounded(NOTIFICATION_CAPACITY),
             pending_loads: pending_loads::Pending::default(),
             pending_decisions: Questions::default(),
             pending_permits: Questions::default(),
@@ -360,8 +360,8 @@
     }
 
     /// Sends news to the other nodes soon.
-    pub(crate) fn push(&self, news: News) {
-        if self.news.0.try_send(news).is_err() {
+    pub(crate) fn push(&self, notification: Notification) {
+        if self.notifications.0.try_send(notification).is_err() {
             log::debug!("too much news waits: the rest shows in the next report");
         }
     }
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -234,7 +234,7 @@
         let Some(counts) = self.frozen.get(&window).cloned() else { return false };
         remember(node, self.era, window, &counts);
         if self.era != Era::UNNAMED && self.announced.insert(window) {
-            peers::news::send_frozen(node, window, &counts).await;
+            peers::notifications::send_frozen(node, window, &counts).await;
         }
         let Some(fence) = node.with(|state| state.lease.get_fence(node.now())) else {
             return false;
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -13,7 +13,7 @@
 use crate::event::{self, Event};
 use crate::node::document::Document;
 use crate::node::pause::{Pause, jitter};
-use crate::node::peers::message::News;
+use crate::node::peers::message::Notification;
 use crate::node::state::ConfigurationRow;
 use crate::node::{Node, era_origin, rollouts, staleness, table};
 use crate::port::{Condition, Row, TableError, TableName, Transaction};
@@ -212,7 +212,7 @@
 /// Adopts the configuration in the rows, and notifies all peers where it is newer.
 fn adopt_and_push(node: &Node, rows: &[Row]) {
     if let Some(version) = adopt_configuration(node, rows) {
-        node.push(News::ConfigurationChanged { version });
+        node.push(Notification::ConfigurationChanged { version });
     }
 }
 
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -12,7 +12,7 @@
 use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of};
 use crate::event::{self, Event};
 use crate::node::pause::Pause;
-use crate::node::peers::message::News;
+use crate::node::peers::message::Notification;
 use crate::node::{Node, staleness, table};
 use crate::port::{Row, Rows, TableError, TableName};
 use crate::runtime;
@@ -174,7 +174,7 @@
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
         let parts = batch.clone().split(MOST_IN_DATAGRAM);
-        parts.into_iter().for_each(|part| node.push(News::ServersChanged(part)));
+        parts.into_iter().for_each(|part| node.push(Notification::ServersChanged(part)));
     }
     let changes = node.with(|state| state.directory.update(batch));
     apply(node, changes.unwrap_or_default());
