--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -55,7 +55,7 @@
         node.push(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(Notification::ServerDeparts(departure));
+        node.push(Notification::ServerLeaving(departure));
     }
 }
 
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -240,7 +240,7 @@
     /// A server names a limit, or none any more.
     LimitSeen(Sighting),
     /// A server said in an answer that it leaves.
-    ServerDeparts(Departure),
+    ServerLeaving(Departure),
     /// A window of usage was frozen, and is about to be reported.
     UsageFrozen(WindowNumber, Counts),
     /// A roll-out was ordered, or its stage has advanced.
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -91,7 +91,7 @@
                 pass_on(node, from, notification).await;
             }
         }
-        Notification::ServerDeparts(ref departure) => {
+        Notification::ServerLeaving(ref departure) => {
             if watch::take_departure(node, departure) {
                 pass_on(node, from, notification).await;
             }
