--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -9,7 +9,7 @@
 use super::respond::Record;
 use crate::event::{self, Event};
 use crate::metrics::{ReasonLabels, SpillLabels};
-use crate::node::{Node, report_begun};
+use crate::node::{Node, notify_request_started};
 
 /// Logs and counts the choice of a server, and reports a long prompt to the other nodes.
 pub(super) fn note_choice(node: &Node, exchange: &Exchange, record: &mut Record, pick: &Pick) {
@@ -24,7 +24,7 @@
     });
     let expected_ms = criteria.estimate(&chosen);
     if let Some(reading_ms) = expected_ms.filter(|_| exchange.has_engine) {
-        report_begun(node, &server.id, &exchange.work, reading_ms);
+        notify_request_started(node, &server.id, &exchange.work, reading_ms);
     }
     let is_multi_region = node.topology.is_multi_region();
     let region = is_multi_region.then(|| get_region(&node.topology, &server.data_centre));
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -52,7 +52,7 @@
 pub use memory::Reservation;
 pub(crate) use peers::loads::{ask as ask_loads, note_change as note_load_change};
 pub(crate) use peers::message::Notification;
-pub(crate) use peers::notifications::report_begun;
+pub(crate) use peers::notifications::notify_request_started;
 pub(crate) use peers::permits::{self, Permit};
 pub(crate) use peers::quarantine::note_answered;
 pub(crate) use peers::quota::consume as consume_units;
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -246,7 +246,7 @@
     /// A roll-out was ordered, or its stage has advanced.
     RolloutChanged(Announcement),
     /// The sender has sent a request to a server whose prompt takes long to read.
-    RequestBegun {
+    RequestStarted {
         /// The sender's name.
         node: String,
         /// The server's short name.
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -63,7 +63,7 @@
 
 /// Announces to the other nodes a request that is sent to a server, where its prompt keeps the server
 /// busy for long. In groups nodes request the loads of servers instead.
-pub(crate) fn report_begun(node: &Node, server: &str, work: &Work, reading_ms: Millis) {
+pub(crate) fn notify_request_started(node: &Node, server: &str, work: &Work, reading_ms: Millis) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
     let least = period.as_millis() as f64 * REPORT_AT_ONCE_PART;
@@ -71,13 +71,13 @@
         return;
     }
     let (name, server) = (node.incarnation.node.clone(), short_id(server));
-    node.push(Notification::RequestBegun { node: name, server, work: *work, reading_ms });
+    node.push(Notification::RequestStarted { node: name, server, work: *work, reading_ms });
 }
 
 /// Takes the news of another node.
 pub(super) async fn take(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
     match notification {
-        Notification::RequestBegun { node: peer, server, work, reading_ms } => {
+        Notification::RequestStarted { node: peer, server, work, reading_ms } => {
             let until = node.now() + reading_ms;
             node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
         }
