--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -52,10 +52,10 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.push(Notification::LimitSeen(sighting));
+        node.notify_peers(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(Notification::ServerLeaving(departure));
+        node.notify_peers(Notification::ServerLeaving(departure));
     }
 }
 
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -71,7 +71,7 @@
         return;
     }
     let (name, server) = (node.incarnation.node.clone(), short_id(server));
-    node.push(Notification::RequestStarted { node: name, server, work: *work, reading_ms });
+    node.notify_peers(Notification::RequestStarted { node: name, server, work: *work, reading_ms });
 }
 
 /// Takes the news of another node.
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -73,7 +73,7 @@
 /// Sends all nodes what this one decided as the keeper.
 fn announce(node: &Node, verdict: Verdict) {
     log(&verdict, true);
-    node.push(Notification::RequestJudged(verdict));
+    node.notify_peers(Notification::RequestJudged(verdict));
 }
 
 /// Takes what another node knows of a request; returns `true` if it is news.
@@ -99,7 +99,7 @@
 /// Takes a verdict from the platform's table, and sends it to all nodes where it is news.
 pub(in crate::node) fn take_kept(node: &Arc<Node>, verdict: Verdict) {
     if take_verdict(node, verdict) {
-        node.push(Notification::RequestJudged(verdict));
+        node.notify_peers(Notification::RequestJudged(verdict));
     }
 }
 
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -286,7 +286,7 @@
     node.with(|state| state.rollouts.confirm_stage(now, &order.service, order.number, stage));
     let barred = node.with(|state| state.rollouts.list_barred(&order.service));
     let announcement = Announcement { order: order.clone(), stage, age: Some(0), barred };
-    node.push(Notification::RolloutChanged(announcement));
+    node.notify_peers(Notification::RolloutChanged(announcement));
 }
 
 /// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -25,7 +25,7 @@
     let announcement = Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
     let now = node.now();
     if node.with(|state| merge(state, now, &announcement)) {
-        node.push(Notification::RolloutChanged(announcement));
+        node.notify_peers(Notification::RolloutChanged(announcement));
     }
 }
 
@@ -40,7 +40,7 @@
         emit_changed(&order, Stage::Pending);
         let announcement =
             Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
-        node.push(Notification::RolloutChanged(announcement));
+        node.notify_peers(Notification::RolloutChanged(announcement));
     }
 }
 
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -360,7 +360,7 @@
     }
 
     /// Sends news to the other nodes soon.
-    pub(crate) fn push(&self, notification: Notification) {
+    pub(crate) fn notify_peers(&self, notification: Notification) {
         if self.notifications.0.try_send(notification).is_err() {
             log::debug!("too much news waits: the rest shows in the next report");
         }
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -212,7 +212,7 @@
 /// Adopts the configuration in the rows, and notifies all peers where it is newer.
 fn adopt_and_push(node: &Node, rows: &[Row]) {
     if let Some(version) = adopt_configuration(node, rows) {
-        node.push(Notification::ConfigurationChanged { version });
+        node.notify_peers(Notification::ConfigurationChanged { version });
     }
 }
 
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -174,7 +174,7 @@
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
         let parts = batch.clone().split(MOST_IN_DATAGRAM);
-        parts.into_iter().for_each(|part| node.push(Notification::ServersChanged(part)));
+        parts.into_iter().for_each(|part| node.notify_peers(Notification::ServersChanged(part)));
     }
     let changes = node.with(|state| state.directory.update(batch));
     apply(node, changes.unwrap_or_default());
