--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -11,7 +11,7 @@
 use super::Attempts;
 use crate::exchange::admission::Exchange;
 use crate::node::state::State;
-use crate::node::{Node, ask_loads, rollouts};
+use crate::node::{Node, query_loads, rollouts};
 
 /// What the servers of one region offer, with the best of them.
 pub(super) struct Found {
@@ -135,7 +135,7 @@
     let mut found = Found::NOTHING;
     for is_wide in [false, true] {
         let listed = list_candidates(node, exchange, is_wide, ramp_draw, is_allowed);
-        let is_answered = ask_loads(node, &listed).await;
+        let is_answered = query_loads(node, &listed).await;
         if let Some((region, cause)) = place.far {
             node.with(|state| state.links.note_answer(node.now(), region, is_answered));
             if !is_answered && cause == Cause::Full {
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -49,7 +49,7 @@
 
 /// Asks for the loads of some servers, and returns once they are known or the time for that is
 /// over; `false` where nobody answered.
-pub(crate) async fn ask(node: &Node, servers: &[String]) -> bool {
+pub(crate) async fn query(node: &Node, servers: &[String]) -> bool {
     let by_owner = node.with(|state| {
         let requested = servers.iter().map(|id| {
             let server = state.directory.get(id);
