--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -81,7 +81,7 @@
         }
         Err((failed, answer)) => {
             if failed == Failed::NotConnected {
-                permits::return_unsent(node, server, pick.permit).await;
+                permits::release_unused(node, server, pick.permit).await;
             }
             note_failure(node, exchange, record, server, failed);
             if failed.may_have_run() {
@@ -160,7 +160,7 @@
         .await
         .map_err(|rejection| progress.reject(rejection.reason, rejection.retry_after))?;
     if let Err(rejection) = check_dispatch(node, exchange, progress, now) {
-        permits::return_unsent(node, &pick.server, pick.permit).await;
+        permits::release_unused(node, &pick.server, pick.permit).await;
         return Err(rejection);
     }
     Ok(pick)
--- a/crates/gateway/src/exchange/pick/permitted.rs
+++ b/crates/gateway/src/exchange/pick/permitted.rs
@@ -30,7 +30,7 @@
         let skips_limited = denied == MOST_DENIED || node.now() >= began + ASKS_FOR;
         let picked = pick(node, exchange, Attempts { skips_limited, ..attempts }).await;
         let picked = picked.map_err(|rejection| explain(node, exchange, rejection))?;
-        if let Some(permit) = permits::take(node, &picked.server).await {
+        if let Some(permit) = permits::acquire(node, &picked.server).await {
             return Ok(Pick { permit, ..picked });
         }
         if skips_limited {
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -40,7 +40,7 @@
 }
 
 /// Takes a permit to send a request to a server; `None` where the server takes none now.
-pub(crate) async fn take(node: &Node, server: &Server) -> Option<Permit> {
+pub(crate) async fn acquire(node: &Node, server: &Server) -> Option<Permit> {
     let now = node.now();
     let sighting = node.with(|state| state.backpressure.get_limit(now, server));
     let permit = match sighting {
@@ -50,7 +50,7 @@
     // The server may have said something while the decision was waited for.
     let now = node.now();
     if node.with(|state| state.is_in_backoff(now, server)) {
-        return_unsent(node, server, permit).await;
+        release_unused(node, server, permit).await;
         return None;
     }
     Some(permit)
@@ -101,7 +101,7 @@
 }
 
 /// Returns the permit of a request that was not sent.
-pub(crate) async fn return_unsent(node: &Node, server: &Server, permit: Permit) {
+pub(crate) async fn release_unused(node: &Node, server: &Server, permit: Permit) {
     let key = Key::of(server);
     match permit {
         Permit::Unlimited => {}
