--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -215,7 +215,7 @@
             (Failed::Ended, None)
         }
     })?;
-    node.count_crossing(data_centre, exchange.body_bytes, 0);
+    node.count_cross_region_bytes(data_centre, exchange.body_bytes, 0);
     let (parts, reply) = response.into_parts();
     let fault = check_head(node, exchange, order.server, sent_at, &parts);
     if let Some(fault) = fault.filter(|fault| *fault != Failed::ServerError) {
@@ -231,10 +231,10 @@
         );
         return Err((Failed::Cut, None));
     };
-    node.count_crossing(data_centre, 0, body.count_bytes());
+    node.count_cross_region_bytes(data_centre, 0, body.count_bytes());
     load.note_first_token();
     // A sample is of how fast a server reads; a round trip to another region would distort it.
-    let is_sample = !node.is_crossing(data_centre);
+    let is_sample = !node.is_cross_region(data_centre);
     if is_sample && exchange.has_engine && order.last_event.is_none() {
         let sample = Sample {
             server: short_id(&order.server.id),
--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -101,7 +101,7 @@
     node.with(|state| {
         let ready = state.directory.iter_ready(&exchange.service);
         let mut of_version = ready.filter(|server| state.rollouts.is_allowed(side, server));
-        let is_near = |server: &Server| !node.is_crossing(&server.data_centre);
+        let is_near = |server: &Server| !node.is_cross_region(&server.data_centre);
         state.rollouts.is_accepted(now, &exchange.service) && !of_version.any(is_near)
     })
 }
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -44,7 +44,7 @@
     fn holds(&self, node: &Node, server: &Server) -> bool {
         match self.far {
             Some((region, _)) => get_region(&node.topology, &server.data_centre) == region,
-            None => !node.is_crossing(&server.data_centre),
+            None => !node.is_cross_region(&server.data_centre),
         }
     }
 }
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -165,7 +165,11 @@
             }
             match self.receive().await {
                 Next::Data(data) => {
-                    self.node.count_crossing(&self.pace.server.data_centre, 0, data.len());
+                    self.node.count_cross_region_bytes(
+                        &self.pace.server.data_centre,
+                        0,
+                        data.len(),
+                    );
                     self.pace.note(self.node.now());
                     self.take(data);
                 }
--- a/crates/gateway/src/node/crossing.rs
+++ b/crates/gateway/src/node/cross_region.rs
@@ -8,13 +8,13 @@
 
 impl Node {
     /// Returns `true` if what goes to a data centre crosses the border of the node's region.
-    pub(crate) fn is_crossing(&self, data_centre: &str) -> bool {
+    pub(crate) fn is_cross_region(&self, data_centre: &str) -> bool {
         !self.topology.is_near(data_centre) && self.topology.is_multi_region()
     }
 
     /// Returns the round trip to a data centre of another region; 0 within the node's own.
     pub(crate) fn get_round_trip(&self, data_centre: &str) -> Millis {
-        if !self.is_crossing(data_centre) {
+        if !self.is_cross_region(data_centre) {
             return 0;
         }
         let region = get_region(&self.topology, data_centre);
@@ -22,8 +22,8 @@
     }
 
     /// Counts bytes of a request that went to a data centre, and of its answer that came from there.
-    pub(crate) fn count_crossing(&self, data_centre: &str, sent: usize, received: usize) {
-        if !self.is_crossing(data_centre) {
+    pub(crate) fn count_cross_region_bytes(&self, data_centre: &str, sent: usize, received: usize) {
+        if !self.is_cross_region(data_centre) {
             return;
         }
         let region = get_region(&self.topology, data_centre);
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -12,7 +12,7 @@
 //! | [`memory`] | reserves memory for what is held for callers and servers |
 //! | `interrupted_attempts`, `uploads` | hold what `crashes` and [`memory`] keep of requests that are served |
 //! | `crashes` | finds out which servers crashed, and under which requests |
-//! | `crossing` | counts what requests send to other regions and get from there |
+//! | `cross_region` | counts what requests send to other regions and get from there |
 //! | [`document`] | packs what peers get from each other |
 //! | `connections` | keeps the connections to servers that rest within the node's share |
 //! | `quarantine_rows` | keeps which requests crash servers in the platform's table |
@@ -24,7 +24,7 @@
 mod capacity_duty;
 mod connections;
 pub(crate) mod crashes;
-mod crossing;
+mod cross_region;
 pub mod document;
 pub mod duty;
 mod era_origin;
