--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -133,7 +133,7 @@
 impl Record {
     /// Begins the record of a request that has just arrived.
     pub fn begin(node: Arc<Node>, head: &RequestHead) -> Self {
-        let guard = node.enter();
+        let guard = node.track_request();
         let arrived = node.now();
         Self {
             node,
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -405,7 +405,7 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight { node: self.clone() }
     }
