--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -12,7 +12,7 @@
 use crate::http::{Body, Peer};
 use crate::metrics::{RequestLabels, ServiceLabels};
 use crate::node::Node;
-use crate::node::state::InFlight;
+use crate::node::state::InFlightGuard;
 use crate::port::RequestHead;
 use crate::runtime::lock;
 
@@ -101,7 +101,7 @@
 /// What is known of a request until it ends. Dropping it logs and counts the end.
 pub(super) struct Record {
     node: Arc<Node>,
-    _guard: InFlight,
+    _guard: InFlightGuard,
     arrived: Millis,
     /// The request's id.
     pub id: String,
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -405,9 +405,9 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn track_request(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        InFlight { node: self.clone() }
+        InFlightGuard { node: self.clone() }
     }
 
     /// Counts that a request of a client account began to run now.
@@ -448,11 +448,11 @@
 }
 
 /// A request whose answer has not ended.
-pub struct InFlight {
+pub struct InFlightGuard {
     node: Arc<Node>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
