--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -127,7 +127,7 @@
             upload.read(arriving).await.map_err(|rejection| rejection.with_left(deadline))?;
         let fingerprint = compute_fingerprint(&parts, name, &body);
         record.fingerprint = Some(fingerprint);
-        if let Some(refused_for) = node.get_quarantine(fingerprint) {
+        if let Some(refused_for) = node.get_quarantine_remaining(fingerprint) {
             return Err(refuse(Refusal::Quarantined, refused_for));
         }
         let prompt = head.prompt.as_ref();
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -141,7 +141,7 @@
         let retry_after = pick::get_retry_after(node, exchange, ROOM_RETRY_AFTER);
         return Err(progress.reject(Refusal::NotAccepted, retry_after));
     }
-    if let Some(refused_for) = node.get_quarantine(exchange.fingerprint) {
+    if let Some(refused_for) = node.get_quarantine_remaining(exchange.fingerprint) {
         return Err(progress.reject_quarantined(refused_for));
     }
     if has_ended_servers(node, exchange, progress) {
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -379,7 +379,7 @@
 
     /// Returns the milliseconds for which a request is still refused because servers crashed under it;
     /// `None` where it is served.
-    pub fn get_quarantine(&self, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
         self.with(|state| state.quarantine.get_refused_for(now, fingerprint))
     }
