--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -87,7 +87,7 @@
             configuration.ok_or(refuse(Refusal::NotConfigured, KNOWLEDGE_RETRY_AFTER))?;
         record.version = Some(configuration.version);
         record.age = age;
-        let is_fresh = node.is_fresh();
+        let is_fresh = node.is_configuration_fresh();
         if head.id.is_none() {
             return Err(refuse(Refusal::BadRequest, 0));
         }
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -147,7 +147,7 @@
     if has_ended_servers(node, exchange, progress) {
         return Err(progress.reject(Refusal::BrokenAnswer, 0));
     }
-    if !node.is_fresh() {
+    if !node.is_configuration_fresh() {
         return Err(progress.reject(Refusal::Stale, ROOM_RETRY_AFTER));
     }
     let attempts = Attempts {
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -351,7 +351,7 @@
     }
 
     /// Returns `true` if requests that carry a key may be dispatched.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_configuration_fresh(&self) -> bool {
         if !self.settings.bounds.strict_revoke {
             return true;
         }
@@ -374,7 +374,7 @@
     /// Returns `true` if the node should get new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.with(|state| state.configuration.is_some() && state.directory.is_known());
-        knows && !self.is_stopping() && self.is_fresh() && !self.is_short_of_memory()
+        knows && !self.is_stopping() && self.is_configuration_fresh() && !self.is_short_of_memory()
     }
 
     /// Returns the milliseconds for which a request is still refused because servers crashed under it;
