--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -135,7 +135,7 @@
         let pace = Pace::new(self.bounds.window, self.length);
         let within = Duration::from_millis(self.bounds.within);
         Wait {
-            stop: reservation.watch(),
+            stop: reservation.watch_eviction(),
             tick: Timer::after(Duration::from_millis(pace.get_tick())),
             due: Box::pin(runtime::sleep(within)),
             pace,
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the signal that this upload is evicted.
-    pub(crate) fn watch(&mut self) -> Stop {
+    pub(crate) fn watch_eviction(&mut self) -> Stop {
         self.has_stop = true;
         let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
