--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -105,7 +105,7 @@
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub(crate) fn note_whole(&self) {
+    pub(crate) fn note_complete(&self) {
         self.node.with(|state| state.memory.note_whole(self.id));
     }
 
