--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -40,7 +40,7 @@
         noted
     });
     let departure = Departure { server: server.id.clone(), incarnation: server.incarnation };
-    let departs = signal.is_leaving && watch::take_departure(node, &departure);
+    let departs = signal.is_leaving && watch::apply_departure(node, &departure);
     if noted.limit.is_some() || noted.back_off_until.is_some() || departs {
         event::emit(&Event::ServerSignal {
             server: &server.id,
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -92,7 +92,7 @@
             }
         }
         Notification::ServerLeaving(ref departure) => {
-            if watch::take_departure(node, departure) {
+            if watch::apply_departure(node, departure) {
                 pass_on(node, from, notification).await;
             }
         }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -317,7 +317,7 @@
     });
     quarantine::take_verdicts(node, verdicts);
     permits::take_sightings(node, &limits);
-    watch::take_departures(node, &departures);
+    watch::apply_departures(node, &departures);
 }
 
 /// Takes over what this node's aggregator says of the whole.
@@ -354,7 +354,7 @@
     });
     quarantine::take_verdicts(node, verdicts);
     permits::take_sightings(node, &limits);
-    watch::take_departures(node, &departures);
+    watch::apply_departures(node, &departures);
     versions::take(node, from, asked_at, &versions);
 }
 
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -22,9 +22,9 @@
 
 pub(super) use configuration::adopt_configuration;
 pub use configuration::{configuration, freshness};
-pub(crate) use servers::take_departure;
+pub(crate) use servers::apply_departure;
 pub use servers::{apply, servers};
-pub(super) use servers::{expire_lapsed, take_departures, take_update};
+pub(super) use servers::{apply_departures, expire_lapsed, take_update};
 
 /// The time between two looks whether this node has to read.
 const LOOK: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -151,15 +151,15 @@
 }
 
 /// Takes the departures that came with a report.
-pub(in crate::node) fn take_departures(node: &Node, departures: &[Departure]) {
+pub(in crate::node) fn apply_departures(node: &Node, departures: &[Departure]) {
     for departure in departures {
-        take_departure(node, departure);
+        apply_departure(node, departure);
     }
 }
 
 /// Takes the word of a server, in an answer to this node or another one, that it leaves; returns `true` if
 /// that is news.
-pub(crate) fn take_departure(node: &Node, departure: &Departure) -> bool {
+pub(crate) fn apply_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
     let Departed { is_news, change } =
