--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -160,7 +160,7 @@
     /// What servers say about the requests that follow.
     pub backpressure: backpressure::Book,
     /// Bytes of requests that each server holds for this node.
-    pub held: held::Book,
+    pub server_held_bytes: held::Book,
     /// Requests that crash servers.
     pub quarantine: quarantine::Book,
     /// What client accounts have used.
@@ -277,7 +277,7 @@
             loads: LoadBook::default(),
             health: Health::default(),
             backpressure: backpressure::Book::new(fastrand::f64()),
-            held: held::Book::default(),
+            server_held_bytes: held::Book::default(),
             quarantine: quarantine::Book::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             budget: Budget::new(allowance),
