--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -31,7 +31,7 @@
     exchange: &Arc<Exchange>,
     record: &mut Record,
 ) -> Result<Answer, Refused> {
-    node.with(|state| state.budget.count_request(node.now(), &exchange.service));
+    node.with(|state| state.retry_budget.count_request(node.now(), &exchange.service));
     let mut progress = Progress::new(record.get_arrival());
     let mut spare: Option<Box<Answer>> = None;
     loop {
@@ -192,7 +192,7 @@
 ) -> Result<(), Rejection> {
     let is_allowed = node.with(|state| {
         let nodes = state.members.get_reach(now).all;
-        state.budget.take(now, &exchange.service, nodes)
+        state.retry_budget.take(now, &exchange.service, nodes)
     });
     if !is_allowed {
         return Err(progress.reject(Refusal::NotAccepted, ROOM_RETRY_AFTER));
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -166,7 +166,7 @@
     /// What client accounts have used.
     pub quotas: Quotas,
     /// Repeats.
-    pub budget: Budget,
+    pub retry_budget: Budget,
     /// Requests that began.
     pub usage: Ledger,
     /// Windows of them that were frozen.
@@ -280,7 +280,7 @@
             server_held_bytes: held::Book::default(),
             quarantine: quarantine::Book::default(),
             quotas: Quotas::new(clock.now(), tolerance),
-            budget: Budget::new(allowance),
+            retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
             frozen: Frozen::new(windows_kept),
             outgoing_usage: Outgoing::default(),
