--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -42,7 +42,7 @@
     pub async fn run(self, found: Found) -> Result<Pick, Rejection> {
         let node = self.node;
         let regions = node.with(|state| {
-            list_far(&node.topology, |region| state.distances.get_round_trip(region))
+            list_far(&node.topology, |region| state.round_trips.get_round_trip(region))
         });
         let mut offer = found.offer;
         let mut link_wait: Option<Millis> = None;
@@ -106,7 +106,7 @@
             let way = Way {
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
-                round_trip: state.distances.get_round_trip(region),
+                round_trip: state.round_trips.get_round_trip(region),
                 transfer: state.links.get_transfer(self.exchange.body_bytes),
                 is_load_requested: self.near.is_load_requested && !is_silent,
             };
--- a/crates/gateway/src/node/cross_region.rs
+++ b/crates/gateway/src/node/cross_region.rs
@@ -18,7 +18,7 @@
             return 0;
         }
         let region = get_region(&self.topology, data_centre);
-        self.with(|state| state.distances.get_round_trip(region))
+        self.with(|state| state.round_trips.get_round_trip(region))
     }
 
     /// Counts bytes of a request that went to a data centre, and of its answer that came from there.
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -31,7 +31,7 @@
     let far = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
         let others = regions.filter(|region| *region != node.topology.get_own());
-        let farthest = others.map(|region| state.distances.get_round_trip(region)).max();
+        let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
         let period = state.carrying.pace.get_period();
         state.members.set_transit(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
@@ -154,5 +154,5 @@
     let Some(asked_at) = asked_at.filter(|_| is_answer) else { return };
     let Some(region) = node.link.get_far_region(from) else { return };
     let round_trip = node.now().saturating_sub(asked_at);
-    node.with(|state| state.distances.note(&region, round_trip));
+    node.with(|state| state.round_trips.note(&region, round_trip));
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -182,7 +182,7 @@
     /// Other nodes.
     pub members: Members,
     /// Round trips to other regions.
-    pub distances: Distances,
+    pub round_trips: Distances,
     /// The budgets of the links to other regions.
     pub links: Links,
     /// Summaries that this node sends to other regions.
@@ -286,7 +286,7 @@
             outgoing_usage: Outgoing::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
-            distances: Distances::default(),
+            round_trips: Distances::default(),
             links: Links::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
