--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -102,12 +102,12 @@
             if !ready.any(is_there) {
                 return Gate::Closed;
             }
-            let is_silent = state.links.is_silent(now, region);
+            let is_silent = state.region_links.is_silent(now, region);
             let way = Way {
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
                 round_trip: state.round_trips.get_round_trip(region),
-                transfer: state.links.get_transfer(self.exchange.body_bytes),
+                transfer: state.region_links.get_transfer(self.exchange.body_bytes),
                 is_load_requested: self.near.is_load_requested && !is_silent,
             };
             let is_lost = is_silent && self.cause == Cause::Full;
@@ -115,7 +115,7 @@
                 return Gate::Closed;
             }
             let nodes = state.members.count_own_region();
-            match state.links.check(now, region, nodes) {
+            match state.region_links.check(now, region, nodes) {
                 Ok(()) => Gate::Open(way),
                 Err(wait) => Gate::LinkFull(wait),
             }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -184,7 +184,7 @@
     /// Round trips to other regions.
     pub round_trips: Distances,
     /// The budgets of the links to other regions.
-    pub links: Links,
+    pub region_links: Links,
     /// Summaries that this node sends to other regions.
     pub(super) carrying: Carrying,
     /// Memory that is held for callers and servers.
@@ -287,7 +287,7 @@
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
             round_trips: Distances::default(),
-            links: Links::new(settings.regions.spill_mbps),
+            region_links: Links::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             audience: Audience::default(),
