--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -121,7 +121,7 @@
     fn begin(node: &Arc<Node>, server: &Server, exchange: &Exchange) -> Self {
         let (work, body_bytes) = (exchange.work, exchange.body_bytes as u64);
         node.with(|state| {
-            state.held.begin(&server.id, body_bytes);
+            state.server_held_bytes.begin(&server.id, body_bytes);
             state.loads.begin(&server.id, &work);
             state.demand.begin(&server.service);
         });
@@ -151,7 +151,7 @@
     fn drop(&mut self) {
         let had_first_token = self.had_first_token;
         self.node.with(|state| {
-            state.held.end(&self.server, self.body_bytes);
+            state.server_held_bytes.end(&self.server, self.body_bytes);
             state.loads.end(&self.server, &self.work, had_first_token);
             state.demand.end(&self.service);
         });
@@ -198,7 +198,7 @@
     let is_alone = node.with(|state| state.loads.total(&order.server.id).get_waiting_tokens() == 0);
     let mut load = LoadGuard::begin(node, order.server, exchange);
     let sent_at = node.now();
-    let sending = node.servers.send(order.server.address, request);
+    let sending = node.http_client.send(order.server.address, request);
     let data_centre = &order.server.data_centre;
     let response = sending.await.map_err(|failure| match failure.is_not_sent() {
         true => (Failed::NotConnected, None),
@@ -207,11 +207,15 @@
                 // The server's other requests fail with it: it is ejected at once.
                 node.with(|state| state.health.fail_to_connect(node.now(), &order.server.id));
             }
-            crashes::note_cut(node, order.server, exchange.cut_run(node.now(), sent_at, None));
+            crashes::note_interrupted_attempt(
+                node,
+                order.server,
+                exchange.cut_run(node.now(), sent_at, None),
+            );
             (Failed::Ended, None)
         }
     })?;
-    node.count_crossing(data_centre, exchange.body_bytes, 0);
+    node.count_cross_region_bytes(data_centre, exchange.body_bytes, 0);
     let (parts, reply) = response.into_parts();
     let fault = check_head(node, exchange, order.server, sent_at, &parts);
     if let Some(fault) = fault.filter(|fault| *fault != Failed::ServerError) {
@@ -220,13 +224,17 @@
     let mut held = Reservation::new(node, Kind::ReadAhead);
     let Some(body) = read_first(exchange, reply, &mut held).await else {
         note_end(node, order.server);
-        crashes::note_cut(node, order.server, exchange.cut_run(node.now(), sent_at, None));
+        crashes::note_interrupted_attempt(
+            node,
+            order.server,
+            exchange.cut_run(node.now(), sent_at, None),
+        );
         return Err((Failed::Cut, None));
     };
-    node.count_crossing(data_centre, 0, body.count_bytes());
+    node.count_cross_region_bytes(data_centre, 0, body.count_bytes());
     load.note_first_token();
     // A sample is of how fast a server reads; a round trip to another region would distort it.
-    let is_sample = !node.is_crossing(data_centre);
+    let is_sample = !node.is_cross_region(data_centre);
     if is_sample && exchange.has_engine && order.last_event_id.is_none() {
         let sample = Sample {
             server: short_id(&order.server.id),
@@ -255,11 +263,11 @@
 pub(super) fn note_end(node: &Node, server: &Server) -> bool {
     let (now, id) = (node.now(), &server.id);
     let (held_bytes, bound) = node.with(|state| {
-        let held_bytes = state.held.get(id);
+        let held_bytes = state.server_held_bytes.get(id);
         if state.directory.get(id).is_none_or(|known| known.is_leaving) {
             return (held_bytes, None);
         }
-        (held_bytes, state.held.note_end(now, &server.service, id))
+        (held_bytes, state.server_held_bytes.note_end(now, &server.service, id))
     });
     let Some(bound_bytes) = bound else { return false };
     let service = &server.service;
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -31,7 +31,7 @@
     exchange: &Arc<Exchange>,
     record: &mut Record,
 ) -> Result<Answer, Refused> {
-    node.with(|state| state.budget.count_request(node.now(), &exchange.service));
+    node.with(|state| state.retry_budget.count_request(node.now(), &exchange.service));
     let mut progress = Progress::new(record.get_arrival());
     let mut spare: Option<Box<Answer>> = None;
     loop {
@@ -81,7 +81,7 @@
         }
         Err((failed, answer)) => {
             if failed == Failed::NotConnected {
-                permits::return_unsent(node, server, pick.permit).await;
+                permits::release_unused(node, server, pick.permit).await;
             }
             note_failure(node, exchange, record, server, failed);
             if failed.may_have_run() {
@@ -141,13 +141,13 @@
         let retry_after = pick::get_retry_after(node, exchange, ROOM_RETRY_AFTER);
         return Err(progress.reject(Refusal::NotAccepted, retry_after));
     }
-    if let Some(refused_for) = node.get_quarantine(exchange.fingerprint) {
+    if let Some(refused_for) = node.get_quarantine_remaining(exchange.fingerprint) {
         return Err(progress.reject_quarantined(refused_for));
     }
     if has_ended_servers(node, exchange, progress) {
         return Err(progress.reject(Refusal::BrokenAnswer, 0));
     }
-    if !node.is_fresh() {
+    if !node.is_configuration_fresh() {
         return Err(progress.reject(Refusal::Stale, ROOM_RETRY_AFTER));
     }
     let attempts = Attempts {
@@ -160,7 +160,7 @@
         .await
         .map_err(|rejection| progress.reject(rejection.reason, rejection.retry_after))?;
     if let Err(rejection) = check_dispatch(node, exchange, progress, now) {
-        permits::return_unsent(node, &pick.server, pick.permit).await;
+        permits::release_unused(node, &pick.server, pick.permit).await;
         return Err(rejection);
     }
     Ok(pick)
@@ -192,7 +192,7 @@
 ) -> Result<(), Rejection> {
     let is_allowed = node.with(|state| {
         let nodes = state.members.get_reach(now).all;
-        state.budget.take(now, &exchange.service, nodes)
+        state.retry_budget.take(now, &exchange.service, nodes)
     });
     if !is_allowed {
         return Err(progress.reject(Refusal::NotAccepted, ROOM_RETRY_AFTER));
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -11,7 +11,7 @@
 use super::Attempts;
 use crate::exchange::admission::Exchange;
 use crate::node::state::State;
-use crate::node::{Node, ask_loads, rollouts};
+use crate::node::{Node, query_loads, rollouts};
 
 /// What the servers of one region offer, with the best of them.
 pub(super) struct Found {
@@ -44,7 +44,7 @@
     fn holds(&self, node: &Node, server: &Server) -> bool {
         match self.far {
             Some((region, _)) => get_region(&node.topology, &server.data_centre) == region,
-            None => !node.is_crossing(&server.data_centre),
+            None => !node.is_cross_region(&server.data_centre),
         }
     }
 }
@@ -110,7 +110,7 @@
     /// Returns `true` if a server takes no request now, or is left out because of its limit.
     fn is_barred(&self, state: &State, server: &Server) -> bool {
         let is_limited = || state.backpressure.get_limit(self.now, server).is_some();
-        state.is_barred(self.now, server) || (self.attempts.skips_limited && is_limited())
+        state.is_in_backoff(self.now, server) || (self.attempts.skips_limited && is_limited())
     }
 }
 
@@ -135,9 +135,9 @@
     let mut found = Found::NOTHING;
     for is_wide in [false, true] {
         let listed = list_candidates(node, exchange, is_wide, ramp_draw, is_allowed);
-        let is_answered = ask_loads(node, &listed).await;
+        let is_answered = query_loads(node, &listed).await;
         if let Some((region, cause)) = place.far {
-            node.with(|state| state.links.note_answer(node.now(), region, is_answered));
+            node.with(|state| state.region_links.note_answer(node.now(), region, is_answered));
             if !is_answered && cause == Cause::Full {
                 return Found::NOTHING;
             }
@@ -211,7 +211,7 @@
         let now = node.now();
         let servers = listed.iter().filter_map(|id| state.directory.get_ready(id));
         // A server may have said something while the loads were waited for.
-        let servers = servers.filter(|server| !state.is_barred(now, server));
+        let servers = servers.filter(|server| !state.is_in_backoff(now, server));
         pick_one(node, state, exchange, criteria, ramp_draw, servers)
     })
 }
@@ -253,7 +253,7 @@
     let (id, service) = (&server.id, &server.service);
     state.health.is_ejected(now, id)
         || state.health.is_ramping(now, id, ramp_draw)
-        || state.held.is_full(now, service, id, exchange.body_bytes as u64)
+        || state.server_held_bytes.is_full(now, service, id, exchange.body_bytes as u64)
 }
 
 /// Returns what the node knows of a server.
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::directory::{Departure, Server};
 
 use crate::event::{self, Event};
-use crate::node::{News, Node, watch};
+use crate::node::{Node, Notification, watch};
 use crate::port::{ResponseHead, UnreadableHeader};
 
 /// How a server answered.
@@ -40,7 +40,7 @@
         noted
     });
     let departure = Departure { server: server.id.clone(), incarnation: server.incarnation };
-    let departs = signal.is_leaving && watch::take_departure(node, &departure);
+    let departs = signal.is_leaving && watch::apply_departure(node, &departure);
     if noted.limit.is_some() || noted.back_off_until.is_some() || departs {
         event::emit(&Event::ServerSignal {
             server: &server.id,
@@ -52,10 +52,10 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.push(News::LimitSeen(sighting));
+        node.notify_peers(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(News::ServerDeparts(departure));
+        node.notify_peers(Notification::ServerLeaving(departure));
     }
 }
 
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -165,7 +165,11 @@
             }
             match self.receive().await {
                 Next::Data(data) => {
-                    self.node.count_crossing(&self.pace.server.data_centre, 0, data.len());
+                    self.node.count_cross_region_bytes(
+                        &self.pace.server.data_centre,
+                        0,
+                        data.len(),
+                    );
                     self.pace.note(self.node.now());
                     self.take(data);
                 }
@@ -270,7 +274,7 @@
         if let Some(load) = &self.load {
             let since = Some(self.pace.began_at);
             let run = self.exchange.cut_run(self.node.now(), load.get_begin(), since);
-            crashes::note_cut(&self.node, &self.pace.server, run);
+            crashes::note_interrupted_attempt(&self.node, &self.pace.server, run);
         }
         self.reply = None;
         self.load = None;
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -154,7 +154,7 @@
     pub fn update(&self, node: &Node) {
         let now = node.now();
         self.in_flight.set(node.get_in_flight() as i64);
-        self.connections_opened.set(node.servers.get_opened_count() as i64);
+        self.connections_opened.set(node.http_client.get_opened_count() as i64);
         let (sampled_out, dropped) = crate::log::get_losses();
         self.sampled_out_lines.set(sampled_out as i64);
         self.dropped_lines.set(dropped as i64);
@@ -162,7 +162,7 @@
         self.descriptors.set(std::fs::read_dir("/proc/self/fd").map_or(0, |d| d.count() as i64));
         node.with(|state| {
             self.read_ahead.set(state.memory.get_held(Kind::ReadAhead) as i64);
-            self.held_at_servers.set(state.held.get_total() as i64);
+            self.held_at_servers.set(state.server_held_bytes.get_total() as i64);
             self.skipped_entries.set(state.skipped_entries.count() as i64);
             self.quarantined.set(state.quarantine.count_refused(now) as i64);
             self.in_back_off.set(state.backpressure.count_in_back_off(now) as i64);
@@ -182,7 +182,7 @@
             self.lease_fence.set(state.lease.get_fence(now).unwrap_or(0) as i64);
             for region in node.topology.list_regions() {
                 if region != node.topology.get_own() {
-                    let round_trip = state.distances.get_round_trip(region) as f64 / 1_000.0;
+                    let round_trip = state.round_trips.get_round_trip(region) as f64 / 1_000.0;
                     let labels = RegionLabels::of(region);
                     self.region_round_trip.get_or_create(&labels).set(round_trip);
                 }
@@ -195,7 +195,7 @@
                 let ready = state.directory.iter_ready(service).count() as i64;
                 let labels = ServiceLabels { service: service.clone() };
                 self.ready_servers.get_or_create(&labels).set(ready);
-                let retries = state.budget.get_left(now, service, reach.all);
+                let retries = state.retry_budget.get_left(now, service, reach.all);
                 self.retries_left.get_or_create(&labels).set(retries);
             }
             for account in configuration.accounts.iter().flatten() {
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the signal that this upload is evicted.
-    pub(crate) fn watch(&mut self) -> StopSignal {
+    pub(crate) fn watch_eviction(&mut self) -> StopSignal {
         self.has_stop = true;
         let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
@@ -105,7 +105,7 @@
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub(crate) fn note_whole(&self) {
+    pub(crate) fn note_complete(&self) {
         self.node.with(|state| state.memory.note_whole(self.id));
     }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -10,9 +10,9 @@
 //! | `pauses` | notices that the process stood still |
 //! | `peers` | exchanges what nodes tell each other |
 //! | [`memory`] | reserves memory for what is held for callers and servers |
-//! | `cut_runs`, `uploads` | hold what `crashes` and [`memory`] keep of requests that are served |
+//! | `interrupted_attempts`, `uploads` | hold what `crashes` and [`memory`] keep of requests that are served |
 //! | `crashes` | finds out which servers crashed, and under which requests |
-//! | `crossing` | counts what requests send to other regions and get from there |
+//! | `cross_region` | counts what requests send to other regions and get from there |
 //! | [`document`] | packs what peers get from each other |
 //! | `connections` | keeps the connections to servers that rest within the node's share |
 //! | `quarantine_rows` | keeps which requests crash servers in the platform's table |
@@ -24,11 +24,11 @@
 mod capacity_duty;
 mod connections;
 pub(crate) mod crashes;
-mod crossing;
-pub(crate) mod cut_runs;
+mod cross_region;
 pub mod document;
 pub mod duty;
 mod era_origin;
+pub(crate) mod interrupted_attempts;
 mod listeners;
 pub mod memory;
 mod pause;
@@ -50,10 +50,10 @@
 pub mod watch;
 
 pub use memory::Reservation;
-pub(crate) use peers::loads::{ask as ask_loads, note_change as note_load_change};
-pub(crate) use peers::message::News;
-pub(crate) use peers::news::report_begun;
+pub(crate) use peers::loads::{note_change as note_load_change, query as query_loads};
+pub(crate) use peers::message::Notification;
+pub(crate) use peers::notifications::notify_request_started;
 pub(crate) use peers::permits::{self, Permit};
-pub(crate) use peers::quarantine::note_answered;
+pub(crate) use peers::quarantine::note_request_completed;
 pub(crate) use peers::quota::consume as consume_units;
 pub use state::Node;
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -49,7 +49,7 @@
 
 /// Asks for the loads of some servers, and returns once they are known or the time for that is
 /// over; `false` where nobody answered.
-pub(crate) async fn ask(node: &Node, servers: &[String]) -> bool {
+pub(crate) async fn query(node: &Node, servers: &[String]) -> bool {
     let by_owner = node.with(|state| {
         let requested = servers.iter().map(|id| {
             let server = state.directory.get(id);
@@ -77,7 +77,8 @@
 fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, Kept>) -> Duration {
     let near = ANSWERS_WITHIN.as_millis() as Millis;
     let far = by_owner.values().filter_map(|kept| kept.far_region.as_deref());
-    let longest = node.with(|state| far.map(|region| state.distances.get_wait(region, near)).max());
+    let longest =
+        node.with(|state| far.map(|region| state.round_trips.get_wait(region, near)).max());
     longest.map_or(ANSWERS_WITHIN, Duration::from_millis)
 }
 
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -43,7 +43,7 @@
     /// Answers that.
     Versions(Versions),
     /// Something that must not wait for the next report.
-    News(News),
+    Notification(Notification),
     /// Asks the node that keeps the load of some servers for it.
     AskLoads {
         /// Names the question at the one who asks.
@@ -227,7 +227,7 @@
 
 /// Something that must not wait for the next report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum Notification {
     /// The list of servers has changed.
     ServersChanged(Batch),
     /// The sender has adopted a configuration.
@@ -240,13 +240,13 @@
     /// A server names a limit, or none any more.
     LimitSeen(Sighting),
     /// A server said in an answer that it leaves.
-    ServerDeparts(Departure),
+    ServerLeaving(Departure),
     /// A window of usage was frozen, and is about to be reported.
     UsageFrozen(WindowNumber, Counts),
     /// A roll-out was ordered, or its stage has advanced.
     RolloutChanged(Announcement),
     /// The sender has sent a request to a server whose prompt takes long to read.
-    RequestBegun {
+    RequestStarted {
         /// The sender's name.
         node: String,
         /// The server's short name.
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -33,12 +33,12 @@
     Frozen, Incarnation, Ledger, Outgoing, count_kept, window_at,
 };
 
-use super::cut_runs;
 use super::document::Document;
+use super::interrupted_attempts;
 use super::peers::audience::{Audience, Samples};
 use super::peers::carrying::Carrying;
 use super::peers::link::Link;
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::peers::pending_loads;
 use super::peers::questions::Questions;
 use super::skipped;
@@ -54,8 +54,8 @@
 /// confirmed. A request that was sent after a key's removal and the bound arrives, and is checked,
 /// later than that; the rest is left for clocks that drift.
 const FRESH_PART: f64 = 0.95;
-/// News for other nodes that wait to be sent; more are dropped, and show in the next report.
-const NEWS_WAITING: usize = 256;
+/// Notifications for other nodes that wait to be sent; more are dropped, and show in the next report.
+const NOTIFICATION_CAPACITY: usize = 256;
 /// A server that does not take a connection within this time is passed over: the way there takes
 /// some milliseconds, and a lost opening packet is sent again only after a second.
 const CONNECT_WITHIN: Duration = Duration::from_millis(250);
@@ -88,7 +88,7 @@
     /// This incarnation of the node.
     pub incarnation: Incarnation,
     /// Connections to servers.
-    pub servers: Client,
+    pub http_client: Client,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Answers on their way to callers.
@@ -97,8 +97,8 @@
     pub closing: StopSignal,
     /// Datagrams between nodes.
     pub(super) link: Link,
-    /// News for other nodes that wait to be sent.
-    pub(super) news: (Sender<News>, Receiver<News>),
+    /// Notifications for other nodes that wait to be sent.
+    pub(super) notifications: (Sender<Notification>, Receiver<Notification>),
     /// Requests for loads that wait for answers, and changed loads that wait to be sent.
     pub(super) pending_loads: pending_loads::Pending,
     /// Requests that the owners of their client accounts decide about.
@@ -106,7 +106,7 @@
     /// Requests for permits of limited servers that wait for decisions.
     pub(super) pending_permits: Questions<backpressure::Decision>,
     /// Runs that broke off at servers that may have ended.
-    pub(super) cut_runs: cut_runs::Pending,
+    pub(super) interrupted_attempts: interrupted_attempts::Pending,
     /// Signals to uploads that are evicted.
     pub(crate) uploads: Uploads,
     /// What the node knows of the deployment.
@@ -160,13 +160,13 @@
     /// What servers say about the requests that follow.
     pub backpressure: backpressure::Book,
     /// Bytes of requests that each server holds for this node.
-    pub held: held::Book,
+    pub server_held_bytes: held::Book,
     /// Requests that crash servers.
     pub quarantine: quarantine::Book,
     /// What client accounts have used.
     pub quotas: Quotas,
     /// Repeats.
-    pub budget: Budget,
+    pub retry_budget: Budget,
     /// Requests that began.
     pub usage: Ledger,
     /// Windows of them that were frozen.
@@ -182,9 +182,9 @@
     /// Other nodes.
     pub members: Members,
     /// Round trips to other regions.
-    pub distances: Distances,
+    pub round_trips: Distances,
     /// The budgets of the links to other regions.
-    pub links: Links,
+    pub region_links: Links,
     /// Summaries that this node sends to other regions.
     pub(super) carrying: Carrying,
     /// Memory that is held for callers and servers.
@@ -212,20 +212,20 @@
 
 impl State {
     /// Returns `true` if a server takes no request now, by what it said in its answers.
-    pub(crate) fn is_barred(&self, now: Millis, server: &Server) -> bool {
+    pub(crate) fn is_in_backoff(&self, now: Millis, server: &Server) -> bool {
         self.backpressure.get_wait(now, server).is_some()
     }
 
     /// Returns the shortest time until a server of a service takes a request again, of those that take
     /// none now by what they said in their answers; `None` where there is none.
-    pub(crate) fn get_shortest_wait(&self, now: Millis, service: &str) -> Option<Millis> {
+    pub(crate) fn get_min_backoff(&self, now: Millis, service: &str) -> Option<Millis> {
         let servers = self.directory.iter_ready(service);
         servers.filter_map(|server| self.backpressure.get_wait(now, server)).min()
     }
 
     /// Returns `true` if no server of a service takes requests now, by what they said in their answers.
-    pub(crate) fn is_all_barred(&self, now: Millis, service: &str) -> bool {
-        self.directory.iter_ready(service).all(|server| self.is_barred(now, server))
+    pub(crate) fn is_service_in_backoff(&self, now: Millis, service: &str) -> bool {
+        self.directory.iter_ready(service).all(|server| self.is_in_backoff(now, server))
     }
 
     /// Counts this node's requests in flight at servers of a service that have another version than
@@ -282,17 +282,17 @@
             loads: LoadBook::default(),
             health: Health::default(),
             backpressure: backpressure::Book::new(fastrand::f64()),
-            held: held::Book::default(),
+            server_held_bytes: held::Book::default(),
             quarantine: quarantine::Book::default(),
             quotas: Quotas::new(clock.now(), tolerance),
-            budget: Budget::new(allowance),
+            retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
             frozen: Frozen::new(windows_kept),
             outgoing_usage: Outgoing::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
-            distances: Distances::default(),
-            links: Links::new(settings.regions.spill_mbps),
+            round_trips: Distances::default(),
+            region_links: Links::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             audience: Audience::default(),
@@ -313,16 +313,16 @@
             clock,
             topology,
             incarnation,
-            servers: Client::new(CONNECT_WITHIN),
+            http_client: Client::new(CONNECT_WITHIN),
             metrics,
             feeds: Feeds::default(),
             closing,
             link,
-            news: async_channel::bounded(NEWS_WAITING),
+            notifications: async_channel::bounded(NOTIFICATION_CAPACITY),
             pending_loads: pending_loads::Pending::default(),
             pending_decisions: Questions::default(),
             pending_permits: Questions::default(),
-            cut_runs: cut_runs::Pending::default(),
+            interrupted_attempts: interrupted_attempts::Pending::default(),
             uploads: Uploads::default(),
             state: Mutex::new(state),
             fetching: Fetching::default(),
@@ -356,7 +356,7 @@
     }
 
     /// Returns `true` if requests that carry a key may be dispatched.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_configuration_fresh(&self) -> bool {
         if !self.settings.bounds.strict_revoke {
             return true;
         }
@@ -365,8 +365,8 @@
     }
 
     /// Sends news to the other nodes soon.
-    pub(crate) fn push(&self, news: News) {
-        if self.news.0.try_send(news).is_err() {
+    pub(crate) fn notify_peers(&self, notification: Notification) {
+        if self.notifications.0.try_send(notification).is_err() {
             log::debug!("too much news waits: the rest shows in the next report");
         }
     }
@@ -379,12 +379,12 @@
     /// Returns `true` if the node should get new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.with(|state| state.configuration.is_some() && state.directory.is_known());
-        knows && !self.is_stopping() && self.is_fresh() && !self.is_short_of_memory()
+        knows && !self.is_stopping() && self.is_configuration_fresh() && !self.is_short_of_memory()
     }
 
     /// Returns the milliseconds for which a request is still refused because servers crashed under it;
     /// `None` where it is served.
-    pub fn get_quarantine(&self, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
         self.with(|state| state.quarantine.get_refused_for(now, fingerprint))
     }
@@ -410,9 +410,9 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        InFlight { node: self.clone() }
+        InFlightGuard { node: self.clone() }
     }
 
     /// Counts that a request of a client account began to run now.
@@ -453,11 +453,11 @@
 }
 
 /// A request whose answer has not ended.
-pub struct InFlight {
+pub struct InFlightGuard {
     node: Arc<Node>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -12,7 +12,7 @@
 use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of};
 use crate::event::{self, Event};
 use crate::node::pause::Pause;
-use crate::node::peers::message::News;
+use crate::node::peers::message::Notification;
 use crate::node::{Node, staleness, table};
 use crate::port::{Row, Rows, TableError, TableName};
 use crate::runtime;
@@ -151,15 +151,15 @@
 }
 
 /// Takes the departures that came with a report.
-pub(in crate::node) fn take_departures(node: &Node, departures: &[Departure]) {
+pub(in crate::node) fn apply_departures(node: &Node, departures: &[Departure]) {
     for departure in departures {
-        take_departure(node, departure);
+        apply_departure(node, departure);
     }
 }
 
 /// Takes the word of a server, in an answer to this node or another one, that it leaves; returns `true` if
 /// that is news.
-pub(crate) fn take_departure(node: &Node, departure: &Departure) -> bool {
+pub(crate) fn apply_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
     let Departed { is_news, change } =
@@ -174,7 +174,7 @@
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
         let parts = batch.clone().split(MOST_IN_DATAGRAM);
-        parts.into_iter().for_each(|part| node.push(News::ServersChanged(part)));
+        parts.into_iter().for_each(|part| node.notify_peers(Notification::ServersChanged(part)));
     }
     let changes = node.with(|state| state.directory.update(batch));
     apply(node, changes.unwrap_or_default());
@@ -222,7 +222,7 @@
     for change in &changes {
         match change {
             Change::Gone(server) => {
-                node.servers.close_idle(server.address);
+                node.http_client.close_idle(server.address);
                 node.with(|known| known.forget_server(server));
             }
             Change::Joined(server) => node.with(|known| known.rollouts.note_joined(now, server)),
