--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -6,10 +6,10 @@
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use keeljunction_core::member::{List, Member, State, Timing};
+use keeljunction_core::rendezvous;
 use keeljunction_core::route;
 use keeljunction_core::shard::{Ask, Decision, Queue};
 use keeljunction_core::stream::Cursor;
-use keeljunction_core::succession;
 
 fn queue(servers: usize) -> Queue {
     let mut queue = Queue::new(64, 8_000);
@@ -78,7 +78,7 @@
         let names: Vec<String> = (0..nodes).map(|n| format!("entry-{n}")).collect();
         criterion.bench_function(&format!("owner among {nodes} nodes"), |bencher| {
             bencher.iter(|| {
-                succession::owner(black_box("shard/hidro-llm/7"), names.iter().map(String::as_str))
+                rendezvous::owner(black_box("shard/hidro-llm/7"), names.iter().map(String::as_str))
             });
         });
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`member`] | which nodes live |
 //! | [`directory`] | which backend servers there are, and which are leaving |
 //! | [`rumor`] | which news ride on the next message |
-//! | [`succession`] | which node owns a key, and who comes after it |
+//! | [`rendezvous`] | which node owns a key, and who comes after it |
 //! | [`shard`] | whose turn it is, whether there is room, and when to come back |
 //! | [`route`] | which backend server is expected to answer first |
 //! | [`stream`] | which tokens belong to an answer |
@@ -37,13 +37,13 @@
 pub mod outcome;
 
 pub mod record;
+pub mod rendezvous;
 pub mod retry;
 pub mod route;
 pub mod rumor;
 pub mod serving;
 pub mod shard;
 pub mod stream;
-pub mod succession;
 pub mod takeover;
 
 pub use error::{Error, ErrorKind};
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -8,7 +8,7 @@
 use super::{GONE_AFTER, Member, Members, Overview, Role};
 use crate::serving::load::short_id;
 use crate::serving::quota::Reach;
-use crate::{Millis, succession};
+use crate::{Millis, rendezvous};
 
 /// The time between two reports. In groups a report passes two aggregators on its way: with 0.4 s a
 /// client account that suddenly sent six times its limit exceeded the operator's tolerance.
@@ -264,7 +264,7 @@
     pub fn find_owner(&self, key: u64) -> Option<SocketAddr> {
         let own = self.view.ranking.is_aggregator.then_some(self.own.name.as_str());
         let names = self.view.ranking.aggregators.iter().map(String::as_str).chain(own);
-        let owner = succession::owner_of_number(key, names)?;
+        let owner = rendezvous::owner_of_number(key, names)?;
         self.known.get(owner).map(|member| member.entry.address)
     }
 
--- a/crates/core/src/serving/members/ranking.rs
+++ b/crates/core/src/serving/members/ranking.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 
 use super::entry::Entry;
+use crate::rendezvous;
 use crate::serving::topology::Topology;
-use crate::succession;
 
 /// Up to this many nodes, all report to each other and there are no groups: 40 digests in 200 ms
 /// were what a link of 10 Mbit/s bore in the measurements (docs/MEASUREMENTS.md).
@@ -56,7 +56,7 @@
 /// The order is computed again whenever a node joins, so that only the first are sorted, by keys that
 /// are computed once.
 fn first_by_link<'a>(key: &str, nodes: Vec<&'a Entry>, count: usize) -> Vec<&'a Entry> {
-    let weigh = succession::weigher(key);
+    let weigh = rendezvous::weigher(key);
     let place = |node: &'a Entry| (Reverse((node.link_mbps, weigh(&node.name), &node.name)), node);
     let mut placed: Vec<_> = nodes.into_iter().map(place).collect();
     if count < placed.len() {
@@ -112,6 +112,6 @@
     let near = only(&|entry| topology.is_near(&entry.data_centre));
     let all = aggregators.to_vec();
     let among = [beside, near, all].into_iter().find(|entries| !entries.is_empty())?;
-    let owner = succession::owner(&own.name, among.iter().map(|entry| entry.name.as_str()))?;
+    let owner = rendezvous::owner(&own.name, among.iter().map(|entry| entry.name.as_str()))?;
     among.into_iter().find(|entry| entry.name == owner)
 }
--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -9,7 +9,7 @@
 use super::tally::{Phase, Series, Tallies};
 use crate::serving::directory::Server;
 use crate::serving::table_version::TableVersion;
-use crate::{Millis, succession};
+use crate::{Millis, rendezvous};
 
 /// The share of the requests that a version gets in [`Stage::Ramp`]: with what the canary got, a
 /// version that turns bad there is found within one in ten of all requests (`rollout_trials`).
@@ -325,7 +325,7 @@
         let targets = servers.filter(|server| self.is_target(server));
         let targets: Vec<&str> = targets.map(|server| server.id.as_str()).collect();
         let count = (targets.len() as f64 * tolerance.share).ceil() as usize;
-        let mut ordered = succession::order(CANARIES_KEY, targets.into_iter());
+        let mut ordered = rendezvous::order(CANARIES_KEY, targets.into_iter());
         ordered.truncate(count);
         ordered
     }
--- a/crates/core/tests/core/succession.rs
+++ b/crates/core/tests/core/succession.rs
@@ -1,6 +1,6 @@
 //! Which node owns a key, and who comes after it.
 
-use keeljunction_core::succession::{holder, order, owner};
+use keeljunction_core::rendezvous::{holder, order, owner};
 use proptest::prelude::*;
 
 fn nodes(count: usize) -> Vec<(String, String)> {
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::StreamExt;
 use keeljunction_core::member::State;
-use keeljunction_core::succession;
+use keeljunction_core::rendezvous;
 
 use super::request::succession_key;
 use super::state::Held;
@@ -156,7 +156,7 @@
     let members = runtime::lock(&node.members);
     let others = members.iter().filter(|m| m.state != State::Dead && m.name != node.get_name());
     let names: Vec<&str> = others.map(|member| member.name.as_str()).collect();
-    let order = succession::order(&key, names.into_iter());
+    let order = rendezvous::order(&key, names.into_iter());
     order.into_iter().take(QUERIED).map(str::to_owned).collect()
 }
 
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -7,7 +7,7 @@
 use event_listener::Event;
 use keeljunction_core::bundle::Service;
 use keeljunction_core::shard::{self, Ask, Grant, Queue, Refusal};
-use keeljunction_core::{Millis, succession};
+use keeljunction_core::{Millis, rendezvous};
 use tonic::Status;
 use uuid::Uuid;
 
@@ -146,7 +146,7 @@
 pub fn owner_of(node: &Node, shard: &ShardKey) -> Option<String> {
     let nodes = node.usable_nodes();
     let key = shard::owner_key(&shard.0, shard.1);
-    succession::owner(&key, nodes.iter().map(|(name, _)| name.as_str())).map(str::to_owned)
+    rendezvous::owner(&key, nodes.iter().map(|(name, _)| name.as_str())).map(str::to_owned)
 }
 
 /// Returns the queue of a shard that this node owns, made anew where it is not there yet.
@@ -220,7 +220,7 @@
     let start = request.prompt.prefix.first();
     let key = start.map_or_else(|| request.key.clone(), u64::to_string);
     let labels: Vec<String> = filled.iter().map(u32::to_string).collect();
-    let order = succession::order(&key, labels.iter().map(String::as_str));
+    let order = rendezvous::order(&key, labels.iter().map(String::as_str));
     order.into_iter().take(2).filter_map(|label| label.parse().ok()).collect()
 }
 
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -11,8 +11,8 @@
 use keeljunction_core::directory::Directory;
 use keeljunction_core::member::{List, Member, State, Timing};
 use keeljunction_core::outcome::Outcome;
+use keeljunction_core::rendezvous;
 use keeljunction_core::retry::{Allowance, Budget};
-use keeljunction_core::succession;
 
 use super::Answer;
 use super::claims::Claims;
@@ -202,7 +202,7 @@
     /// A few nodes read it each time, the others far more seldom: they hear of it from their peers.
     pub fn is_turn_to_read(&self, what: &str, turn: u64) -> bool {
         let nodes = self.usable_nodes();
-        let order = succession::order(what, nodes.iter().map(|(name, _)| name.as_str()));
+        let order = rendezvous::order(what, nodes.iter().map(|(name, _)| name.as_str()));
         let is_watcher = order.iter().take(WATCHERS).any(|name| *name == self.get_name());
         is_watcher || turn.is_multiple_of(SELDOM)
     }
