--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::Millis;
-use crate::rumor::Queue;
+use crate::gossip::Queue;
 
 /// How long a departure is remembered after the VM should be gone, in milliseconds.
 const MEMORY_MS: Millis = 600_000;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,7 +9,7 @@
 //! | [`bundle`] | what a bundle may say, who signed it, which roll is newer |
 //! | [`member`] | which nodes live |
 //! | [`directory`] | which backend servers there are, and which are leaving |
-//! | [`rumor`] | which news ride on the next message |
+//! | [`gossip`] | which news ride on the next message |
 //! | [`rendezvous`] | which node owns a key, and who comes after it |
 //! | [`shard`] | whose turn it is, whether there is room, and when to come back |
 //! | [`route`] | which backend server is expected to answer first |
@@ -36,11 +36,11 @@
 pub mod member;
 pub mod outcome;
 
+pub mod gossip;
 pub mod record;
 pub mod rendezvous;
 pub mod retry;
 pub mod route;
-pub mod rumor;
 pub mod serving;
 pub mod shard;
 pub mod stream;
--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -4,7 +4,7 @@
 
 use super::{Member, State};
 use crate::Millis;
-use crate::rumor::Queue;
+use crate::gossip::Queue;
 
 /// The times that membership goes by, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
