--- a/crates/gateway/src/feeds.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -14,7 +14,7 @@
 
 /// The answers that a node passes on, by their ids.
 #[derive(Default)]
-pub struct Feeds {
+pub struct ActiveResponses {
     next_id: AtomicU64,
     handles: Mutex<HashMap<u64, Arc<Handle>>>,
 }
@@ -40,7 +40,7 @@
     pub is_short: bool,
 }
 
-impl Feeds {
+impl ActiveResponses {
     /// Returns an id that no other answer has.
     pub fn make_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -5,8 +5,8 @@
 
 use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
 
+use crate::active_responses::{Handle, Look};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::runtime;
@@ -31,7 +31,7 @@
 /// Disconnects all callers that rest; called shortly before the node ends.
 pub fn disconnect_resting(node: &Node) {
     let now = node.now();
-    for feed in node.feeds.list() {
+    for feed in node.active_responses.list() {
         let Some(look) = (feed.look)(now) else { continue };
         if look.caller.resting >= RESTING_AFTER {
             disconnect(node, &feed, &look, "stopping");
@@ -41,7 +41,7 @@
 
 fn look_at_all(node: &Node) {
     let now = node.now();
-    let feeds = node.feeds.list();
+    let feeds = node.active_responses.list();
     let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.look)(now)?)));
     let looked: Vec<(&Arc<Handle>, Look)> = looked.collect();
     for (feed, look) in looked.iter().filter(|(_, look)| look.is_over) {
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -22,8 +22,8 @@
 use super::flow::Flow;
 use super::respond::{Passage, Record};
 use super::source::{Source, Step};
+use crate::active_responses::{Handle, Look};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
 use crate::http::{Body, Peer};
 use crate::node::{Node, Reservation};
 use crate::runtime::{self, lock};
@@ -88,9 +88,9 @@
         let bound = get_bound(node.with(|state| state.memory.get_capacity()));
         let flow = Flow::new(Buffer::new(bound), held, peer, node.now());
         let flow = Mutex::new(flow);
-        let id = node.feeds.make_id();
+        let id = node.active_responses.make_id();
         let feed = Arc::new(Self { node: node.clone(), id, request, passage, due, flow });
-        node.feeds.add(id, feed.make_handle());
+        node.active_responses.add(id, feed.make_handle());
         feed
     }
 
@@ -236,7 +236,7 @@
 
 impl Drop for FeedBody {
     fn drop(&mut self) {
-        self.0.node.feeds.remove(self.0.id);
+        self.0.node.active_responses.remove(self.0.id);
         let leftover = lock(&self.0.flow).end();
         drop(leftover);
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,14 +10,14 @@
 //! | [`port`] | what an adapter to a platform provides |
 //! | [`node`] | what a node knows, and the tasks that keep it up to date |
 //! | [`exchange`] | one request, from its head to its final outcome |
-//! | [`feeds`] | lists the answers that are passed on |
+//! | [`active_responses`] | lists the answers that are passed on |
 //! | [`event`], [`log`](mod@log), [`metrics`] | what a node reports of its decisions |
 //! | [`trace`] | gathers what was logged of one request |
 //! | [`http`], [`runtime`] | plumbing |
 
+pub mod active_responses;
 pub mod event;
 pub mod exchange;
-pub mod feeds;
 pub mod http;
 pub mod log;
 pub mod metrics;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -43,7 +43,7 @@
 use super::peers::questions::Questions;
 use super::skipped;
 use super::uploads::Uploads;
-use crate::feeds::Feeds;
+use crate::active_responses::ActiveResponses;
 use crate::http::{Client, Stop};
 use crate::metrics::Metrics;
 use crate::port::Platform;
@@ -92,7 +92,7 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Answers on their way to callers.
-    pub feeds: Feeds,
+    pub active_responses: ActiveResponses,
     /// The signal on which the listeners close.
     pub closing: Stop,
     /// Datagrams between nodes.
@@ -310,7 +310,7 @@
             incarnation,
             servers: Client::new(CONNECT_WITHIN),
             metrics,
-            feeds: Feeds::default(),
+            active_responses: ActiveResponses::default(),
             closing,
             link,
             news: async_channel::bounded(NEWS_WAITING),
