--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -177,7 +177,7 @@
     order: &Order<'_>,
 ) -> Result<Answer, Failure> {
     let within = Duration::from_millis(order.within);
-    let answered = runtime::within(within, exchange_with(node, exchange, order)).await;
+    let answered = runtime::timeout(within, exchange_with(node, exchange, order)).await;
     let answered = answered.unwrap_or(Err((Failed::Timeout, None)));
     let has_begun = match &answered {
         Ok(_) => true,
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -304,7 +304,7 @@
         runtime::spawn(async move {
             let drained = async { while let Some(Ok(_)) = body.frame().await {} };
             // After that the body is dropped, which closes the connection.
-            let _ = runtime::within(DRAIN_WITHIN, drained).await;
+            let _ = runtime::timeout(DRAIN_WITHIN, drained).await;
         });
     }
 }
--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -171,7 +171,7 @@
     /// again.
     pub async fn is_listening(&self, address: SocketAddr) -> bool {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        let connecting = runtime::within(self.connect_within, TcpStream::connect(address)).await;
+        let connecting = runtime::timeout(self.connect_within, TcpStream::connect(address)).await;
         matches!(connecting, Some(Ok(_)))
     }
 
@@ -185,7 +185,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<Connection, Failure> {
-        let connecting = runtime::within(self.connect_within, TcpStream::connect(to)).await;
+        let connecting = runtime::timeout(self.connect_within, TcpStream::connect(to)).await;
         let stream = match connecting {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(Failure::NotSent(error.to_string())),
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -317,7 +317,7 @@
         let place = (order.service.clone(), order.data_centre.clone(), order.is_spot);
         let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
         let calling = (node.platform.control.set_capacity)(holder, order.clone());
-        let status = runtime::within(CALL_WITHIN, calling).await.flatten();
+        let status = runtime::timeout(CALL_WITHIN, calling).await.flatten();
         event::emit(&Event::CapacityOrdered {
             service: &order.service,
             region: get_region(node, &order.data_centre),
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -145,5 +145,5 @@
         read(response.into_body(), LONGEST_ANSWER).await
     };
     let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
-    runtime::within(bound.mul_f64(CALL_PART), fetching).await.flatten()
+    runtime::timeout(bound.mul_f64(CALL_PART), fetching).await.flatten()
 }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -67,7 +67,7 @@
         let message = Message::AskLoads { question, node: node.incarnation.node.clone(), servers };
         node.link.send(node.now(), owner, &message).await;
     }
-    if runtime::within(within, waiting.done.recv()).await.is_none() {
+    if runtime::timeout(within, waiting.done.recv()).await.is_none() {
         node.metrics.unanswered_load_questions.inc();
     }
     waiting.is_any_answered()
@@ -185,7 +185,7 @@
         let mut is_urgent = first.is_urgent;
         while !is_urgent {
             let left = Duration::from_millis(until.saturating_sub(node.now()));
-            let Some(Ok(next)) = runtime::within(left, changes.recv()).await else { break };
+            let Some(Ok(next)) = runtime::timeout(left, changes.recv()).await else { break };
             servers.insert(next.server, next.data_centre);
             is_urgent = next.is_urgent;
         }
--- a/crates/gateway/src/node/peers/questions.rs
+++ b/crates/gateway/src/node/peers/questions.rs
@@ -49,7 +49,7 @@
 impl<T> Question<'_, T> {
     /// Waits for the answer; `None` where it does not come in time.
     pub(super) async fn wait(&self, within: Duration) -> Option<T> {
-        let answer = runtime::within(within, self.answer.recv()).await;
+        let answer = runtime::timeout(within, self.answer.recv()).await;
         // An answer may have come at the end of that time.
         answer.and_then(Result::ok).or_else(|| self.answer.try_recv().ok())
     }
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -87,7 +87,7 @@
     let open = callers.get_open();
     runtime::spawn(callers.serve(move |request| exchange::answer(answering.clone(), request)));
     wait_for_end(&node, path).await?;
-    runtime::within(WRITE_OUT, async {
+    runtime::timeout(WRITE_OUT, async {
         while open.get() > 0 {
             runtime::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/gateway/src/node/stop.rs
+++ b/crates/gateway/src/node/stop.rs
@@ -32,7 +32,7 @@
     runtime::sleep(notices).await;
     node.closing.give();
     let release_at = runtime::boot_time() + (grace - notices).saturating_sub(RELEASE_MARGIN);
-    let drained = runtime::within(grace - notices, async {
+    let drained = runtime::timeout(grace - notices, async {
         while node.get_in_flight() > 0 {
             if runtime::boot_time() >= release_at {
                 exchange::disconnect_resting(node);
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -242,7 +242,7 @@
         let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
         let total: u64 = counts.values().sum();
         let calling = (node.platform.control.report_usage)(holder, UsageReport { window, counts });
-        let status = runtime::within(CALL_WITHIN, calling).await.flatten();
+        let status = runtime::timeout(CALL_WITHIN, calling).await.flatten();
         event::emit(&Event::UsageReported { window, requests: total, fence, status });
         if !status.is_some_and(|status| (200..300).contains(&status)) {
             return false;
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -70,7 +70,7 @@
 ///
 /// Returns the call's error, and [`TableError::Unanswered`] where the time is over.
 pub async fn answer_within(time: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
-    let answer = runtime::within(time, call).await;
+    let answer = runtime::timeout(time, call).await;
     answer.unwrap_or_else(|| Err(TableError::Unanswered("no answer in time".to_owned())))
 }
 
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -126,7 +126,7 @@
 }
 
 /// Waits for a future for a time at most; `None` once the time is over.
-pub async fn within<F: Future>(time: Duration, future: F) -> Option<F::Output> {
+pub async fn timeout<F: Future>(time: Duration, future: F) -> Option<F::Output> {
     let bounded = async {
         sleep(time).await;
         None
--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -136,7 +136,7 @@
     pub async fn order(&self, order: &Value) -> Ordered {
         let request = self.request(Method::POST, "/orders").body(Body::from(order.to_string()));
         let Ok(request) = request else { return Ordered::Failed };
-        let sent = runtime::within(self.within, self.http.send(self.address, request)).await;
+        let sent = runtime::timeout(self.within, self.http.send(self.address, request)).await;
         match sent {
             Some(Ok(response)) if response.status() == StatusCode::OK => Ordered::Taken,
             Some(Ok(response)) if response.status() == StatusCode::CONFLICT => Ordered::OldFence,
@@ -180,7 +180,7 @@
             let content = content.ok_or_else(|| Failure::MaybeSent("broke off".to_owned()))?;
             if status == StatusCode::OK { Ok(content) } else { Err(refused(status)) }
         };
-        runtime::within(self.within, exchange).await.unwrap_or_else(|| Err(late()))
+        runtime::timeout(self.within, exchange).await.unwrap_or_else(|| Err(late()))
     }
 
     async fn stream(
@@ -188,7 +188,7 @@
         request: Result<Request<Body>, hyper::http::Error>,
     ) -> Result<Response<Tokens>, Failure> {
         let request = request.map_err(not_sent)?;
-        let sent = runtime::within(self.within, self.http.send(self.address, request)).await;
+        let sent = runtime::timeout(self.within, self.http.send(self.address, request)).await;
         let response = sent.unwrap_or_else(|| Err(late()))?;
         match response.status() {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
--- a/crates/keeljunction/src/backend/plain.rs
+++ b/crates/keeljunction/src/backend/plain.rs
@@ -75,6 +75,6 @@
             Ok(Reply { status, media_type, body })
         };
         let late = || Err(Failure::MaybeSent("no answer in time".to_owned()));
-        runtime::within(time, exchange).await.unwrap_or_else(late)
+        runtime::timeout(time, exchange).await.unwrap_or_else(late)
     }
 }
--- a/crates/keeljunction/src/caller/handler.rs
+++ b/crates/keeljunction/src/caller/handler.rs
@@ -170,7 +170,7 @@
     match sender.try_send(Ok(piece)) {
         Ok(()) => Some(()),
         Err(TrySendError::Closed(_)) => None,
-        Err(TrySendError::Full(piece)) => runtime::within(time, sender.send(piece)).await?.ok(),
+        Err(TrySendError::Full(piece)) => runtime::timeout(time, sender.send(piece)).await?.ok(),
     }
 }
 
--- a/crates/keeljunction/src/command/status.rs
+++ b/crates/keeljunction/src/command/status.rs
@@ -71,7 +71,7 @@
         let content = http::read(response.into_body(), MAX_ANSWER).await;
         content.ok_or_else(|| failed("the answer broke off".to_owned()))
     };
-    let content = runtime::within(time, exchange).await;
+    let content = runtime::timeout(time, exchange).await;
     let content = content.unwrap_or_else(|| Err(failed("no answer in time".to_owned())))?;
     serde_json::from_slice(&content).map_err(|error| failed(error.to_string()))
 }
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -135,7 +135,7 @@
     let mut known: Option<Attempt> = None;
     let mut failures = 0;
     loop {
-        runtime::within(period, answer.pressing(acknowledged, known.as_ref())).await;
+        runtime::timeout(period, answer.pressing(acknowledged, known.as_ref())).await;
         if !node.usable_nodes().iter().any(|(name, _)| name == holder) {
             return Pumped::Lost;
         }
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -187,7 +187,7 @@
     let Ok(mut stream) = called.await else { return false };
     let idle = Duration::from_millis(node.settings.limits.idle_ms);
     loop {
-        let Some(Some(Ok(reply))) = runtime::within(idle, stream.next()).await else {
+        let Some(Some(Ok(reply))) = runtime::timeout(idle, stream.next()).await else {
             return false;
         };
         if reply.offset != answer.get_length() {
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -50,7 +50,7 @@
             });
             let engine = attempt::engine(node, address);
             let sending = engine.order(&order);
-            let answer = runtime::within(Duration::from_millis(LONGEST_ORDER_MS), sending).await;
+            let answer = runtime::timeout(Duration::from_millis(LONGEST_ORDER_MS), sending).await;
             match answer {
                 Some(Ordered::Taken) => {
                     self.sent.insert(name, force.roll.number);
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -67,7 +67,7 @@
     node.ended.given().await;
     runtime::sleep(LINGER).await;
     stop.give();
-    let waited = runtime::within(WRITE_OUT, async {
+    let waited = runtime::timeout(WRITE_OUT, async {
         while open.get() > 0 {
             runtime::sleep(LOOK).await;
         }
--- a/crates/keeljunction/src/node/shard.rs
+++ b/crates/keeljunction/src/node/shard.rs
@@ -148,7 +148,7 @@
 impl Turn<'_> {
     /// Waits for the turn. When the time is over the queue is made to say so.
     async fn wait(mut self, time: Duration) -> Result<Grant, Refusal> {
-        let decision = match runtime::within(time, self.receiver.recv()).await {
+        let decision = match runtime::timeout(time, self.receiver.recv()).await {
             Some(decision) => decision,
             None => {
                 self.shard.poll();
--- a/crates/keeljunction/src/peer/pool.rs
+++ b/crates/keeljunction/src/peer/pool.rs
@@ -48,7 +48,7 @@
             call(PeerClient::with_origin(channel, origin)).await
         };
         let late = || Err(Status::deadline_exceeded("the peer did not answer in time"));
-        let answer = runtime::within(time, exchange).await.unwrap_or_else(late);
+        let answer = runtime::timeout(time, exchange).await.unwrap_or_else(late);
         if let Err(status) = &answer
             && matches!(status.code(), Code::Unavailable | Code::DeadlineExceeded | Code::Unknown)
         {
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -149,7 +149,7 @@
             .header("host", self.settings.address.to_string())
             .body(body)
             .map_err(|error| Fault::NotSent(error.to_string()))?;
-        let answer = runtime::within(time, self.exchange(request)).await;
+        let answer = runtime::timeout(time, self.exchange(request)).await;
         answer.unwrap_or_else(|| Err(Fault::Unknown("no answer in time".to_owned())))
     }
 
--- a/crates/standin/src/harness/call.rs
+++ b/crates/standin/src/harness/call.rs
@@ -226,7 +226,7 @@
 async fn exchange(client: &Client, to: SocketAddr, request: Request<Body>) -> Option<Value> {
     let path = request.uri().path().to_owned();
     let started = Instant::now();
-    let answer = runtime::within(ANSWER_WITHIN, try_exchange(client, to, request)).await;
+    let answer = runtime::timeout(ANSWER_WITHIN, try_exchange(client, to, request)).await;
     let answer = answer.unwrap_or_else(|| Err("no answer in time".to_owned()));
     answer
         .inspect_err(|why| eprintln!("{to}{path} failed after {:?}: {why}", started.elapsed()))
--- a/crates/standin/tests/faults/support.rs
+++ b/crates/standin/tests/faults/support.rs
@@ -67,7 +67,7 @@
     F: FnMut() -> Fut,
     Fut: Future<Output = bool>,
 {
-    let is_met = runtime::within(SOON, async {
+    let is_met = runtime::timeout(SOON, async {
         while !check().await {
             runtime::sleep(Duration::from_millis(20)).await;
         }
