--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -22,7 +22,7 @@
 /// Looks after callers for as long as the node runs.
 pub fn watch(node: &Arc<Node>) {
     let node = node.clone();
-    runtime::every(LOOK, move || {
+    runtime::spawn_periodic(LOOK, move || {
         look_at_all(&node);
         std::future::ready(())
     });
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -135,7 +135,7 @@
 }
 
 /// Repeats a step for ever, with a pause of `period` after each.
-pub fn every<F, Fut>(period: Duration, mut step: F)
+pub fn spawn_periodic<F, Fut>(period: Duration, mut step: F)
 where
     F: FnMut() -> Fut + Send + 'static,
     Fut: Future<Output = ()> + Send + 'static,
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -92,7 +92,7 @@
     });
     let reporting = engine.clone();
     let lag = Duration::from_millis(reporting.options.report_lag_ms.max(1));
-    runtime::every(lag, move || {
+    runtime::spawn_periodic(lag, move || {
         let engine = reporting.clone();
         async move { *lock(&engine.report) = (Instant::now(), engine.load()) }
     });
