--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -181,7 +181,7 @@
             flow.is_reading_ahead = true;
             let feed = self.clone();
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
-            flow.reading = Some(runtime::task(reading));
+            flow.reading = Some(runtime::spawn_with_handle(reading));
         }
         let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
         let caller = Caller { id: self.id, bytes, resting };
--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -200,7 +200,7 @@
         let writes = socket.get_writes();
         let made = http1::handshake(socket).await;
         let (sender, connection) = made.map_err(|error| Failure::NotSent(error.to_string()))?;
-        let driver = runtime::task(async move {
+        let driver = runtime::spawn_with_handle(async move {
             let _ = drive(pin!(connection), &writes).await;
         });
         let now = runtime::boot_time();
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -25,7 +25,7 @@
 }
 
 /// Starts a task whose result can be awaited; it is cancelled when dropped.
-pub fn task<F, T>(future: F) -> Task<T>
+pub fn spawn_with_handle<F, T>(future: F) -> Task<T>
 where
     F: Future<Output = T> + Send + 'static,
     T: Send + 'static,
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -59,7 +59,7 @@
         let asking: Vec<_> = (0..5)
             .map(|_| {
                 let client = client.clone();
-                runtime::task(async move { ask(&client, to).await })
+                runtime::spawn_with_handle(async move { ask(&client, to).await })
             })
             .collect();
         for asked in asking {
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -111,7 +111,9 @@
         .into_iter()
         .map(|address| {
             let (node, answer) = (node.clone(), answer.clone());
-            runtime::task(async move { (ask(&node, &answer, &address, false).await, address) })
+            runtime::spawn_with_handle(async move {
+                (ask(&node, &answer, &address, false).await, address)
+            })
         })
         .collect();
     for reply in queries {
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -149,7 +149,7 @@
         .into_iter()
         .map(|helper| {
             let (node, name) = (node.clone(), target.name.clone());
-            runtime::task(async move { direct(&node, &helper.address, &name).await })
+            runtime::spawn_with_handle(async move { direct(&node, &helper.address, &name).await })
         })
         .collect();
     for answer in probes {
--- a/crates/standin/src/load/run.rs
+++ b/crates/standin/src/load/run.rs
@@ -69,7 +69,7 @@
         let wait = (started + due).saturating_duration_since(Instant::now());
         runtime::sleep(wait).await;
         let (client, summaries, due_at) = (client.clone(), summaries.clone(), started + due);
-        calls.push(runtime::task(async move {
+        calls.push(runtime::spawn_with_handle(async move {
             let call =
                 Call::model(&kind.credential, &kind.class, &kind.model, &prompt, kind.tokens);
             let late = due_at.elapsed();
--- a/crates/standin/src/measure/baseline.rs
+++ b/crates/standin/src/measure/baseline.rs
@@ -69,7 +69,7 @@
         .map(|number| {
             let client = cluster.client.clone();
             let prompt = format!("run {run} stream {number}");
-            runtime::task(async move {
+            runtime::spawn_with_handle(async move {
                 let call = Call::model(DUTY, "briefing", "hidro", &prompt, tokens);
                 call.send(&client, to).await.map(|answer| answer.times.len()).unwrap_or(0)
             })
--- a/crates/standin/tests/faults/at_most_once.rs
+++ b/crates/standin/tests/faults/at_most_once.rs
@@ -17,7 +17,7 @@
                 .map(|number| {
                     let (client, to) = (cluster.client.clone(), cluster.nodes[number % 3].caller());
                     let call = alert(&key);
-                    runtime::task(async move {
+                    runtime::spawn_with_handle(async move {
                         call.send(&client, to).await.expect("there is a response")
                     })
                 })
@@ -83,7 +83,8 @@
     on_cluster(Plan::default(), async |mut cluster| {
         cluster.server_fault("gauge-0", &json!({ "slow_ms": 500 })).await;
         let (client, to) = (cluster.client.clone(), cluster.nodes[0].caller());
-        let calling = runtime::task(async move { alert("a-1").send(&client, to).await });
+        let calling =
+            runtime::spawn_with_handle(async move { alert("a-1").send(&client, to).await });
         eventually("it runs", async || cluster.ran_times("a-1").await == 1).await;
         cluster.nodes[0].process.kill();
         assert!(calling.await.is_err(), "the answer is lost with the node");
@@ -104,7 +105,7 @@
             let key = format!("a-{round}");
             let (client, to, call) =
                 (cluster.client.clone(), cluster.nodes[0].caller(), alert(&key));
-            let calling = runtime::task(async move { call.send(&client, to).await });
+            let calling = runtime::spawn_with_handle(async move { call.send(&client, to).await });
             runtime::sleep(Duration::from_millis(round * 2)).await;
             cluster.nodes[0].process.freeze();
             let elsewhere = send(&cluster, 1, &alert(&key)).await;
--- a/crates/standin/tests/faults/not_run.rs
+++ b/crates/standin/tests/faults/not_run.rs
@@ -99,7 +99,7 @@
             .map(|number| {
                 let (client, to) = (cluster.client.clone(), cluster.nodes[number % 2].caller());
                 let key = format!("o-{number}");
-                keeljunction::runtime::task(async move {
+                keeljunction::runtime::spawn_with_handle(async move {
                     let call =
                         Call::model(DUTY, "urgent", "hidro", &format!("overload {number}"), 50)
                             .key(&key);
--- a/crates/standin/tests/faults/planned_stop.rs
+++ b/crates/standin/tests/faults/planned_stop.rs
@@ -21,7 +21,7 @@
         for number in 0..8 {
             let prompt = format!("in flight {number}");
             let stream = open(&cluster, 0, &briefing(&prompt, 150), 3).await;
-            reading.push((prompt, runtime::task(finish(stream))));
+            reading.push((prompt, runtime::spawn_with_handle(finish(stream))));
         }
         cluster.nodes[0].process.stop();
         for (prompt, answer) in reading {
@@ -44,7 +44,7 @@
 fn balance(cluster: &Cluster, ready: &Ready) -> Task<()> {
     let operators: Vec<SocketAddr> = cluster.nodes.iter().map(|node| node.operator()).collect();
     let (client, ready) = (cluster.client.clone(), ready.clone());
-    runtime::task(async move {
+    runtime::spawn_with_handle(async move {
         loop {
             for (node, operator) in operators.iter().enumerate() {
                 let request =
@@ -88,7 +88,12 @@
         let callers: Vec<SocketAddr> = cluster.nodes.iter().map(|node| node.caller()).collect();
         let calling: Vec<_> = (0..6)
             .map(|number| {
-                runtime::task(call_on(number, callers.clone(), ready.clone(), is_over.clone()))
+                runtime::spawn_with_handle(call_on(
+                    number,
+                    callers.clone(),
+                    ready.clone(),
+                    is_over.clone(),
+                ))
             })
             .collect();
         for node in 0..3 {
--- a/crates/standin/tests/faults/reclaim.rs
+++ b/crates/standin/tests/faults/reclaim.rs
@@ -22,7 +22,7 @@
         let stream = open(&cluster, 0, &call, 20).await;
         let server = server_of(&cluster, "b-1").await;
         cluster.give_notice(&server, notice_ms).await;
-        let reading = runtime::task(finish(stream));
+        let reading = runtime::spawn_with_handle(finish(stream));
         runtime::sleep(Duration::from_millis(notice_ms)).await;
         cluster.servers.get_mut(&server).expect("it runs").kill();
         let answer = reading.await;
@@ -58,7 +58,7 @@
             streams.push(open(&cluster, number % 3, &call, 3).await);
         }
         let reading: Vec<_> =
-            streams.into_iter().map(|stream| runtime::task(finish(stream))).collect();
+            streams.into_iter().map(|stream| runtime::spawn_with_handle(finish(stream))).collect();
         cluster.give_notice("hidro-0", 1_500).await;
         cluster.give_notice("hidro-1", 1_500).await;
         runtime::sleep(Duration::from_millis(1_500)).await;
@@ -78,7 +78,7 @@
         let call = briefing("the node itself is reclaimed", 400).key("b-1");
         let stream = open(&cluster, 0, &call, 10).await;
         cluster.give_notice("entry-0", 1_500).await;
-        let reading = runtime::task(finish(stream));
+        let reading = runtime::spawn_with_handle(finish(stream));
         runtime::sleep(Duration::from_millis(1_700)).await;
         cluster.nodes[0].process.kill();
         let so_far = reading.await;
@@ -133,7 +133,7 @@
             streams.push(open(&cluster, number % 4, call, 3).await);
         }
         let reading: Vec<_> =
-            streams.into_iter().map(|stream| runtime::task(finish(stream))).collect();
+            streams.into_iter().map(|stream| runtime::spawn_with_handle(finish(stream))).collect();
         cluster.give_notice("entry-0", 2_000).await;
         cluster.give_notice("hidro-0", 2_000).await;
         runtime::sleep(Duration::from_millis(2_000)).await;
--- a/crates/standin/tests/faults/retries.rs
+++ b/crates/standin/tests/faults/retries.rs
@@ -16,9 +16,9 @@
             .map(|number| {
                 let (client, to) = (cluster.client.clone(), cluster.nodes[number % 2].caller());
                 let call = briefing(&format!("wave {number}"), 200).key(&format!("w-{number}"));
-                runtime::task(
-                    async move { call.send(&client, to).await.expect("there is a response") },
-                )
+                runtime::spawn_with_handle(async move {
+                    call.send(&client, to).await.expect("there is a response")
+                })
             })
             .collect();
         runtime::sleep(std::time::Duration::from_millis(700)).await;
--- a/crates/standin/tests/faults/whole_answer.rs
+++ b/crates/standin/tests/faults/whole_answer.rs
@@ -34,7 +34,7 @@
             .map(|number| {
                 let (client, to) = (cluster.client.clone(), cluster.nodes[number % 3].caller());
                 let prompt = format!("caller {number} asks");
-                runtime::task(async move {
+                runtime::spawn_with_handle(async move {
                     let answer = briefing(&prompt, 30).send(&client, to).await;
                     (prompt, answer.expect("there is a response"))
                 })
