--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -178,7 +178,7 @@
     fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = runtime::lock(&self.idle);
         let kept = idle.get_mut(&to)?;
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         kept.retain(|connection| connection.is_usable(now, self.rest));
         // The one that was used last: those that are not needed rest until the server closes them.
         kept.pop()
@@ -203,7 +203,7 @@
         let driver = runtime::spawn_with_handle(async move {
             let _ = drive(pin!(connection), &writes).await;
         });
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         Ok(Connection { sender, until: now + KEEP_FOR, rests_since: now, _driver: driver })
     }
 
@@ -213,7 +213,7 @@
         mut connection: Connection,
         response: Response<Incoming>,
     ) -> Response<Reply> {
-        connection.until = runtime::boot_time() + keep_for(response.headers());
+        connection.until = runtime::boottime_now() + keep_for(response.headers());
         let idle = self.idle.clone();
         let idle_per_address = self.idle_per_address.clone();
         response.map(|body| Reply {
@@ -298,7 +298,7 @@
             if kept.connection.sender.ready().await.is_ok() {
                 let mut idle = runtime::lock(&kept.idle);
                 let connections = idle.entry(kept.to).or_default();
-                kept.connection.rests_since = runtime::boot_time();
+                kept.connection.rests_since = runtime::boottime_now();
                 if connections.len() < kept.idle_per_address.load(Ordering::Relaxed) {
                     connections.push(kept.connection);
                 }
--- a/crates/gateway/src/node/stop.rs
+++ b/crates/gateway/src/node/stop.rs
@@ -31,10 +31,10 @@
     let notices = BALANCER_NOTICES.min(grace / 2);
     runtime::sleep(notices).await;
     node.closing.give();
-    let release_at = runtime::boot_time() + (grace - notices).saturating_sub(RELEASE_MARGIN);
+    let release_at = runtime::boottime_now() + (grace - notices).saturating_sub(RELEASE_MARGIN);
     let drained = runtime::timeout(grace - notices, async {
         while node.get_in_flight() > 0 {
-            if runtime::boot_time() >= release_at {
+            if runtime::boottime_now() >= release_at {
                 exchange::disconnect_resting(node);
             }
             runtime::sleep(LOOK).await;
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -63,10 +63,10 @@
 
 /// Waits for a time, in which a suspension of the machine counts.
 pub async fn sleep(time: Duration) {
-    let until = boot_time() + time;
+    let until = boottime_now() + time;
     loop {
         let resumed = RESUMED.listen();
-        let left = until.saturating_sub(boot_time());
+        let left = until.saturating_sub(boottime_now());
         let timer = async {
             Timer::after(left).await;
             true
@@ -82,7 +82,7 @@
 }
 
 /// Returns the time since the machine's start, in which a suspension counts.
-pub fn boot_time() -> Duration {
+pub fn boottime_now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     // Neither part is negative on this clock.
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
@@ -157,7 +157,7 @@
 impl Clock {
     /// Starts a clock. It starts well above zero, so that spans can be taken off it.
     pub fn new() -> Self {
-        Self { start: boot_time() }
+        Self { start: boottime_now() }
     }
 
     /// Returns what the clock showed at its start.
@@ -167,7 +167,7 @@
 
     /// Returns the milliseconds since the start.
     pub fn now(&self) -> u64 {
-        CLOCK_START_MS + boot_time().saturating_sub(self.start).as_millis() as u64
+        CLOCK_START_MS + boottime_now().saturating_sub(self.start).as_millis() as u64
     }
 }
 
