--- a/crates/gateway/src/node/pauses.rs
+++ b/crates/gateway/src/node/pauses.rs
@@ -26,13 +26,13 @@
 impl Pauses {
     /// Begins at a time on the node's clock.
     pub(super) fn begin(now: Millis) -> Self {
-        let suspension = Suspension::new(runtime::boottime_now(), runtime::steady_time());
+        let suspension = Suspension::new(runtime::boottime_now(), runtime::monotonic_now());
         Self { looked_at: now, suspension }
     }
 
     /// Looks whether the process stood still since the last look.
     pub(super) fn look(&mut self, node: &Node, now: Millis) {
-        let suspended = self.suspension.look(runtime::boottime_now(), runtime::steady_time());
+        let suspended = self.suspension.look(runtime::boottime_now(), runtime::monotonic_now());
         if suspended.is_some() {
             runtime::wake_sleeps();
         }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -115,7 +115,7 @@
 }
 
 /// Returns the time of the system's timers, which leave suspensions out.
-pub fn steady_time() -> Duration {
+pub fn monotonic_now() -> Duration {
     let time = clock_gettime(ClockId::Monotonic);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
