--- a/crates/gateway/src/node/pauses.rs
+++ b/crates/gateway/src/node/pauses.rs
@@ -10,7 +10,7 @@
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::runtime::{self, Suspension};
+use crate::runtime::{self, SuspensionDetector};
 
 /// How much later than its period a look may be before that counts as a pause, in milliseconds: leases
 /// and freshness bounds are a few seconds.
@@ -20,13 +20,13 @@
 #[derive(Debug)]
 pub(super) struct Pauses {
     looked_at: Millis,
-    suspension: Suspension,
+    suspension: SuspensionDetector,
 }
 
 impl Pauses {
     /// Begins at a time on the node's clock.
     pub(super) fn begin(now: Millis) -> Self {
-        let suspension = Suspension::new(runtime::boottime_now(), runtime::monotonic_now());
+        let suspension = SuspensionDetector::new(runtime::boottime_now(), runtime::monotonic_now());
         Self { looked_at: now, suspension }
     }
 
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -90,12 +90,12 @@
 
 /// Notices that the machine was suspended.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspension {
+pub struct SuspensionDetector {
     boot: Duration,
     steady: Duration,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// The least difference of the two clocks that is taken for a suspension: both are read one after
     /// the other, on a VM whose processor may be away in between.
     const LEAST: Duration = Duration::from_millis(50);
