--- a/crates/gateway/src/node/pauses.rs
+++ b/crates/gateway/src/node/pauses.rs
@@ -32,7 +32,7 @@
 
     /// Looks whether the process stood still since the last look.
     pub(super) fn look(&mut self, node: &Node, now: Millis) {
-        let suspended = self.suspension.look(runtime::boottime_now(), runtime::monotonic_now());
+        let suspended = self.suspension.check(runtime::boottime_now(), runtime::monotonic_now());
         if suspended.is_some() {
             runtime::wake_sleeps();
         }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -106,7 +106,7 @@
     }
 
     /// Returns how long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
+    pub fn check(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
         let counted = boot.saturating_sub(self.boot);
         let suspended = counted.saturating_sub(steady.saturating_sub(self.steady));
         *self = Self { boot, steady };
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -11,22 +11,22 @@
 #[test]
 fn the_difference_of_the_two_clocks_is_a_suspension() {
     let mut suspension = SuspensionDetector::new(ms(90_000), ms(50_000));
-    assert_eq!(suspension.look(ms(90_200), ms(50_200)), None);
-    assert_eq!(suspension.look(ms(97_400), ms(50_400)), Some(ms(7_000)));
-    assert_eq!(suspension.look(ms(97_600), ms(50_600)), None);
+    assert_eq!(suspension.check(ms(90_200), ms(50_200)), None);
+    assert_eq!(suspension.check(ms(97_400), ms(50_400)), Some(ms(7_000)));
+    assert_eq!(suspension.check(ms(97_600), ms(50_600)), None);
 }
 
 #[test]
 fn a_pause_that_both_clocks_count_is_none() {
     let mut suspension = SuspensionDetector::new(ms(90_000), ms(50_000));
-    assert_eq!(suspension.look(ms(99_000), ms(59_000)), None);
+    assert_eq!(suspension.check(ms(99_000), ms(59_000)), None);
 }
 
 #[test]
 fn clocks_that_are_read_one_after_the_other_are_no_suspension() {
     let mut suspension = SuspensionDetector::new(ms(90_000), ms(50_000));
-    assert_eq!(suspension.look(ms(90_240), ms(50_200)), None);
-    assert_eq!(suspension.look(ms(90_400), ms(50_400)), None);
+    assert_eq!(suspension.check(ms(90_240), ms(50_200)), None);
+    assert_eq!(suspension.check(ms(90_400), ms(50_400)), None);
 }
 
 #[test]
