--- a/crates/gateway/src/node/pauses.rs
+++ b/crates/gateway/src/node/pauses.rs
@@ -34,7 +34,7 @@
     pub(super) fn look(&mut self, node: &Node, now: Millis) {
         let suspended = self.suspension.check(runtime::boottime_now(), runtime::monotonic_now());
         if suspended.is_some() {
-            runtime::wake_sleeps();
+            runtime::wake_sleepers();
         }
         let paused = now.saturating_sub(self.looked_at);
         self.looked_at = now;
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -121,7 +121,7 @@
 }
 
 /// Lets all sleeps check how much of their time is left.
-pub fn wake_sleeps() {
+pub fn wake_sleepers() {
     RESUMED.notify(usize::MAX);
 }
 
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -37,7 +37,7 @@
         let waking = runtime::spawn_with_handle(async {
             for _ in 0..10 {
                 runtime::sleep(ms(20)).await;
-                runtime::wake_sleeps();
+                runtime::wake_sleepers();
             }
         });
         runtime::sleep(ms(300)).await;
