--- a/crates/gateway/benches/log.rs
+++ b/crates/gateway/benches/log.rs
@@ -20,7 +20,7 @@
 const ADMITTED: u32 = 50;
 
 fn main() {
-    log::start("info", ADMITTED);
+    log::init("info", ADMITTED);
     report("a failure's line, written", measure(&ended("busy"), DRAIN));
     report("a usual line, sampled out", measure(&ended("answered"), Duration::ZERO));
     // While this is held the writer waits, as for a reader that stands still.
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -70,7 +70,7 @@
 /// Sends logs of at least a level to standard output, with this many sampled lines a second.
 ///
 /// A second call changes nothing.
-pub fn start(level: &str, lines_per_second: u32) {
+pub fn init(level: &str, lines_per_second: u32) {
     let (queue, lines) = async_channel::bounded(QUEUE_LINES);
     let filter = LevelFilter::from_str(level).unwrap_or(LevelFilter::Info);
     let window = SampleWindow { began: Instant::now(), lines: 0, left_out: 0 };
--- a/crates/keeljunction/src/command/gateway.rs
+++ b/crates/keeljunction/src/command/gateway.rs
@@ -44,7 +44,7 @@
         println!("{}: the settings of node {} hold", path.display(), settings.node.name);
         return Ok(());
     }
-    log::start(&settings.log.level, settings.log.lines_per_second);
+    log::init(&settings.log.level, settings.log.lines_per_second);
     let platform = keeljunction_platform::connect(&settings.platform);
     Ok(runtime::run(0, serve(settings, path.clone(), platform))?)
 }
