--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -116,7 +116,7 @@
 }
 
 /// Returns how many lines were sampled out and how many a full queue cost.
-pub fn get_losses() -> (u64, u64) {
+pub fn get_suppressed_counts() -> (u64, u64) {
     let Some(log) = LOG.get() else { return (0, 0) };
     (log.sampled_out.load(Ordering::Relaxed), log.dropped.load(Ordering::Relaxed))
 }
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -155,7 +155,7 @@
         let now = node.now();
         self.in_flight.set(node.get_in_flight() as i64);
         self.connections_opened.set(node.servers.get_opened() as i64);
-        let (sampled_out, dropped) = crate::log::get_losses();
+        let (sampled_out, dropped) = crate::log::get_suppressed_counts();
         self.sampled_out_lines.set(sampled_out as i64);
         self.dropped_lines.set(dropped as i64);
         self.resident.set(read_resident_bytes().unwrap_or(0) as i64);
