--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -14,7 +14,7 @@
 
 use super::cut_runs::CutRun;
 use super::{Node, peers};
-use crate::event::{self, Event, Running};
+use crate::event::{self, CrashSuspect, Event};
 use crate::metrics::ServiceLabels;
 use crate::runtime::{self, lock};
 
@@ -61,9 +61,10 @@
     node.with(|state| state.health.fail_to_connect(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
-    let running = runs
-        .iter()
-        .map(|run| Running { fingerprint: run.fingerprint.to_string(), ran_ms: run.get_span() });
+    let running = runs.iter().map(|run| CrashSuspect {
+        fingerprint: run.fingerprint.to_string(),
+        ran_ms: run.get_span(),
+    });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
     node.with(|state| state.quarantine.note_crash(now, make_report(now, &server, &runs)));
