--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -225,7 +225,7 @@
 impl Event<'_> {
     /// Returns `true` if the event is of the kind that comes with each request that goes as usual, and
     /// may be sampled under load.
-    pub fn is_usual(&self) -> bool {
+    pub fn is_routine(&self) -> bool {
         match self {
             Self::ServerChosen { attempt, .. } => *attempt == 1,
             Self::RequestEnded { outcome, .. } => *outcome == "answered" || *outcome == "left",
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -108,7 +108,7 @@
     if *lock(&log.level) < LevelFilter::Info {
         return;
     }
-    if event.is_usual() && !log.admit() {
+    if event.is_routine() && !log.admit() {
         log.sampled_out.fetch_add(1, Ordering::Relaxed);
         return;
     }
