--- a/crates/gateway/src/active_responses.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -16,11 +16,11 @@
 #[derive(Default)]
 pub struct ActiveResponses {
     next_id: AtomicU64,
-    handles: Mutex<HashMap<u64, Arc<Handle>>>,
+    handles: Mutex<HashMap<u64, Arc<ResponseHandle>>>,
 }
 
 /// What can be done to an answer that is passed on.
-pub struct Handle {
+pub struct ResponseHandle {
     /// Names the request.
     pub request: String,
     /// Notes whether the caller takes what is there; `None` where the answer has ended.
@@ -47,7 +47,7 @@
     }
 
     /// Adds an answer.
-    pub fn add(&self, id: u64, handle: Handle) {
+    pub fn add(&self, id: u64, handle: ResponseHandle) {
         lock(&self.handles).insert(id, Arc::new(handle));
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Lists the answers.
-    pub fn list(&self) -> Vec<Arc<Handle>> {
+    pub fn list(&self) -> Vec<Arc<ResponseHandle>> {
         lock(&self.handles).values().cloned().collect()
     }
 }
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -22,7 +22,7 @@
 use super::flow::Flow;
 use super::respond::{Passage, Record};
 use super::source::{Source, Step};
-use crate::active_responses::{Handle, Look};
+use crate::active_responses::{Look, ResponseHandle};
 use crate::event::{self, Event};
 use crate::http::{Body, Peer};
 use crate::node::{Node, Reservation};
@@ -95,9 +95,9 @@
     }
 
     /// Makes what the node keeps of the answer, which does not keep the answer itself.
-    fn make_handle(self: &Arc<Self>) -> Handle {
+    fn make_handle(self: &Arc<Self>) -> ResponseHandle {
         let (looking, disconnecting) = (Arc::downgrade(self), Arc::downgrade(self));
-        Handle {
+        ResponseHandle {
             request: self.request.clone(),
             look: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
             disconnect: Box::new(move |reason| {
