--- a/crates/gateway/src/active_responses.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -24,14 +24,14 @@
     /// Names the request.
     pub request: String,
     /// Notes whether the caller takes what is there; `None` where the answer has ended.
-    pub look: Box<dyn Fn(Millis) -> Option<Look> + Send + Sync>,
+    pub look: Box<dyn Fn(Millis) -> Option<ResponseStatus> + Send + Sync>,
     /// Ends the answer for a reason, and resets the caller's connection.
     pub disconnect: Box<dyn Fn(&'static str) + Send + Sync>,
 }
 
 /// What a look at an answer showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct ResponseStatus {
     /// The caller, with the bytes that are held for it.
     pub caller: Caller,
     /// Whether the caller took too little for too long.
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
 
-use crate::active_responses::{Look, ResponseHandle};
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
@@ -43,7 +43,7 @@
     let now = node.now();
     let feeds = node.active_responses.list();
     let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.look)(now)?)));
-    let looked: Vec<(&Arc<ResponseHandle>, Look)> = looked.collect();
+    let looked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = looked.collect();
     for (feed, look) in looked.iter().filter(|(_, look)| look.is_over) {
         disconnect(node, feed, look, "no_progress");
     }
@@ -70,7 +70,7 @@
     (total - capacity * EASED_PART) as usize
 }
 
-fn disconnect(node: &Node, feed: &ResponseHandle, look: &Look, reason: &'static str) {
+fn disconnect(node: &Node, feed: &ResponseHandle, look: &ResponseStatus, reason: &'static str) {
     event::emit(&Event::CallerDisconnected {
         request: &feed.request,
         reason,
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -22,7 +22,7 @@
 use super::flow::Flow;
 use super::respond::{Passage, Record};
 use super::source::{Source, Step};
-use crate::active_responses::{Look, ResponseHandle};
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
 use crate::http::{Body, Peer};
 use crate::node::{Node, Reservation};
@@ -166,7 +166,7 @@
     }
 
     /// Notes whether the caller takes what is there, and starts to read ahead where it does not.
-    fn look(self: &Arc<Self>, now: Millis) -> Look {
+    fn look(self: &Arc<Self>, now: Millis) -> ResponseStatus {
         let mut flow = lock(&self.flow);
         let since = now.saturating_sub(flow.looked_at);
         flow.looked_at = now;
@@ -185,7 +185,7 @@
         }
         let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
         let caller = Caller { id: self.id, bytes, resting };
-        Look { caller, is_over: flow.progress.is_too_slow(), is_short }
+        ResponseStatus { caller, is_over: flow.progress.is_too_slow(), is_short }
     }
 
     /// Reads the server until the caller's connection polls, the buffer is full, or the answer has
