--- a/crates/gateway/src/active_responses.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -24,7 +24,7 @@
     /// Names the request.
     pub request: String,
     /// Notes whether the caller takes what is there; `None` where the answer has ended.
-    pub look: Box<dyn Fn(Millis) -> Option<ResponseStatus> + Send + Sync>,
+    pub check_status: Box<dyn Fn(Millis) -> Option<ResponseStatus> + Send + Sync>,
     /// Ends the answer for a reason, and resets the caller's connection.
     pub disconnect: Box<dyn Fn(&'static str) + Send + Sync>,
 }
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -32,7 +32,7 @@
 pub fn disconnect_resting(node: &Node) {
     let now = node.now();
     for feed in node.active_responses.list() {
-        let Some(look) = (feed.look)(now) else { continue };
+        let Some(look) = (feed.check_status)(now) else { continue };
         if look.caller.resting >= RESTING_AFTER {
             disconnect(node, &feed, &look, "stopping");
         }
@@ -42,7 +42,7 @@
 fn look_at_all(node: &Node) {
     let now = node.now();
     let feeds = node.active_responses.list();
-    let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.look)(now)?)));
+    let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.check_status)(now)?)));
     let looked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = looked.collect();
     for (feed, look) in looked.iter().filter(|(_, look)| look.is_over) {
         disconnect(node, feed, look, "no_progress");
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -99,7 +99,7 @@
         let (looking, disconnecting) = (Arc::downgrade(self), Arc::downgrade(self));
         ResponseHandle {
             request: self.request.clone(),
-            look: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
+            check_status: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
             disconnect: Box::new(move |reason| {
                 if let Some(feed) = disconnecting.upgrade() {
                     feed.disconnect(reason);
