--- a/crates/gateway/src/active_responses.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -35,7 +35,7 @@
     /// The caller, with the bytes that are held for it.
     pub caller: Caller,
     /// Whether the caller took too little for too long.
-    pub is_over: bool,
+    pub is_too_slow: bool,
     /// Whether there is no memory for what was read.
     pub is_short: bool,
 }
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -44,7 +44,7 @@
     let feeds = node.active_responses.list();
     let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.check_status)(now)?)));
     let looked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = looked.collect();
-    for (feed, look) in looked.iter().filter(|(_, look)| look.is_over) {
+    for (feed, look) in looked.iter().filter(|(_, look)| look.is_too_slow) {
         disconnect(node, feed, look, "no_progress");
     }
     let is_short = looked.iter().any(|(_, look)| look.is_short);
@@ -53,7 +53,7 @@
         return;
     }
     let callers: Vec<Caller> =
-        looked.iter().filter(|(_, look)| !look.is_over).map(|(_, look)| look.caller).collect();
+        looked.iter().filter(|(_, look)| !look.is_too_slow).map(|(_, look)| look.caller).collect();
     let picked = pick_resting(&callers, missing);
     for (feed, look) in looked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
         disconnect(node, feed, look, "memory");
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -185,7 +185,7 @@
         }
         let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
         let caller = Caller { id: self.id, bytes, resting };
-        ResponseStatus { caller, is_over: flow.progress.is_too_slow(), is_short }
+        ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short }
     }
 
     /// Reads the server until the caller's connection polls, the buffer is full, or the answer has
