--- a/crates/gateway/src/metrics/registry.rs
+++ b/crates/gateway/src/metrics/registry.rs
@@ -248,7 +248,7 @@
 
     /// Registers the counter of the bytes of datagrams to nodes of other regions. The link between
     /// nodes counts them.
-    pub(crate) fn register_crossed(&mut self, crossed: Family<RegionLabels, Counter>) {
+    pub(crate) fn register_cross_region_bytes(&mut self, crossed: Family<RegionLabels, Counter>) {
         self.registry.register_with_unit(
             "control_crossed",
             "Datagrams sent to nodes of other regions",
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -301,7 +301,7 @@
             ),
         };
         let mut metrics = Metrics::default();
-        metrics.register_crossed(link.get_crossed_by_region());
+        metrics.register_cross_region_bytes(link.get_crossed_by_region());
         Arc::new(Self {
             settings,
             platform,
