--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -30,7 +30,7 @@
     let region = is_multi_region.then(|| get_region(&node.topology, &server.data_centre));
     let spill = pick.spill.map(Cause::as_str);
     if let (Some(region), Some(reason)) = (region, spill) {
-        node.metrics.spilled.get_or_create(&SpillLabels::of(region, reason)).inc();
+        node.metrics.spilled.get_or_create(&SpillLabels::new(region, reason)).inc();
     }
     event::emit(&Event::ServerChosen {
         request: &record.id,
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -121,7 +121,7 @@
             }
         });
         if matches!(gate, Gate::LinkFull(_)) {
-            let labels = RegionLabels::of(region);
+            let labels = RegionLabels::new(region);
             node.metrics.link_full.get_or_create(&labels).inc();
         }
         gate
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -183,7 +183,7 @@
             for region in node.topology.list_regions() {
                 if region != node.topology.get_own() {
                     let round_trip = state.distances.get_round_trip(region) as f64 / 1_000.0;
-                    let labels = RegionLabels::of(region);
+                    let labels = RegionLabels::new(region);
                     self.region_round_trip.get_or_create(&labels).set(round_trip);
                 }
             }
--- a/crates/gateway/src/metrics/labels.rs
+++ b/crates/gateway/src/metrics/labels.rs
@@ -46,7 +46,7 @@
 
 impl RegionLabels {
     /// Makes the labels of a region.
-    pub fn of(region: &str) -> Self {
+    pub fn new(region: &str) -> Self {
         Self { region: region.to_owned() }
     }
 }
@@ -62,7 +62,7 @@
 
 impl SpillLabels {
     /// Makes the labels of a region and a reason.
-    pub fn of(region: &str, reason: &str) -> Self {
+    pub fn new(region: &str, reason: &str) -> Self {
         Self { region: region.to_owned(), reason: reason.to_owned() }
     }
 }
