--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -6,14 +6,14 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Returns the function that weighs names for a key: the owner is the heaviest.
-pub fn weigher(key: &str) -> impl Fn(&str) -> u64 {
+pub fn make_weight_fn(key: &str) -> impl Fn(&str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     move |name| weight(seed, name)
 }
 
 /// Orders names by their weight for a key, the owner first.
 pub fn order<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
-    let weigh = weigher(key);
+    let weigh = make_weight_fn(key);
     let mut weighed: Vec<(u64, &str)> = names.map(|name| (weigh(name), name)).collect();
     weighed.sort_unstable_by(|a, b| b.cmp(a));
     weighed.into_iter().map(|(_, name)| name).collect()
--- a/crates/core/src/serving/members/ranking.rs
+++ b/crates/core/src/serving/members/ranking.rs
@@ -56,7 +56,7 @@
 /// The order is computed again whenever a node joins, so that only the first are sorted, by keys that
 /// are computed once.
 fn first_by_link<'a>(key: &str, nodes: Vec<&'a Entry>, count: usize) -> Vec<&'a Entry> {
-    let weigh = rendezvous::weigher(key);
+    let weigh = rendezvous::make_weight_fn(key);
     let place = |node: &'a Entry| (Reverse((node.link_mbps, weigh(&node.name), &node.name)), node);
     let mut placed: Vec<_> = nodes.into_iter().map(place).collect();
     if count < placed.len() {
