--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -12,7 +12,7 @@
 }
 
 /// Orders names by their weight for a key, the owner first.
-pub fn order<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
+pub fn rank<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let weigh = make_weight_fn(key);
     let mut weighed: Vec<(u64, &str)> = names.map(|name| (weigh(name), name)).collect();
     weighed.sort_unstable_by(|a, b| b.cmp(a));
@@ -40,7 +40,7 @@
     nodes: &'a [(String, String)],
 ) -> Option<&'a str> {
     let others = nodes.iter().filter(|(name, _)| name != me);
-    let ordered = order(key, others.map(|(name, _)| name.as_str()));
+    let ordered = rank(key, others.map(|(name, _)| name.as_str()));
     let is_away = |name: &&&str| nodes.iter().any(|(n, dc)| n == **name && dc != my_data_centre);
     ordered.iter().find(is_away).or(ordered.first()).copied()
 }
--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -325,7 +325,7 @@
         let targets = servers.filter(|server| self.is_target(server));
         let targets: Vec<&str> = targets.map(|server| server.id.as_str()).collect();
         let count = (targets.len() as f64 * tolerance.share).ceil() as usize;
-        let mut ordered = rendezvous::order(CANARIES_KEY, targets.into_iter());
+        let mut ordered = rendezvous::rank(CANARIES_KEY, targets.into_iter());
         ordered.truncate(count);
         ordered
     }
--- a/crates/core/tests/core/succession.rs
+++ b/crates/core/tests/core/succession.rs
@@ -1,6 +1,6 @@
 //! Which node owns a key, and who comes after it.
 
-use keeljunction_core::rendezvous::{holder, order, owner};
+use keeljunction_core::rendezvous::{holder, owner, rank};
 use proptest::prelude::*;
 
 fn nodes(count: usize) -> Vec<(String, String)> {
@@ -35,9 +35,9 @@
     fn only_the_keys_of_a_node_that_goes_move(key in any::<u64>(), count in 2..20usize, gone in 0..20usize) {
         let all = nodes(count);
         let gone = format!("n{}", gone % count);
-        let before = order(&key.to_string(), names(&all));
+        let before = rank(&key.to_string(), names(&all));
         let left: Vec<_> = all.iter().filter(|(name, _)| *name != gone).cloned().collect();
-        let after = order(&key.to_string(), names(&left));
+        let after = rank(&key.to_string(), names(&left));
         let expected: Vec<&str> = before.into_iter().filter(|name| *name != gone).collect();
         prop_assert_eq!(owner(&key.to_string(), names(&left)), expected.first().copied());
         prop_assert_eq!(after, expected);
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -158,7 +158,7 @@
     let members = runtime::lock(&node.members);
     let others = members.iter().filter(|m| m.state != State::Dead && m.name != node.get_name());
     let names: Vec<&str> = others.map(|member| member.name.as_str()).collect();
-    let order = rendezvous::order(&key, names.into_iter());
+    let order = rendezvous::rank(&key, names.into_iter());
     order.into_iter().take(QUERIED).map(str::to_owned).collect()
 }
 
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -220,7 +220,7 @@
     let start = request.prompt.prefix.first();
     let key = start.map_or_else(|| request.key.clone(), u64::to_string);
     let labels: Vec<String> = filled.iter().map(u32::to_string).collect();
-    let order = rendezvous::order(&key, labels.iter().map(String::as_str));
+    let order = rendezvous::rank(&key, labels.iter().map(String::as_str));
     order.into_iter().take(2).filter_map(|label| label.parse().ok()).collect()
 }
 
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -202,7 +202,7 @@
     /// A few nodes read it each time, the others far more seldom: they hear of it from their peers.
     pub fn is_turn_to_read(&self, what: &str, turn: u64) -> bool {
         let nodes = self.usable_nodes();
-        let order = rendezvous::order(what, nodes.iter().map(|(name, _)| name.as_str()));
+        let order = rendezvous::rank(what, nodes.iter().map(|(name, _)| name.as_str()));
         let is_watcher = order.iter().take(WATCHERS).any(|name| *name == self.get_name());
         is_watcher || turn.is_multiple_of(SELDOM)
     }
