--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -33,7 +33,7 @@
 ///
 /// It is the first of the succession list that is not the entry node itself and, where there is
 /// a choice, stands in another data centre. `nodes` gives names with their data centres.
-pub fn holder<'a>(
+pub fn replica<'a>(
     key: &str,
     me: &str,
     my_data_centre: &str,
--- a/crates/core/tests/core/succession.rs
+++ b/crates/core/tests/core/succession.rs
@@ -1,6 +1,6 @@
 //! Which node owns a key, and who comes after it.
 
-use keeljunction_core::rendezvous::{holder, owner, rank};
+use keeljunction_core::rendezvous::{owner, rank, replica};
 use proptest::prelude::*;
 
 fn nodes(count: usize) -> Vec<(String, String)> {
@@ -25,8 +25,8 @@
 
 #[test]
 fn alone_there_is_no_holder_and_with_one_other_it_is_that() {
-    assert_eq!(holder("k", "n0", "dc0", &nodes(1)), None);
-    assert_eq!(holder("k", "n0", "dc0", &nodes(2)), Some("n1"));
+    assert_eq!(replica("k", "n0", "dc0", &nodes(1)), None);
+    assert_eq!(replica("k", "n0", "dc0", &nodes(2)), Some("n1"));
 }
 
 proptest! {
@@ -47,7 +47,7 @@
     #[test]
     fn the_holder_stands_elsewhere(key in any::<u64>(), count in 2..20usize) {
         let nodes = nodes(count);
-        let held = holder(&key.to_string(), "n0", "dc0", &nodes).expect("there is one");
+        let held = replica(&key.to_string(), "n0", "dc0", &nodes).expect("there is one");
         prop_assert_ne!(held, "n0");
         let data_centre = nodes.iter().find(|(name, _)| name == held).map(|(_, dc)| dc.as_str());
         prop_assert_ne!(data_centre, Some("dc0"));
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -206,7 +206,7 @@
 fn pick(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
     let (me, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
     let key = request.get_succession_key();
-    rendezvous::holder(&key, me, data_centre, nodes).map(str::to_owned)
+    rendezvous::replica(&key, me, data_centre, nodes).map(str::to_owned)
 }
 
 async fn send(node: &Node, holder: &str, message: wire::HoldRequest) -> bool {
