--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::Millis;
-use crate::gossip::Queue;
+use crate::gossip::TransmitQueue;
 
 /// How long a departure is remembered after the VM should be gone, in milliseconds.
 const MEMORY_MS: Millis = 600_000;
@@ -38,7 +38,7 @@
 pub struct Directory {
     servers: BTreeMap<String, Server>,
     departures: BTreeMap<String, Millis>,
-    news: Queue<Departure>,
+    news: TransmitQueue<Departure>,
 }
 
 impl Directory {
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -7,7 +7,7 @@
 
 /// News to pass on: the least sent first, each a bounded number of times.
 #[derive(Clone, Debug)]
-pub struct Queue<T> {
+pub struct TransmitQueue<T> {
     entries: VecDeque<Entry<T>>,
 }
 
@@ -18,13 +18,13 @@
     sent: u32,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for TransmitQueue<T> {
     fn default() -> Self {
         Self { entries: VecDeque::new() }
     }
 }
 
-impl<T: Clone> Queue<T> {
+impl<T: Clone> TransmitQueue<T> {
     /// Makes an empty queue.
     pub fn new() -> Self {
         Self::default()
--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -4,7 +4,7 @@
 
 use super::{Member, State};
 use crate::Millis;
-use crate::gossip::Queue;
+use crate::gossip::TransmitQueue;
 
 /// The times that membership goes by, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 pub struct List {
     me: Member,
     others: BTreeMap<String, Entry>,
-    news: Queue<Member>,
+    news: TransmitQueue<Member>,
     round: Vec<String>,
     timing: Timing,
 }
@@ -35,7 +35,7 @@
 impl List {
     /// Starts a list with the node itself.
     pub fn new(me: Member, timing: Timing) -> Self {
-        let mut news = Queue::new();
+        let mut news = TransmitQueue::new();
         news.push(&me.name, me.clone());
         Self { me, others: BTreeMap::new(), news, round: Vec::new(), timing }
     }
