--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the node itself.
-    pub fn get_me(&self) -> &Member {
+    pub fn get_local(&self) -> &Member {
         &self.me
     }
 
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -51,8 +51,8 @@
 fn news_of_its_own_death_are_refuted_with_a_higher_incarnation() {
     let mut list = list();
     assert!(list.apply(0, member("me", 4, State::Dead)));
-    assert_eq!(list.get_me().incarnation, 5);
-    assert_eq!(list.get_me().state, State::Alive);
+    assert_eq!(list.get_local().incarnation, 5);
+    assert_eq!(list.get_local().state, State::Alive);
     assert!(list.take_news(9).contains(&member("me", 5, State::Alive)));
 }
 
