--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -59,7 +59,7 @@
     }
 
     /// Walks the nodes that may be given work: alive ones, and suspects that may yet refute.
-    pub fn usable(&self) -> impl Iterator<Item = &Member> {
+    pub fn iter_usable(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| matches!(member.state, State::Alive | State::Suspect))
     }
 
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -34,7 +34,7 @@
     assert_eq!(list.expire(1_099), []);
     assert_eq!(list.expire(1_100).len(), 1);
     assert_eq!(state(&list, "a"), Some(State::Dead));
-    assert_eq!(list.usable().count(), 2);
+    assert_eq!(list.iter_usable().count(), 2);
 }
 
 #[test]
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -194,7 +194,7 @@
     /// Returns the names and data centres of the nodes that may be given work.
     pub fn usable_nodes(&self) -> Vec<(String, String)> {
         let members = runtime::lock(&self.members);
-        members.usable().map(|m| (m.name.clone(), m.data_centre.clone())).collect()
+        members.iter_usable().map(|m| (m.name.clone(), m.data_centre.clone())).collect()
     }
 
     /// Returns `true` if it is this node's turn to read something of the platform that all nodes want.
