--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -103,7 +103,12 @@
     }
 
     /// Picks up to `count` nodes to probe `target` on this node's behalf.
-    pub fn helpers(&self, target: &str, count: usize, random: &mut fastrand::Rng) -> Vec<Member> {
+    pub fn pick_helpers(
+        &self,
+        target: &str,
+        count: usize,
+        random: &mut fastrand::Rng,
+    ) -> Vec<Member> {
         let fit = self.probable().filter(|m| m.name != target && m.state == State::Alive);
         let mut fit: Vec<Member> = fit.cloned().collect();
         random.shuffle(&mut fit);
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -46,7 +46,7 @@
 fn spread(node: &Arc<Node>) {
     let targets = {
         let members = runtime::lock(&node.members);
-        members.helpers("", SPREAD, &mut fastrand::Rng::new())
+        members.pick_helpers("", SPREAD, &mut fastrand::Rng::new())
     };
     for target in targets {
         let node = node.clone();
@@ -143,7 +143,11 @@
 async fn indirect(node: &Arc<Node>, target: &Member) -> bool {
     let helpers = {
         let members = runtime::lock(&node.members);
-        members.helpers(&target.name, node.settings.membership.helpers, &mut fastrand::Rng::new())
+        members.pick_helpers(
+            &target.name,
+            node.settings.membership.helpers,
+            &mut fastrand::Rng::new(),
+        )
     };
     let probes: Vec<_> = helpers
         .into_iter()
