--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -117,7 +117,7 @@
     }
 
     /// Notes that a node answered.
-    pub fn answered(&mut self, name: &str) {
+    pub fn record_answer(&mut self, name: &str) {
         if let Some(entry) = self.others.get_mut(name) {
             entry.missed_since = None;
         }
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -61,7 +61,7 @@
     let mut list = list();
     list.apply(0, member("a", 2, State::Leaving));
     list.missed(10, "a");
-    list.answered("a");
+    list.record_answer("a");
     assert_eq!(list.expire(2_000), []);
     list.missed(3_000, "a");
     assert_eq!(list.expire(4_000).len(), 1);
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -107,7 +107,7 @@
 
 async fn probe(node: &Arc<Node>, target: &Member) {
     if direct(node, &target.address, "").await || indirect(node, target).await {
-        runtime::lock(&node.members).answered(&target.name);
+        runtime::lock(&node.members).record_answer(&target.name);
         return;
     }
     node.metric.count("probes_missed", 1);
