--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -124,7 +124,7 @@
     }
 
     /// Notes that a node answered neither directly nor through others.
-    pub fn missed(&mut self, now: Millis, name: &str) {
+    pub fn record_missed_probe(&mut self, now: Millis, name: &str) {
         let Some(entry) = self.others.get_mut(name) else { return };
         entry.missed_since.get_or_insert(now);
         if entry.member.state == State::Alive {
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_silent_node_is_suspected_then_dead() {
     let mut list = list();
-    list.missed(100, "a");
+    list.record_missed_probe(100, "a");
     assert_eq!(state(&list, "a"), Some(State::Suspect));
     assert_eq!(list.expire(1_099), []);
     assert_eq!(list.expire(1_100).len(), 1);
@@ -40,7 +40,7 @@
 #[test]
 fn a_suspect_that_refutes_is_alive_and_stale_news_do_not_harm_it() {
     let mut list = list();
-    list.missed(100, "a");
+    list.record_missed_probe(100, "a");
     assert!(list.apply(200, member("a", 2, State::Alive)));
     assert_eq!(list.expire(5_000), []);
     assert!(!list.apply(300, member("a", 1, State::Dead)));
@@ -60,10 +60,10 @@
 fn a_leaving_node_stays_leaving_until_it_is_silent() {
     let mut list = list();
     list.apply(0, member("a", 2, State::Leaving));
-    list.missed(10, "a");
+    list.record_missed_probe(10, "a");
     list.record_answer("a");
     assert_eq!(list.expire(2_000), []);
-    list.missed(3_000, "a");
+    list.record_missed_probe(3_000, "a");
     assert_eq!(list.expire(4_000).len(), 1);
 }
 
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -111,7 +111,7 @@
         return;
     }
     node.metric.count("probes_missed", 1);
-    runtime::lock(&node.members).missed(node.now(), &target.name);
+    runtime::lock(&node.members).record_missed_probe(node.now(), &target.name);
 }
 
 async fn probe_seeds(node: &Arc<Node>) {
