--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -104,7 +104,7 @@
                 bencher.iter(|| {
                     incarnation += 1;
                     list.apply(0, member(1 + incarnation as usize % (nodes - 1), incarnation));
-                    black_box(list.take_news(6))
+                    black_box(list.take_updates(6))
                 });
             },
         );
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -99,7 +99,7 @@
     }
 
     /// Takes up to `most` pieces of news for one message among `nodes` nodes.
-    pub fn take_news(&mut self, most: usize, nodes: usize) -> Vec<Departure> {
+    pub fn take_updates(&mut self, most: usize, nodes: usize) -> Vec<Departure> {
         self.news.take(most, nodes)
     }
 }
--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -161,7 +161,7 @@
     }
 
     /// Takes up to `most` pieces of news for one message.
-    pub fn take_news(&mut self, most: usize) -> Vec<Member> {
+    pub fn take_updates(&mut self, most: usize) -> Vec<Member> {
         let nodes = self.others.len() + 1;
         self.news.take(most, nodes)
     }
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -53,7 +53,7 @@
     assert!(list.apply(0, member("me", 4, State::Dead)));
     assert_eq!(list.get_local().incarnation, 5);
     assert_eq!(list.get_local().state, State::Alive);
-    assert!(list.take_news(9).contains(&member("me", 5, State::Alive)));
+    assert!(list.take_updates(9).contains(&member("me", 5, State::Alive)));
 }
 
 #[test]
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -58,7 +58,7 @@
 
 /// Writes the news that ride on one message.
 pub fn news(node: &Node) -> wire::News {
-    let members = runtime::lock(&node.members).take_news(MEMBERS);
+    let members = runtime::lock(&node.members).take_updates(MEMBERS);
     news_of(node, &members)
 }
 
@@ -184,7 +184,7 @@
 
 fn news_of(node: &Node, members: &[Member]) -> wire::News {
     let nodes = members.len().max(runtime::lock(&node.members).iter().count());
-    let departures = runtime::lock(&node.directory).take_news(DEPARTURES, nodes);
+    let departures = runtime::lock(&node.directory).take_updates(DEPARTURES, nodes);
     let now = node.now();
     let write = |departure: &Departure| wire::Departure {
         server: departure.server.clone(),
