--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -93,7 +93,7 @@
         state: State::Alive,
     };
     for nodes in [9, 33, 330] {
-        let mut list = List::new(member(0, 1), Timing { suspicion: 1_000, memory: 1_000 });
+        let mut list = List::new(member(0, 1), Timing { suspicion: 1_000, dead_retention: 1_000 });
         for n in 1..nodes {
             list.apply(0, member(n, 1));
         }
--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -12,7 +12,7 @@
     /// How long a suspect has to refute before it counts as dead.
     pub suspicion: Millis,
     /// How long a dead node is remembered, so that late news cannot bring it back.
-    pub memory: Millis,
+    pub dead_retention: Millis,
 }
 
 /// The nodes that one node knows, itself included.
@@ -139,7 +139,8 @@
     /// Declares silent nodes dead, forgets the long dead, and returns those newly dead.
     pub fn expire(&mut self, now: Millis) -> Vec<Member> {
         let timing = self.timing;
-        self.others.retain(|_, e| e.member.state != State::Dead || now < e.since + timing.memory);
+        self.others
+            .retain(|_, e| e.member.state != State::Dead || now < e.since + timing.dead_retention);
         let is_over = |entry: &&Entry| match entry.member.state {
             State::Suspect => now >= entry.since + timing.suspicion,
             State::Leaving => entry.missed_since.is_some_and(|at| now >= at + timing.suspicion),
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -3,7 +3,7 @@
 use keeljunction_core::member::{List, Member, State, Timing};
 use proptest::prelude::*;
 
-const TIMING: Timing = Timing { suspicion: 1_000, memory: 100_000 };
+const TIMING: Timing = Timing { suspicion: 1_000, dead_retention: 100_000 };
 
 fn member(name: &str, incarnation: u64, state: State) -> Member {
     Member {
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -111,7 +111,8 @@
             incarnation: runtime::unix_ms(),
             state: State::Alive,
         };
-        let timing = Timing { suspicion: settings.membership.suspicion_ms, memory: DEAD_MEMORY_MS };
+        let timing =
+            Timing { suspicion: settings.membership.suspicion_ms, dead_retention: DEAD_MEMORY_MS };
         let http = http::Client::new(CONNECT_WITHIN);
         let allowance = Allowance {
             ratio: settings.routing.retry_per_mille as f64 / 1_000.0,
