--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -48,7 +48,7 @@
     }
 
     /// Takes the VM list in: all backend servers, in place of those known.
-    pub fn set_listed(&mut self, now: Millis, listed: impl Iterator<Item = Server>) {
+    pub fn set_servers(&mut self, now: Millis, listed: impl Iterator<Item = Server>) {
         self.servers = listed.map(|server| (server.name.clone(), server)).collect();
         self.departures.retain(|_, until| now < *until + MEMORY_MS);
     }
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -78,7 +78,7 @@
             }
         }
     }
-    runtime::lock(&node.directory).set_listed(now, servers.into_iter());
+    runtime::lock(&node.directory).set_servers(now, servers.into_iter());
     for server in leaving {
         departure::learn(node, &Departure { server, until: now + UNNOTICED_MS });
     }
