--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -61,7 +61,7 @@
     /// Merges a departure; returns `true` if it was new.
     ///
     /// The earliest end that was heard of counts.
-    pub fn depart(&mut self, departure: &Departure) -> bool {
+    pub fn add_departure(&mut self, departure: &Departure) -> bool {
         let known = self.departures.get(&departure.server).copied();
         if let Some(until) = known {
             let earliest = until.min(departure.until);
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -12,7 +12,7 @@
 /// Takes news in that a VM is leaving: nothing new goes there, and its streams are moved. Of its
 /// own VM the node learns like that too, and stops.
 pub fn learn(node: &Arc<Node>, departure: &Departure) {
-    let is_new = runtime::lock(&node.directory).depart(departure);
+    let is_new = runtime::lock(&node.directory).add_departure(departure);
     if !is_new {
         return;
     }
