--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns when a leaving server's VM is gone.
-    pub fn get_until(&self, server: &str) -> Option<Millis> {
+    pub fn get_gone_at(&self, server: &str) -> Option<Millis> {
         self.departures.get(server).copied()
     }
 
