--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -94,7 +94,7 @@
     }
 
     /// Walks the servers of a service.
-    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
+    pub fn iter_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         self.servers.values().filter(move |server| server.service == service)
     }
 
--- a/crates/keeljunction/src/node/fleet.rs
+++ b/crates/keeljunction/src/node/fleet.rs
@@ -175,7 +175,7 @@
 fn held(node: &Node, service: &Service, offers: &[Offer], open: &[Open]) -> Plan {
     let mut held = Plan::new();
     let directory = runtime::lock(&node.directory);
-    let listed = directory.of_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
+    let listed = directory.iter_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
     for server in listed {
         if let Some(place) = offers.iter().position(|offer| offer.data_centre == server.data_centre)
         {
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -212,7 +212,7 @@
 fn shard_order(node: &Node, request: &Request) -> Vec<u32> {
     let directory = runtime::lock(&node.directory);
     let names: Vec<&str> =
-        directory.of_service(&request.service.name).map(|server| server.name.as_str()).collect();
+        directory.iter_service(&request.service.name).map(|server| server.name.as_str()).collect();
     let count = shard::shard_count(names.len());
     let mut filled: Vec<u32> = names.iter().map(|name| shard::shard_of(name, count)).collect();
     filled.sort_unstable();
@@ -358,8 +358,9 @@
 fn sync(node: &Arc<Node>, key: &ShardKey, shard: &Shard) {
     let Some(force) = node.get_force() else { return };
     let directory = runtime::lock(&node.directory);
-    let count = shard::shard_count(directory.of_service(&key.0).count());
-    let servers = directory.of_service(&key.0).filter(|s| shard::shard_of(&s.name, count) == key.1);
+    let count = shard::shard_count(directory.iter_service(&key.0).count());
+    let servers =
+        directory.iter_service(&key.0).filter(|s| shard::shard_of(&s.name, count) == key.1);
     let listed: Vec<(&str, &str, &str, bool)> = servers
         .map(|s| {
             (
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -68,6 +68,6 @@
 
 fn staying(node: &Node, service: &Service) -> Vec<(String, SocketAddr)> {
     let directory = runtime::lock(&node.directory);
-    let servers = directory.of_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
+    let servers = directory.iter_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
     servers.filter_map(|server| Some((server.name.clone(), server.address.parse().ok()?))).collect()
 }
