--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -8,7 +8,7 @@
 use keeljunction_core::member::{List, Member, State, Timing};
 use keeljunction_core::rendezvous;
 use keeljunction_core::route;
-use keeljunction_core::shard::{Ask, Decision, Queue};
+use keeljunction_core::shard::{Decision, GrantRequest, Queue};
 use keeljunction_core::stream::Cursor;
 
 fn queue(servers: usize) -> Queue {
@@ -19,8 +19,8 @@
     queue
 }
 
-fn ask(number: usize, prefix: &[u64]) -> Ask {
-    Ask {
+fn ask(number: usize, prefix: &[u64]) -> GrantRequest {
+    GrantRequest {
         id: number.to_string(),
         group: "flood".to_owned(),
         priority: 1,
@@ -60,7 +60,7 @@
             let full = || {
                 let mut queue = queue(1);
                 for number in 0..64 + waiting {
-                    queue.offer(0, Ask { wait: 1_000_000, ..ask(number, &[]) });
+                    queue.offer(0, GrantRequest { wait: 1_000_000, ..ask(number, &[]) });
                 }
                 queue
             };
--- a/crates/core/src/shard/ask.rs
+++ b/crates/core/src/shard/ask.rs
@@ -4,7 +4,7 @@
 
 /// A request that asks for a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The name that the grant will have.
     pub id: String,
     /// The group that is charged.
@@ -51,7 +51,7 @@
     pub retry_after: Millis,
 }
 
-/// What the queue says to an [`Ask`].
+/// What the queue says to an [`GrantRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Send it there now.
--- a/crates/core/src/shard/hopeless.rs
+++ b/crates/core/src/shard/hopeless.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::ask::Ask;
+use super::ask::GrantRequest;
 use crate::route;
 
 /// Requests for which there is no room just now. Where one without wishes found none, no other of
@@ -14,7 +14,7 @@
 }
 
 impl Hopeless {
-    pub(super) fn add(&mut self, ask: &Ask) {
+    pub(super) fn add(&mut self, ask: &GrantRequest) {
         if ask.avoid.is_empty() {
             self.kinds.insert(kind_of(ask));
         } else {
@@ -22,12 +22,12 @@
         }
     }
 
-    pub(super) fn contains(&self, ask: &Ask) -> bool {
+    pub(super) fn contains(&self, ask: &GrantRequest) -> bool {
         self.kinds.contains(&kind_of(ask)) || self.ids.contains(&ask.id)
     }
 }
 
 /// Returns `true` if a request may use the room kept for the most urgent, and whether its prompt is long.
-fn kind_of(ask: &Ask) -> (bool, bool) {
+fn kind_of(ask: &GrantRequest) -> (bool, bool) {
     (ask.priority == 0, ask.prompt_tokens > route::LONG_PROMPT_TOKENS)
 }
--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -9,7 +9,7 @@
 mod queue;
 mod share;
 
-pub use ask::{Ask, Decision, Grant, Refusal};
+pub use ask::{Decision, Grant, GrantRequest, Refusal};
 pub use queue::Queue;
 pub use share::{Counter, GENERATED_COST};
 
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::ask::{Ask, Decision, Grant, Refusal};
+use super::ask::{Decision, Grant, GrantRequest, Refusal};
 use super::drain_rate::DrainRate;
 use super::hopeless::Hopeless;
 use super::share::{Counter, GENERATED_COST};
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug)]
 struct Waiter {
-    ask: Ask,
+    ask: GrantRequest,
     until: Millis,
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// Decides on a request at once: a grant, a place in the queue, or a refusal.
-    pub fn offer(&mut self, now: Millis, ask: Ask) -> Decision {
+    pub fn offer(&mut self, now: Millis, ask: GrantRequest) -> Decision {
         if self.waiting.is_empty()
             && let Some(grant) = self.try_grant(now, &ask)
         {
@@ -271,7 +271,7 @@
         fit.min_by_key(|(_, waiter)| turn(waiter)).map(|(place, _)| place)
     }
 
-    fn try_grant(&mut self, now: Millis, ask: &Ask) -> Option<Grant> {
+    fn try_grant(&mut self, now: Millis, ask: &GrantRequest) -> Option<Grant> {
         let avoid = if self.has_other_than(&ask.avoid) { ask.avoid.as_slice() } else { &[] };
         let demand = Demand {
             prompt_tokens: ask.prompt_tokens,
@@ -320,7 +320,7 @@
     }
 
     /// Counts the requests of the same group that go before this one.
-    fn ahead_of(&self, ask: &Ask) -> usize {
+    fn ahead_of(&self, ask: &GrantRequest) -> usize {
         let same = self.waiting.iter().filter(|waiter| waiter.ask.group == ask.group);
         same.filter(|w| (w.ask.priority, w.ask.deadline) <= (ask.priority, ask.deadline)).count()
     }
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -1,7 +1,9 @@
 //! Whose turn it is, whether there is room, and when to come back.
 
 use keeljunction_core::route::Report;
-use keeljunction_core::shard::{Ask, Decision, Queue, SHARD_SERVERS, shard_count, shard_of};
+use keeljunction_core::shard::{
+    Decision, GrantRequest, Queue, SHARD_SERVERS, shard_count, shard_of,
+};
 use proptest::prelude::*;
 
 fn queue(servers: usize, slots: u32) -> Queue {
@@ -12,8 +14,8 @@
     queue
 }
 
-fn ask(id: &str, group: &str, priority: u32, deadline: u64) -> Ask {
-    Ask {
+fn ask(id: &str, group: &str, priority: u32, deadline: u64) -> GrantRequest {
+    GrantRequest {
         id: id.to_owned(),
         group: group.to_owned(),
         priority,
@@ -68,7 +70,7 @@
 fn what_cannot_be_served_in_time_is_refused_at_once_and_told_different_times() {
     let mut queue = queue(1, 1);
     queue.offer(0, ask("running", "flood", 0, 900_000));
-    let short = |id: &str| Ask { wait: 40, ..ask(id, "flood", 0, 900_000) };
+    let short = |id: &str| GrantRequest { wait: 40, ..ask(id, "flood", 0, 900_000) };
     let times: Vec<u64> = (0..5)
         .map(|n| match queue.offer(1, short(&format!("r{n}"))) {
             Decision::Refused(refusal) => refusal.retry_after,
@@ -83,7 +85,7 @@
 fn a_request_whose_turn_does_not_come_is_refused_when_its_wait_is_over() {
     let mut queue = queue(1, 1);
     queue.offer(0, ask("running", "flood", 0, 900_000));
-    let patient = Ask { wait: 500, ..ask("a", "flood", 0, 900_000) };
+    let patient = GrantRequest { wait: 500, ..ask("a", "flood", 0, 900_000) };
     assert_eq!(queue.offer(0, patient), Decision::Waiting);
     assert_eq!(queue.poll(499), []);
     assert!(matches!(queue.poll(500).as_slice(), [(id, Decision::Refused(_))] if id == "a"));
@@ -196,7 +198,7 @@
                 Step::Offer { group, priority, wait } => {
                     let id = format!("r{offered}");
                     offered += 1;
-                    let ask = Ask { wait, ..ask(&id, groups[group], priority, now + 1_000) };
+                    let ask = GrantRequest { wait, ..ask(&id, groups[group], priority, now + 1_000) };
                     match queue.offer(now, ask) {
                         Decision::Granted(grant) => {
                             let place: usize = grant.server[1..].parse().expect("it is a number");
@@ -253,7 +255,7 @@
             for (group, name) in ["flood", "desk"].iter().enumerate() {
                 let cost = *costs.next().expect("it cycles");
                 let id = format!("{group}-{turn}-{cost}");
-                let ask = Ask { output_tokens: cost, prompt_tokens: 0, ..ask(&id, name, 0, u64::MAX / 2) };
+                let ask = GrantRequest { output_tokens: cost, prompt_tokens: 0, ..ask(&id, name, 0, u64::MAX / 2) };
                 if let Decision::Granted(grant) = queue.offer(turn, ask) {
                     running = Some((grant.id.clone(), group, grant.cost));
                 }
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -6,7 +6,7 @@
 
 use event_listener::Event;
 use keeljunction_core::bundle::Service;
-use keeljunction_core::shard::{self, Ask, Grant, Queue, Refusal};
+use keeljunction_core::shard::{self, Grant, GrantRequest, Queue, Refusal};
 use keeljunction_core::{Millis, rendezvous};
 use tonic::Status;
 use uuid::Uuid;
@@ -224,8 +224,8 @@
     order.into_iter().take(2).filter_map(|label| label.parse().ok()).collect()
 }
 
-fn make_ask(node: &Node, request: &Request, want: Want<'_>) -> Ask {
-    Ask {
+fn make_ask(node: &Node, request: &Request, want: Want<'_>) -> GrantRequest {
+    GrantRequest {
         id: Uuid::new_v4().to_string(),
         group: request.group.clone(),
         priority: want.priority,
@@ -238,7 +238,11 @@
     }
 }
 
-async fn acquire_from(node: &Arc<Node>, key: &ShardKey, ask: Ask) -> Result<Grant, Refusal> {
+async fn acquire_from(
+    node: &Arc<Node>,
+    key: &ShardKey,
+    ask: GrantRequest,
+) -> Result<Grant, Refusal> {
     let owner = if node.settings.routing.owners { owner_of(node, key) } else { None };
     let (grant, owner) = match owner {
         Some(owner) if owner != node.get_name() => match ask_owner(node, &owner, key, &ask).await {
@@ -261,7 +265,11 @@
     Ok(grant)
 }
 
-async fn decide_alone(node: &Arc<Node>, key: &ShardKey, ask: Ask) -> Result<Grant, Refusal> {
+async fn decide_alone(
+    node: &Arc<Node>,
+    key: &ShardKey,
+    ask: GrantRequest,
+) -> Result<Grant, Refusal> {
     let nodes = node.usable_nodes().len().max(1) as u32;
     let shard = local_shard(node, &node.book.alone, key, nodes);
     let shard = shard.ok_or(Refusal { retry_after: NO_SERVER_RETRY_MS })?;
@@ -272,7 +280,7 @@
     node: &Node,
     owner: &str,
     key: &ShardKey,
-    ask: &Ask,
+    ask: &GrantRequest,
 ) -> Result<Result<Grant, Refusal>, Status> {
     let address = node.get_peer_address(owner);
     let address = address.ok_or_else(|| Status::not_found("the owner's address is not known"))?;
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::Stream;
 use keeljunction_core::record::Tokens;
-use keeljunction_core::shard::Ask;
+use keeljunction_core::shard::GrantRequest;
 use tonic::{Request, Response, Status};
 
 use super::grant::{self, ShardKey};
@@ -209,7 +209,7 @@
         return not_owner;
     }
     let Some(shard) = grant::owned_shard(node, &key) else { return not_owner };
-    let ask = Ask {
+    let ask = GrantRequest {
         id: message.grant,
         group: message.group,
         priority: message.priority,
--- a/crates/keeljunction/src/node/shard.rs
+++ b/crates/keeljunction/src/node/shard.rs
@@ -6,7 +6,7 @@
 
 use async_channel::{Receiver, Sender};
 use keeljunction_core::Millis;
-use keeljunction_core::shard::{Ask, Decision, Grant, Queue, Refusal};
+use keeljunction_core::shard::{Decision, Grant, GrantRequest, Queue, Refusal};
 
 use crate::runtime::{self, Clock};
 
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`], at once or when the turn has not come in time.
-    pub async fn acquire(&self, ask: Ask, node: &str) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, ask: GrantRequest, node: &str) -> Result<Grant, Refusal> {
         let id = ask.id.clone();
         let (sender, receiver) = async_channel::bounded(1);
         runtime::lock(&self.waiters).insert(id.clone(), sender);
