--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -11,7 +11,7 @@
 
 pub use ask::{Decision, Grant, GrantRequest, Refusal};
 pub use queue::Queue;
-pub use share::{Counter, GENERATED_COST};
+pub use share::{GENERATED_COST, VirtualCounters};
 
 /// The most backend servers of one shard.
 pub const SHARD_SERVERS: usize = 16;
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -5,7 +5,7 @@
 use super::ask::{Decision, Grant, GrantRequest, Refusal};
 use super::drain_rate::DrainRate;
 use super::hopeless::Hopeless;
-use super::share::{Counter, GENERATED_COST};
+use super::share::{GENERATED_COST, VirtualCounters};
 use crate::Millis;
 use crate::route::{self, Demand, Index, Policy, Report, Server};
 
@@ -21,7 +21,7 @@
 pub struct Queue {
     servers: Vec<Server>,
     index: Index,
-    shares: Counter,
+    shares: VirtualCounters,
     waiting: Vec<Waiter>,
     grants: HashMap<String, Grant>,
     drain_rate: DrainRate,
@@ -45,7 +45,7 @@
         Self {
             servers: Vec::new(),
             index: Index::new(BLOCKS_PER_SERVER),
-            shares: Counter::new(),
+            shares: VirtualCounters::new(),
             waiting: Vec::new(),
             grants: HashMap::new(),
             drain_rate: DrainRate::new(FIRST_GAP_MS),
--- a/crates/core/src/shard/share.rs
+++ b/crates/core/src/shard/share.rs
@@ -10,7 +10,7 @@
 /// A group that comes back from idle is lifted to the least busy counter, so that nobody saves
 /// up; a share that is not used is lent to those who wait.
 #[derive(Clone, Debug, Default)]
-pub struct Counter {
+pub struct VirtualCounters {
     groups: BTreeMap<String, Group>,
 }
 
@@ -21,7 +21,7 @@
     busy: u32,
 }
 
-impl Counter {
+impl VirtualCounters {
     /// Makes a counter without groups.
     pub fn new() -> Self {
         Self::default()
