--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -11,7 +11,7 @@
 
 pub use ask::{Decision, Grant, GrantRequest, Refusal};
 pub use queue::Queue;
-pub use share::{GENERATED_COST, VirtualCounters};
+pub use share::{GENERATED_TOKEN_COST, VirtualCounters};
 
 /// The most backend servers of one shard.
 pub const SHARD_SERVERS: usize = 16;
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -5,7 +5,7 @@
 use super::ask::{Decision, Grant, GrantRequest, Refusal};
 use super::drain_rate::DrainRate;
 use super::hopeless::Hopeless;
-use super::share::{GENERATED_COST, VirtualCounters};
+use super::share::{GENERATED_TOKEN_COST, VirtualCounters};
 use crate::Millis;
 use crate::route::{self, Demand, Index, Policy, Report, Server};
 
@@ -295,7 +295,7 @@
         }
         let (name, address) = (server.name.clone(), server.address.clone());
         self.index.insert(&name, &ask.prefix);
-        let cost = uncached + GENERATED_COST * ask.output_tokens;
+        let cost = uncached + GENERATED_TOKEN_COST * ask.output_tokens;
         self.shares.charge(&ask.group, cost, 0);
         Some(Grant {
             id: ask.id.clone(),
--- a/crates/core/src/shard/share.rs
+++ b/crates/core/src/shard/share.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// Cost of one generated token, against one uncached prompt token.
-pub const GENERATED_COST: u64 = 4;
+pub const GENERATED_TOKEN_COST: u64 = 4;
 
 /// Virtual token counters. The group with the least counter that has work waiting goes next.
 ///
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::attempt::{End, Next, Reason, Standing};
 use keeljunction_core::drain::Action;
 use keeljunction_core::outcome::Outcome;
-use keeljunction_core::shard::{GENERATED_COST, Grant, Refusal};
+use keeljunction_core::shard::{GENERATED_TOKEN_COST, Grant, Refusal};
 use keeljunction_core::stream::Cursor;
 use uuid::Uuid;
 
@@ -126,7 +126,7 @@
         };
         let generated = self.cursor.get_next() - before;
         let usage = Usage {
-            cost: Some(grant.uncached_tokens + GENERATED_COST * generated),
+            cost: Some(grant.uncached_tokens + GENERATED_TOKEN_COST * generated),
             is_failed: matches!(end, End::NotSent | End::Broken),
         };
         let end = self.reattach(end, &attempt).await;
