--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -14,9 +14,9 @@
 pub use share::{GENERATED_TOKEN_COST, VirtualCounters};
 
 /// The most backend servers of one shard.
-pub const SHARD_SERVERS: usize = 16;
+pub const MAX_SHARD_SERVERS: usize = 16;
 
-/// Cuts server names into shards of at most [`SHARD_SERVERS`] and finds the shard of each.
+/// Cuts server names into shards of at most [`MAX_SHARD_SERVERS`] and finds the shard of each.
 ///
 /// A server stays in its shard while the number of shards stays the same.
 pub fn shard_of(server: &str, shards: u32) -> u32 {
@@ -25,7 +25,7 @@
 
 /// Computes how many shards a service with this many servers has.
 pub fn shard_count(servers: usize) -> u32 {
-    servers.div_ceil(SHARD_SERVERS).max(1) as u32
+    servers.div_ceil(MAX_SHARD_SERVERS).max(1) as u32
 }
 
 /// Names the key whose succession list gives the owner of a shard.
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -2,7 +2,7 @@
 
 use keeljunction_core::route::Report;
 use keeljunction_core::shard::{
-    Decision, GrantRequest, Queue, SHARD_SERVERS, shard_count, shard_of,
+    Decision, GrantRequest, MAX_SHARD_SERVERS, Queue, shard_count, shard_of,
 };
 use proptest::prelude::*;
 
@@ -160,7 +160,7 @@
     for number in 0..600 {
         sizes[shard_of(&format!("server-{number}"), count) as usize] += 1;
     }
-    assert!(sizes.iter().all(|size| *size <= 2 * SHARD_SERVERS), "{sizes:?}");
+    assert!(sizes.iter().all(|size| *size <= 2 * MAX_SHARD_SERVERS), "{sizes:?}");
 }
 
 /// What can happen at a queue.
