--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -43,7 +43,7 @@
             |bencher| {
                 bencher.iter(|| {
                     number += 1;
-                    let decision = queue.offer(number as u64, ask(number, &prefix));
+                    let decision = queue.submit(number as u64, ask(number, &prefix));
                     if let Decision::Granted(grant) = black_box(decision) {
                         queue.first_token(&grant.id);
                         queue.release(number as u64, &grant.id, None);
@@ -60,7 +60,7 @@
             let full = || {
                 let mut queue = queue(1);
                 for number in 0..64 + waiting {
-                    queue.offer(0, GrantRequest { wait: 1_000_000, ..ask(number, &[]) });
+                    queue.submit(0, GrantRequest { wait: 1_000_000, ..ask(number, &[]) });
                 }
                 queue
             };
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -135,7 +135,7 @@
     }
 
     /// Decides on a request at once: a grant, a place in the queue, or a refusal.
-    pub fn offer(&mut self, now: Millis, ask: GrantRequest) -> Decision {
+    pub fn submit(&mut self, now: Millis, ask: GrantRequest) -> Decision {
         if self.waiting.is_empty()
             && let Some(grant) = self.try_grant(now, &ask)
         {
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -36,14 +36,14 @@
 #[test]
 fn the_group_that_had_least_goes_next_then_priority_then_deadline() {
     let mut queue = queue(1, 1);
-    assert!(matches!(queue.offer(0, ask("first", "flood", 0, 900_000)), Decision::Granted(_)));
+    assert!(matches!(queue.submit(0, ask("first", "flood", 0, 900_000)), Decision::Granted(_)));
     for (id, group, priority, deadline) in [
         ("late", "flood", 0, 900_000),
         ("soon", "flood", 0, 800_000),
         ("briefing", "flood", 1, 700_000),
         ("desk", "desk", 1, 900_000),
     ] {
-        assert_eq!(queue.offer(1, ask(id, group, priority, deadline)), Decision::Waiting, "{id}");
+        assert_eq!(queue.submit(1, ask(id, group, priority, deadline)), Decision::Waiting, "{id}");
     }
     let mut order = Vec::new();
     let mut running = "first".to_owned();
@@ -60,7 +60,7 @@
 #[test]
 fn with_no_server_a_request_is_refused_at_once_with_when_to_come_back() {
     let mut queue = queue(0, 1);
-    let Decision::Refused(refusal) = queue.offer(0, ask("a", "flood", 0, 9_000)) else {
+    let Decision::Refused(refusal) = queue.submit(0, ask("a", "flood", 0, 9_000)) else {
         panic!("it is refused");
     };
     assert!(refusal.retry_after > 0);
@@ -69,10 +69,10 @@
 #[test]
 fn what_cannot_be_served_in_time_is_refused_at_once_and_told_different_times() {
     let mut queue = queue(1, 1);
-    queue.offer(0, ask("running", "flood", 0, 900_000));
+    queue.submit(0, ask("running", "flood", 0, 900_000));
     let short = |id: &str| GrantRequest { wait: 40, ..ask(id, "flood", 0, 900_000) };
     let times: Vec<u64> = (0..5)
-        .map(|n| match queue.offer(1, short(&format!("r{n}"))) {
+        .map(|n| match queue.submit(1, short(&format!("r{n}"))) {
             Decision::Refused(refusal) => refusal.retry_after,
             other => panic!("it is refused: {other:?}"),
         })
@@ -84,9 +84,9 @@
 #[test]
 fn a_request_whose_turn_does_not_come_is_refused_when_its_wait_is_over() {
     let mut queue = queue(1, 1);
-    queue.offer(0, ask("running", "flood", 0, 900_000));
+    queue.submit(0, ask("running", "flood", 0, 900_000));
     let patient = GrantRequest { wait: 500, ..ask("a", "flood", 0, 900_000) };
-    assert_eq!(queue.offer(0, patient), Decision::Waiting);
+    assert_eq!(queue.submit(0, patient), Decision::Waiting);
     assert_eq!(queue.poll(499), []);
     assert!(matches!(queue.poll(500).as_slice(), [(id, Decision::Refused(_))] if id == "a"));
 }
@@ -94,20 +94,20 @@
 #[test]
 fn a_server_that_leaves_gets_no_grant_and_a_new_owner_learns_the_grants_that_are_out() {
     let mut old = queue(2, 1);
-    let Decision::Granted(grant) = old.offer(0, ask("a", "flood", 0, 900_000)) else {
+    let Decision::Granted(grant) = old.submit(0, ask("a", "flood", 0, 900_000)) else {
         panic!("there is room")
     };
     let mut new = queue(2, 1);
     new.restore(grant.clone());
     new.restore(grant.clone());
-    let Decision::Granted(second) = new.offer(0, ask("b", "flood", 0, 900_000)) else {
+    let Decision::Granted(second) = new.submit(0, ask("b", "flood", 0, 900_000)) else {
         panic!("there is room")
     };
     assert_ne!(grant.server, second.server);
     let names = [grant.server.as_str(), second.server.as_str()];
     new.set_servers(names.map(|name| (name, "127.0.0.1:1", "x", name == grant.server)).into_iter());
     new.release(1, "a", None);
-    assert_eq!(new.offer(1, ask("c", "flood", 0, 900_000)), Decision::Waiting);
+    assert_eq!(new.submit(1, ask("c", "flood", 0, 900_000)), Decision::Waiting);
 }
 
 #[test]
@@ -125,7 +125,7 @@
 fn a_server_that_cannot_be_reached_gets_nothing_until_it_can_again() {
     let mut queue = queue(1, 4);
     queue.unreachable(1_000, "s0");
-    assert_eq!(queue.offer(1_500, ask("a", "flood", 0, 900_000)), Decision::Waiting);
+    assert_eq!(queue.submit(1_500, ask("a", "flood", 0, 900_000)), Decision::Waiting);
     queue.unreachable(1_900, "s0");
     assert_eq!(queue.poll(2_800), []);
     assert_eq!(granted(&queue.poll(2_900)), ["a"]);
@@ -138,12 +138,12 @@
     queue.report("s0", Report { at: 0, requests: 6, queued_tokens: 0 });
     for id in ["a", "b"] {
         assert!(
-            matches!(queue.offer(0, ask(id, "flood", 0, 900_000)), Decision::Granted(_)),
+            matches!(queue.submit(0, ask(id, "flood", 0, 900_000)), Decision::Granted(_)),
             "{id}"
         );
     }
     assert_eq!(
-        queue.offer(0, ask("c", "flood", 0, 900_000)),
+        queue.submit(0, ask("c", "flood", 0, 900_000)),
         Decision::Waiting,
         "its part is used"
     );
@@ -199,7 +199,7 @@
                     let id = format!("r{offered}");
                     offered += 1;
                     let ask = GrantRequest { wait, ..ask(&id, groups[group], priority, now + 1_000) };
-                    match queue.offer(now, ask) {
+                    match queue.submit(now, ask) {
                         Decision::Granted(grant) => {
                             let place: usize = grant.server[1..].parse().expect("it is a number");
                             prop_assert!(!leaving[place]);
@@ -256,7 +256,7 @@
                 let cost = *costs.next().expect("it cycles");
                 let id = format!("{group}-{turn}-{cost}");
                 let ask = GrantRequest { output_tokens: cost, prompt_tokens: 0, ..ask(&id, name, 0, u64::MAX / 2) };
-                if let Decision::Granted(grant) = queue.offer(turn, ask) {
+                if let Decision::Granted(grant) = queue.submit(turn, ask) {
                     running = Some((grant.id.clone(), group, grant.cost));
                 }
             }
--- a/crates/keeljunction/src/node/shard.rs
+++ b/crates/keeljunction/src/node/shard.rs
@@ -50,7 +50,7 @@
         let (sender, receiver) = async_channel::bounded(1);
         runtime::lock(&self.waiters).insert(id.clone(), sender);
         let wait = Duration::from_millis(ask.wait);
-        let decision = runtime::lock(&self.queue).offer(self.clock.now(), ask);
+        let decision = runtime::lock(&self.queue).submit(self.clock.now(), ask);
         let turn = Turn { shard: self, id: &id, receiver, is_taken: false };
         let grant = match decision {
             Decision::Granted(grant) => Ok(grant),
