--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -221,7 +221,7 @@
     }
 
     /// Notes a failure of a server: it is passed over for a while and its limit falls.
-    pub fn failed(&mut self, now: Millis, server: &str) {
+    pub fn record_failure(&mut self, now: Millis, server: &str) {
         if let Some(server) = self.server_mut(server) {
             server.failed_at = Some(now);
             server.limit = (server.limit * 7 / 10).max(LEAST_LIMIT);
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -113,7 +113,7 @@
 #[test]
 fn failures_lower_a_servers_limit_and_successes_raise_it_again() {
     let mut queue = queue(1, 10);
-    queue.failed(0, "s0");
+    queue.record_failure(0, "s0");
     assert_eq!(queue.get_servers()[0].limit, 7);
     for _ in 0..9 {
         queue.succeeded("s0");
