--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -229,7 +229,7 @@
     }
 
     /// Notes that a server cannot be reached at all: it is passed over for a while.
-    pub fn unreachable(&mut self, now: Millis, server: &str) {
+    pub fn record_unreachable(&mut self, now: Millis, server: &str) {
         if let Some(server) = self.server_mut(server) {
             server.failed_at = Some(now);
         }
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -124,9 +124,9 @@
 #[test]
 fn a_server_that_cannot_be_reached_gets_nothing_until_it_can_again() {
     let mut queue = queue(1, 4);
-    queue.unreachable(1_000, "s0");
+    queue.record_unreachable(1_000, "s0");
     assert_eq!(queue.submit(1_500, ask("a", "flood", 0, 900_000)), Decision::Waiting);
-    queue.unreachable(1_900, "s0");
+    queue.record_unreachable(1_900, "s0");
     assert_eq!(queue.poll(2_800), []);
     assert_eq!(granted(&queue.poll(2_900)), ["a"]);
 }
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -123,7 +123,7 @@
             shard.with(|queue, _| queue.report(server, report));
         }
         Err(failure) if failure.is_not_sent() => {
-            return shard.with(|queue, now| queue.unreachable(now, server));
+            return shard.with(|queue, now| queue.record_unreachable(now, server));
         }
         Err(_) => return,
     }
