--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -236,7 +236,7 @@
     }
 
     /// Notes a success of a server: its limit rises again by one, up to the slots.
-    pub fn succeeded(&mut self, server: &str) {
+    pub fn record_success(&mut self, server: &str) {
         let part = (self.slots / self.sharers).max(LEAST_LIMIT);
         if let Some(server) = self.server_mut(server) {
             server.failed_at = None;
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -116,7 +116,7 @@
     queue.record_failure(0, "s0");
     assert_eq!(queue.get_servers()[0].limit, 7);
     for _ in 0..9 {
-        queue.succeeded("s0");
+        queue.record_success("s0");
     }
     assert_eq!(queue.get_servers()[0].limit, 10);
 }
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -137,11 +137,9 @@
 
 /// Notes how a grant's server did.
 pub fn note_end(shard: &Shard, server: &str, is_failed: bool) {
-    shard.with(
-        |queue, now| {
-            if is_failed { queue.record_failure(now, server) } else { queue.succeeded(server) }
-        },
-    );
+    shard.with(|queue, now| {
+        if is_failed { queue.record_failure(now, server) } else { queue.record_success(server) }
+    });
 }
 
 /// Finds the node that owns a shard.
