--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -45,7 +45,7 @@
                     number += 1;
                     let decision = queue.submit(number as u64, ask(number, &prefix));
                     if let Decision::Granted(grant) = black_box(decision) {
-                        queue.first_token(&grant.id);
+                        queue.record_first_token(&grant.id);
                         queue.release(number as u64, &grant.id, None);
                     }
                 });
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -196,7 +196,7 @@
     }
 
     /// Notes that the first token came: the prompt has been read.
-    pub fn first_token(&mut self, id: &str) {
+    pub fn record_first_token(&mut self, id: &str) {
         let Some(grant) = self.grants.get_mut(id) else { return };
         let read = std::mem::take(&mut grant.uncached_tokens);
         let name = grant.server.clone();
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -129,7 +129,7 @@
         }
         _ => {
             if let Some(shard) = find_local(node, &out) {
-                shard.with(|queue, _| queue.first_token(id));
+                shard.with(|queue, _| queue.record_first_token(id));
             }
         }
     }
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -240,7 +240,7 @@
     let key: ShardKey = (message.service, message.shard);
     let Some(shard) = grant::owned_shard(node, &key) else { return false };
     for id in &message.read {
-        shard.with(|queue, _| queue.first_token(id));
+        shard.with(|queue, _| queue.record_first_token(id));
     }
     for released in &message.released {
         grant::note_end(&shard, &released.server, released.failed);
