--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -124,7 +124,7 @@
     }
 
     /// Takes a cache event of a server in; returns false where events before it are missing.
-    pub fn cache_event(
+    pub fn apply_cache_event(
         &mut self,
         server: &str,
         number: u64,
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -134,7 +134,7 @@
     for event in events.events {
         shard.set_next_event(server, event.number + 1);
         let is_gapless = shard.with(|queue, _| {
-            queue.cache_event(server, event.number, &event.stored, &event.evicted)
+            queue.apply_cache_event(server, event.number, &event.stored, &event.evicted)
         });
         if !is_gapless {
             node.metric.count("cache_event_gaps", 1);
