--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -139,7 +139,7 @@
         if self.waiting.is_empty()
             && let Some(grant) = self.try_grant(now, &ask)
         {
-            self.shares.arrive(&ask.group);
+            self.shares.add_request(&ask.group);
             return Decision::Granted(self.record(grant));
         }
         let ahead = self.ahead_of(&ask);
@@ -149,7 +149,7 @@
         if is_late || !has_servers {
             return Decision::Refused(self.refuse(now, &ask.group, ahead));
         }
-        self.shares.arrive(&ask.group);
+        self.shares.add_request(&ask.group);
         let until = now + ask.wait;
         self.waiting.push(Waiter { ask, until });
         Decision::Waiting
@@ -213,7 +213,7 @@
         if self.grants.contains_key(&grant.id) {
             return;
         }
-        self.shares.arrive(&grant.group);
+        self.shares.add_request(&grant.group);
         if let Some(server) = self.server_mut(&grant.server) {
             server.in_flight += 1;
         }
--- a/crates/core/src/shard/share.rs
+++ b/crates/core/src/shard/share.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes that a group has one more request waiting or running.
-    pub fn arrive(&mut self, name: &str) {
+    pub fn add_request(&mut self, name: &str) {
         let floor = self.floor();
         let group = self.group(name, floor);
         if group.busy == 0 {
