--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -164,7 +164,7 @@
         for waiter in late {
             let ahead = self.ahead_of(&waiter.ask);
             let refusal = self.refuse(now, &waiter.ask.group, ahead);
-            self.shares.leave(&waiter.ask.group);
+            self.shares.remove_request(&waiter.ask.group);
             decided.push((waiter.ask.id, Decision::Refused(refusal)));
         }
         decided
@@ -174,7 +174,7 @@
     pub fn cancel(&mut self, id: &str) {
         if let Some(place) = self.waiting.iter().position(|waiter| waiter.ask.id == id) {
             let waiter = self.waiting.remove(place);
-            self.shares.leave(&waiter.ask.group);
+            self.shares.remove_request(&waiter.ask.group);
         }
     }
 
@@ -184,7 +184,7 @@
         if let Some(cost) = cost {
             self.shares.charge(&grant.group, cost, grant.cost);
         }
-        self.shares.leave(&grant.group);
+        self.shares.remove_request(&grant.group);
         self.drain_rate.ended(now);
         if let Some(server) = self.server_mut(&grant.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
--- a/crates/core/src/shard/share.rs
+++ b/crates/core/src/shard/share.rs
@@ -50,7 +50,7 @@
     }
 
     /// Notes that a group has one request less waiting or running.
-    pub fn leave(&mut self, name: &str) {
+    pub fn remove_request(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
             group.busy = group.busy.saturating_sub(1);
         }
