--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -25,7 +25,7 @@
 
 /// What else the decision needs to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Conditions {
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
     /// Whether the attempt's server is known to leave.
@@ -89,7 +89,7 @@
 }
 
 /// Decides what to do after an attempt. `take_retry` takes one retry of the budget, if there is one.
-pub fn next(end: End, standing: Standing, take_retry: impl FnOnce() -> bool) -> Next {
+pub fn next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
     match end {
         End::Finished => Next::Stop,
         End::Late => Next::GiveUp(Reason::Late),
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -1,6 +1,6 @@
 //! What to do after an attempt has ended, and with a request whose node is gone.
 
-use keeljunction_core::attempt::{End, Next, Reason, Standing, next};
+use keeljunction_core::attempt::{Conditions, End, Next, Reason, next};
 use keeljunction_core::claim::{Answer, Verdict};
 use keeljunction_core::drain::Action;
 use keeljunction_core::record::Tokens;
@@ -9,9 +9,9 @@
 
 #[test]
 fn each_end_has_its_next_step() {
-    let repeatable = Standing { is_repeatable: true, is_leaving: false };
-    let once = Standing { is_repeatable: false, is_leaving: false };
-    let leaving = Standing { is_leaving: true, ..repeatable };
+    let repeatable = Conditions { is_repeatable: true, is_leaving: false };
+    let once = Conditions { is_repeatable: false, is_leaving: false };
+    let leaving = Conditions { is_leaving: true, ..repeatable };
     let cases = [
         (End::Finished, once, false, Next::Stop),
         (End::Late, repeatable, true, Next::GiveUp(Reason::Late)),
@@ -80,7 +80,7 @@
         has_retry in any::<bool>(),
         end in prop_oneof![Just(End::Broken), Just(End::Late), Just(End::Finished)],
     ) {
-        let decided = next(end, Standing { is_repeatable: false, is_leaving }, || has_retry);
+        let decided = next(end, Conditions { is_repeatable: false, is_leaving }, || has_retry);
         prop_assert!(matches!(decided, Next::Stop | Next::GiveUp(_)), "{decided:?}");
     }
 
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::attempt::{End, Next, Reason, Standing};
+use keeljunction_core::attempt::{Conditions, End, Next, Reason};
 use keeljunction_core::drain::Action;
 use keeljunction_core::outcome::Outcome;
 use keeljunction_core::shard::{GENERATED_TOKEN_COST, Grant, Refusal};
@@ -162,7 +162,7 @@
     }
 
     async fn decide(&mut self, end: End, attempt: Attempt) -> Step {
-        let standing = Standing {
+        let standing = Conditions {
             is_repeatable: self.answer.request.class.repeatable,
             is_leaving: self.node.is_leaving(&attempt.server),
         };
