--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -16,7 +16,7 @@
     /// No byte of it left, or the server says that it did not run it.
     NotSent,
     /// It may have run in part, and no more comes of it.
-    Broken,
+    Interrupted,
     /// It must be taken off its server.
     Steered(Action),
     /// The answer would come too late.
@@ -95,8 +95,8 @@
         End::Late => Next::GiveUp(Reason::Late),
         End::Steered(Action::Finish) => Next::Stay,
         End::Steered(action) => Next::Leave(action),
-        End::Broken if !standing.is_repeatable => Next::GiveUp(Reason::Unrepeatable),
-        End::NotSent | End::Broken => {
+        End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::Unrepeatable),
+        End::NotSent | End::Interrupted => {
             if standing.is_leaving || take_retry() {
                 return Next::Elsewhere;
             }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -19,10 +19,10 @@
         (End::Steered(Action::Move), once, false, Next::Leave(Action::Move)),
         (End::NotSent, once, true, Next::Elsewhere),
         (End::NotSent, once, false, Next::GiveUp(Reason::NotTaken)),
-        (End::Broken, repeatable, true, Next::Elsewhere),
-        (End::Broken, repeatable, false, Next::GiveUp(Reason::NoRetry)),
-        (End::Broken, leaving, false, Next::Elsewhere),
-        (End::Broken, once, true, Next::GiveUp(Reason::Unrepeatable)),
+        (End::Interrupted, repeatable, true, Next::Elsewhere),
+        (End::Interrupted, repeatable, false, Next::GiveUp(Reason::NoRetry)),
+        (End::Interrupted, leaving, false, Next::Elsewhere),
+        (End::Interrupted, once, true, Next::GiveUp(Reason::Unrepeatable)),
     ];
     for (end, standing, has_retry, expected) in cases {
         assert_eq!(next(end, standing, || has_retry), expected, "{end:?} {standing:?}");
@@ -78,7 +78,7 @@
     fn an_unrepeatable_request_is_not_sent_again(
         is_leaving in any::<bool>(),
         has_retry in any::<bool>(),
-        end in prop_oneof![Just(End::Broken), Just(End::Late), Just(End::Finished)],
+        end in prop_oneof![Just(End::Interrupted), Just(End::Late), Just(End::Finished)],
     ) {
         let decided = next(end, Conditions { is_repeatable: false, is_leaving }, || has_retry);
         prop_assert!(matches!(decided, Next::Stop | Next::GiveUp(_)), "{decided:?}");
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -170,5 +170,5 @@
 
 fn broken(why: &str) -> End {
     log::info!("a backend server broke a request off: {why}");
-    End::Broken
+    End::Interrupted
 }
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -127,7 +127,7 @@
         let generated = self.cursor.get_next() - before;
         let usage = Usage {
             cost: Some(grant.uncached_tokens + GENERATED_TOKEN_COST * generated),
-            is_failed: matches!(end, End::NotSent | End::Broken),
+            is_failed: matches!(end, End::NotSent | End::Interrupted),
         };
         let end = self.reattach(end, &attempt).await;
         grant::release(&self.node, &grant.id, usage);
@@ -141,7 +141,7 @@
             return end;
         }
         let mut fruitless = 0;
-        while matches!(end, End::Broken) && fruitless < ATTACHES {
+        while matches!(end, End::Interrupted) && fruitless < ATTACHES {
             let before = self.cursor.get_next();
             end = attempt::attach(&self.node, &self.answer, attempt, &mut self.cursor).await;
             if self.cursor.get_next() == before {
