--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -18,7 +18,7 @@
     /// It may have run in part, and no more comes of it.
     Interrupted,
     /// It must be taken off its server.
-    Steered(Action),
+    Drained(Action),
     /// The answer would come too late.
     Late,
 }
@@ -93,8 +93,8 @@
     match end {
         End::Finished => Next::Stop,
         End::Late => Next::GiveUp(Reason::Late),
-        End::Steered(Action::Finish) => Next::Stay,
-        End::Steered(action) => Next::Leave(action),
+        End::Drained(Action::Finish) => Next::Stay,
+        End::Drained(action) => Next::Leave(action),
         End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::Unrepeatable),
         End::NotSent | End::Interrupted => {
             if standing.is_leaving || take_retry() {
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -15,8 +15,8 @@
     let cases = [
         (End::Finished, once, false, Next::Stop),
         (End::Late, repeatable, true, Next::GiveUp(Reason::Late)),
-        (End::Steered(Action::Finish), repeatable, false, Next::Stay),
-        (End::Steered(Action::Move), once, false, Next::Leave(Action::Move)),
+        (End::Drained(Action::Finish), repeatable, false, Next::Stay),
+        (End::Drained(Action::Move), once, false, Next::Leave(Action::Move)),
         (End::NotSent, once, true, Next::Elsewhere),
         (End::NotSent, once, false, Next::GiveUp(Reason::NotTaken)),
         (End::Interrupted, repeatable, true, Next::Elsewhere),
