--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -20,7 +20,7 @@
     /// It must be taken off its server.
     Drained(Action),
     /// The answer would come too late.
-    Late,
+    DeadlineExceeded,
 }
 
 /// What else the decision needs to know.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// Its deadline has passed.
-    Late,
+    DeadlineExceeded,
     /// Nothing was sent, and no retry is left.
     NotTaken,
     /// It was sent, and must not be repeated.
@@ -49,7 +49,7 @@
     /// Says the reason in a sentence, for the caller.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Late => "the deadline has passed",
+            Self::DeadlineExceeded => "the deadline has passed",
             Self::NotTaken => "no backend server took the request",
             Self::Unrepeatable => {
                 "the backend server broke off and the request is not to be repeated"
@@ -61,7 +61,7 @@
     /// Returns the HTTP status that goes with it.
     pub fn as_status(self) -> u16 {
         match self {
-            Self::Late => 504,
+            Self::DeadlineExceeded => 504,
             Self::NotTaken => 503,
             Self::Unrepeatable | Self::NoRetry => 502,
         }
@@ -92,7 +92,7 @@
 pub fn next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
     match end {
         End::Finished => Next::Stop,
-        End::Late => Next::GiveUp(Reason::Late),
+        End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
         End::Drained(Action::Finish) => Next::Stay,
         End::Drained(action) => Next::Leave(action),
         End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::Unrepeatable),
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -14,7 +14,7 @@
     let leaving = Conditions { is_leaving: true, ..repeatable };
     let cases = [
         (End::Finished, once, false, Next::Stop),
-        (End::Late, repeatable, true, Next::GiveUp(Reason::Late)),
+        (End::DeadlineExceeded, repeatable, true, Next::GiveUp(Reason::DeadlineExceeded)),
         (End::Drained(Action::Finish), repeatable, false, Next::Stay),
         (End::Drained(Action::Move), once, false, Next::Leave(Action::Move)),
         (End::NotSent, once, true, Next::Elsewhere),
@@ -78,7 +78,7 @@
     fn an_unrepeatable_request_is_not_sent_again(
         is_leaving in any::<bool>(),
         has_retry in any::<bool>(),
-        end in prop_oneof![Just(End::Interrupted), Just(End::Late), Just(End::Finished)],
+        end in prop_oneof![Just(End::Interrupted), Just(End::DeadlineExceeded), Just(End::Finished)],
     ) {
         let decided = next(end, Conditions { is_repeatable: false, is_leaving }, || has_retry);
         prop_assert!(matches!(decided, Next::Stop | Next::GiveUp(_)), "{decided:?}");
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -151,7 +151,7 @@
     let steered = async { Err(End::Drained(answer.steered().await)) };
     let late = async {
         runtime::sleep(Duration::from_millis(left.min(idle))).await;
-        Err(if left <= idle { End::Late } else { broken("the engine fell silent") })
+        Err(if left <= idle { End::DeadlineExceeded } else { broken("the engine fell silent") })
     };
     future::or(piece, future::or(steered, late)).await
 }
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -180,7 +180,7 @@
                 Step::Again
             }
             Next::GiveUp(reason) => {
-                if reason == Reason::Late {
+                if reason == Reason::DeadlineExceeded {
                     self.cancel(&attempt).await;
                 }
                 let retry_after = if reason.is_passing() { NO_RETRY_MS } else { 0 };
