--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -38,7 +38,7 @@
     /// Its deadline has passed.
     DeadlineExceeded,
     /// Nothing was sent, and no retry is left.
-    NotTaken,
+    Unsent,
     /// It was sent, and must not be repeated.
     Unrepeatable,
     /// It was sent, and no retry is left.
@@ -50,7 +50,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::DeadlineExceeded => "the deadline has passed",
-            Self::NotTaken => "no backend server took the request",
+            Self::Unsent => "no backend server took the request",
             Self::Unrepeatable => {
                 "the backend server broke off and the request is not to be repeated"
             }
@@ -62,14 +62,14 @@
     pub fn as_status(self) -> u16 {
         match self {
             Self::DeadlineExceeded => 504,
-            Self::NotTaken => 503,
+            Self::Unsent => 503,
             Self::Unrepeatable | Self::NoRetry => 502,
         }
     }
 
     /// Returns `true` if asking again before long may help.
     pub fn is_passing(self) -> bool {
-        matches!(self, Self::NotTaken | Self::NoRetry)
+        matches!(self, Self::Unsent | Self::NoRetry)
     }
 }
 
@@ -100,7 +100,7 @@
             if standing.is_leaving || take_retry() {
                 return Next::Elsewhere;
             }
-            let reason = if end == End::NotSent { Reason::NotTaken } else { Reason::NoRetry };
+            let reason = if end == End::NotSent { Reason::Unsent } else { Reason::NoRetry };
             Next::GiveUp(reason)
         }
     }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -18,7 +18,7 @@
         (End::Drained(Action::Finish), repeatable, false, Next::Stay),
         (End::Drained(Action::Move), once, false, Next::Leave(Action::Move)),
         (End::NotSent, once, true, Next::Elsewhere),
-        (End::NotSent, once, false, Next::GiveUp(Reason::NotTaken)),
+        (End::NotSent, once, false, Next::GiveUp(Reason::Unsent)),
         (End::Interrupted, repeatable, true, Next::Elsewhere),
         (End::Interrupted, repeatable, false, Next::GiveUp(Reason::NoRetry)),
         (End::Interrupted, leaving, false, Next::Elsewhere),
