--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -40,7 +40,7 @@
     /// Nothing was sent, and no retry is left.
     Unsent,
     /// It was sent, and must not be repeated.
-    Unrepeatable,
+    NotRepeatable,
     /// It was sent, and no retry is left.
     NoRetry,
 }
@@ -51,7 +51,7 @@
         match self {
             Self::DeadlineExceeded => "the deadline has passed",
             Self::Unsent => "no backend server took the request",
-            Self::Unrepeatable => {
+            Self::NotRepeatable => {
                 "the backend server broke off and the request is not to be repeated"
             }
             Self::NoRetry => "the backend server broke off and no retry is left",
@@ -63,7 +63,7 @@
         match self {
             Self::DeadlineExceeded => 504,
             Self::Unsent => 503,
-            Self::Unrepeatable | Self::NoRetry => 502,
+            Self::NotRepeatable | Self::NoRetry => 502,
         }
     }
 
@@ -95,7 +95,7 @@
         End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
         End::Drained(Action::Finish) => Next::Stay,
         End::Drained(action) => Next::Leave(action),
-        End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::Unrepeatable),
+        End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
         End::NotSent | End::Interrupted => {
             if standing.is_leaving || take_retry() {
                 return Next::Elsewhere;
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -22,7 +22,7 @@
         (End::Interrupted, repeatable, true, Next::Elsewhere),
         (End::Interrupted, repeatable, false, Next::GiveUp(Reason::NoRetry)),
         (End::Interrupted, leaving, false, Next::Elsewhere),
-        (End::Interrupted, once, true, Next::GiveUp(Reason::Unrepeatable)),
+        (End::Interrupted, once, true, Next::GiveUp(Reason::NotRepeatable)),
     ];
     for (end, standing, has_retry, expected) in cases {
         assert_eq!(next(end, standing, || has_retry), expected, "{end:?} {standing:?}");
