--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -42,7 +42,7 @@
     /// It was sent, and must not be repeated.
     NotRepeatable,
     /// It was sent, and no retry is left.
-    NoRetry,
+    RetriesExhausted,
 }
 
 impl Reason {
@@ -54,7 +54,7 @@
             Self::NotRepeatable => {
                 "the backend server broke off and the request is not to be repeated"
             }
-            Self::NoRetry => "the backend server broke off and no retry is left",
+            Self::RetriesExhausted => "the backend server broke off and no retry is left",
         }
     }
 
@@ -63,13 +63,13 @@
         match self {
             Self::DeadlineExceeded => 504,
             Self::Unsent => 503,
-            Self::NotRepeatable | Self::NoRetry => 502,
+            Self::NotRepeatable | Self::RetriesExhausted => 502,
         }
     }
 
     /// Returns `true` if asking again before long may help.
     pub fn is_passing(self) -> bool {
-        matches!(self, Self::Unsent | Self::NoRetry)
+        matches!(self, Self::Unsent | Self::RetriesExhausted)
     }
 }
 
@@ -100,7 +100,8 @@
             if standing.is_leaving || take_retry() {
                 return Next::Elsewhere;
             }
-            let reason = if end == End::NotSent { Reason::Unsent } else { Reason::NoRetry };
+            let reason =
+                if end == End::NotSent { Reason::Unsent } else { Reason::RetriesExhausted };
             Next::GiveUp(reason)
         }
     }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -20,7 +20,7 @@
         (End::NotSent, once, true, Next::Elsewhere),
         (End::NotSent, once, false, Next::GiveUp(Reason::Unsent)),
         (End::Interrupted, repeatable, true, Next::Elsewhere),
-        (End::Interrupted, repeatable, false, Next::GiveUp(Reason::NoRetry)),
+        (End::Interrupted, repeatable, false, Next::GiveUp(Reason::RetriesExhausted)),
         (End::Interrupted, leaving, false, Next::Elsewhere),
         (End::Interrupted, once, true, Next::GiveUp(Reason::NotRepeatable)),
     ];
