--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the HTTP status that goes with it.
-    pub fn as_status(self) -> u16 {
+    pub fn get_status(self) -> u16 {
         match self {
             Self::DeadlineExceeded => 504,
             Self::Unsent => 503,
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -184,7 +184,7 @@
                     self.cancel(&attempt).await;
                 }
                 let retry_after = if reason.is_passing() { NO_RETRY_MS } else { 0 };
-                self.give_up(reason.as_str(), reason.as_status(), retry_after)
+                self.give_up(reason.as_str(), reason.get_status(), retry_after)
             }
         }
     }
