--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns `true` if asking again before long may help.
-    pub fn is_passing(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, Self::Unsent | Self::RetriesExhausted)
     }
 }
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -183,7 +183,7 @@
                 if reason == Reason::DeadlineExceeded {
                     self.cancel(&attempt).await;
                 }
-                let retry_after = if reason.is_passing() { NO_RETRY_MS } else { 0 };
+                let retry_after = if reason.is_transient() { NO_RETRY_MS } else { 0 };
                 self.give_up(reason.as_str(), reason.get_status(), retry_after)
             }
         }
