--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Nothing: the answer is whole.
-    Stop,
+    Done,
     /// Go on at another server than this one.
     Elsewhere,
     /// Leave the attempt behind by this action, and go on at another server.
@@ -91,7 +91,7 @@
 /// Decides what to do after an attempt. `take_retry` takes one retry of the budget, if there is one.
 pub fn next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
     match end {
-        End::Finished => Next::Stop,
+        End::Finished => Next::Done,
         End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
         End::Drained(Action::Finish) => Next::Stay,
         End::Drained(action) => Next::Leave(action),
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -13,7 +13,7 @@
     let once = Conditions { is_repeatable: false, is_leaving: false };
     let leaving = Conditions { is_leaving: true, ..repeatable };
     let cases = [
-        (End::Finished, once, false, Next::Stop),
+        (End::Finished, once, false, Next::Done),
         (End::DeadlineExceeded, repeatable, true, Next::GiveUp(Reason::DeadlineExceeded)),
         (End::Drained(Action::Finish), repeatable, false, Next::Stay),
         (End::Drained(Action::Move), once, false, Next::Leave(Action::Move)),
@@ -81,7 +81,7 @@
         end in prop_oneof![Just(End::Interrupted), Just(End::DeadlineExceeded), Just(End::Finished)],
     ) {
         let decided = next(end, Conditions { is_repeatable: false, is_leaving }, || has_retry);
-        prop_assert!(matches!(decided, Next::Stop | Next::GiveUp(_)), "{decided:?}");
+        prop_assert!(matches!(decided, Next::Done | Next::GiveUp(_)), "{decided:?}");
     }
 
     /// Copies sent again, in part or late, leave the tokens as they are; none is skipped.
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -167,7 +167,7 @@
             is_leaving: self.node.is_leaving(&attempt.server),
         };
         match keeljunction_core::attempt::next(end, standing, || self.take_retry()) {
-            Next::Stop => Step::Stop,
+            Next::Done => Step::Stop,
             Next::Stay => Box::pin(self.attach(&attempt)).await,
             Next::Elsewhere => {
                 self.avoid.push(attempt.server);
