--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -79,7 +79,7 @@
     /// Nothing: the answer is whole.
     Done,
     /// Go on at another server than this one.
-    Elsewhere,
+    FailOver,
     /// Leave the attempt behind by this action, and go on at another server.
     Leave(Action),
     /// Read the attempt on where it is.
@@ -98,7 +98,7 @@
         End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
         End::NotSent | End::Interrupted => {
             if standing.is_leaving || take_retry() {
-                return Next::Elsewhere;
+                return Next::FailOver;
             }
             let reason =
                 if end == End::NotSent { Reason::Unsent } else { Reason::RetriesExhausted };
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -17,11 +17,11 @@
         (End::DeadlineExceeded, repeatable, true, Next::GiveUp(Reason::DeadlineExceeded)),
         (End::Drained(Action::Finish), repeatable, false, Next::Stay),
         (End::Drained(Action::Move), once, false, Next::Leave(Action::Move)),
-        (End::NotSent, once, true, Next::Elsewhere),
+        (End::NotSent, once, true, Next::FailOver),
         (End::NotSent, once, false, Next::GiveUp(Reason::Unsent)),
-        (End::Interrupted, repeatable, true, Next::Elsewhere),
+        (End::Interrupted, repeatable, true, Next::FailOver),
         (End::Interrupted, repeatable, false, Next::GiveUp(Reason::RetriesExhausted)),
-        (End::Interrupted, leaving, false, Next::Elsewhere),
+        (End::Interrupted, leaving, false, Next::FailOver),
         (End::Interrupted, once, true, Next::GiveUp(Reason::NotRepeatable)),
     ];
     for (end, standing, has_retry, expected) in cases {
