--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -81,7 +81,7 @@
     /// Go on at another server than this one.
     FailOver,
     /// Leave the attempt behind by this action, and go on at another server.
-    Leave(Action),
+    Migrate(Action),
     /// Read the attempt on where it is.
     Stay,
     /// End the request.
@@ -94,7 +94,7 @@
         End::Finished => Next::Done,
         End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
         End::Drained(Action::Finish) => Next::Stay,
-        End::Drained(action) => Next::Leave(action),
+        End::Drained(action) => Next::Migrate(action),
         End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
         End::NotSent | End::Interrupted => {
             if standing.is_leaving || take_retry() {
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -173,7 +173,7 @@
                 self.avoid.push(attempt.server);
                 Step::Again
             }
-            Next::Leave(action) => {
+            Next::Migrate(action) => {
                 self.node.metric.count("streams_moved", 1);
                 self.avoid = vec![attempt.server.clone()];
                 self.left = Some((attempt, action));
