--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -83,7 +83,7 @@
     /// Leave the attempt behind by this action, and go on at another server.
     Migrate(Action),
     /// Read the attempt on where it is.
-    Stay,
+    KeepReading,
     /// End the request.
     GiveUp(Reason),
 }
@@ -93,7 +93,7 @@
     match end {
         End::Finished => Next::Done,
         End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
-        End::Drained(Action::Finish) => Next::Stay,
+        End::Drained(Action::Finish) => Next::KeepReading,
         End::Drained(action) => Next::Migrate(action),
         End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
         End::NotSent | End::Interrupted => {
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -15,7 +15,7 @@
     let cases = [
         (End::Finished, once, false, Next::Done),
         (End::DeadlineExceeded, repeatable, true, Next::GiveUp(Reason::DeadlineExceeded)),
-        (End::Drained(Action::Finish), repeatable, false, Next::Stay),
+        (End::Drained(Action::Finish), repeatable, false, Next::KeepReading),
         (End::Drained(Action::Move), once, false, Next::Migrate(Action::Move)),
         (End::NotSent, once, true, Next::FailOver),
         (End::NotSent, once, false, Next::GiveUp(Reason::Unsent)),
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -168,7 +168,7 @@
         };
         match keeljunction_core::attempt::next(end, standing, || self.take_retry()) {
             Next::Done => Step::Stop,
-            Next::Stay => Box::pin(self.attach(&attempt)).await,
+            Next::KeepReading => Box::pin(self.attach(&attempt)).await,
             Next::FailOver => {
                 self.avoid.push(attempt.server);
                 Step::Again
