--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -89,7 +89,7 @@
 }
 
 /// Decides what to do after an attempt. `take_retry` takes one retry of the budget, if there is one.
-pub fn next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
+pub fn decide_next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
     match end {
         End::Finished => Next::Done,
         End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -1,6 +1,6 @@
 //! What to do after an attempt has ended, and with a request whose node is gone.
 
-use keeljunction_core::attempt::{Conditions, End, Next, Reason, next};
+use keeljunction_core::attempt::{Conditions, End, Next, Reason, decide_next};
 use keeljunction_core::claim::{Answer, Verdict};
 use keeljunction_core::drain::Action;
 use keeljunction_core::record::Tokens;
@@ -25,7 +25,7 @@
         (End::Interrupted, once, true, Next::GiveUp(Reason::NotRepeatable)),
     ];
     for (end, standing, has_retry, expected) in cases {
-        assert_eq!(next(end, standing, || has_retry), expected, "{end:?} {standing:?}");
+        assert_eq!(decide_next(end, standing, || has_retry), expected, "{end:?} {standing:?}");
     }
 }
 
@@ -80,7 +80,7 @@
         has_retry in any::<bool>(),
         end in prop_oneof![Just(End::Interrupted), Just(End::DeadlineExceeded), Just(End::Finished)],
     ) {
-        let decided = next(end, Conditions { is_repeatable: false, is_leaving }, || has_retry);
+        let decided = decide_next(end, Conditions { is_repeatable: false, is_leaving }, || has_retry);
         prop_assert!(matches!(decided, Next::Done | Next::GiveUp(_)), "{decided:?}");
     }
 
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -166,7 +166,7 @@
             is_repeatable: self.answer.request.class.repeatable,
             is_leaving: self.node.is_leaving(&attempt.server),
         };
-        match keeljunction_core::attempt::next(end, standing, || self.take_retry()) {
+        match keeljunction_core::attempt::decide_next(end, standing, || self.take_retry()) {
             Next::Done => Step::Stop,
             Next::KeepReading => Box::pin(self.attach(&attempt)).await,
             Next::FailOver => {
