--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -108,6 +108,6 @@
 }
 
 /// Decides the outcome that a caller gets for a request that is given up.
-pub fn outcome(is_sent: bool) -> Outcome {
+pub fn decide_outcome(is_sent: bool) -> Outcome {
     if is_sent { Outcome::Unknown } else { Outcome::NotRun }
 }
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -250,7 +250,7 @@
     }
 
     fn give_up(&self, why: &str, status: u16, retry_after: u64) -> Step {
-        let ended = match keeljunction_core::attempt::outcome(self.answer.is_sent()) {
+        let ended = match keeljunction_core::attempt::decide_outcome(self.answer.is_sent()) {
             Outcome::Done | Outcome::Unknown => unknown(status, why, retry_after),
             Outcome::NotRun => {
                 if let Some(claimed) = &self.claimed {
