--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -4,7 +4,7 @@
 
 /// What the record and the bundle say of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestFacts {
     /// Whether a model engine runs it, which can be attached to.
     pub is_model: bool,
     /// Whether it may run more than once, or its servers see to it that it does not.
@@ -32,18 +32,18 @@
 
 /// Decides how to go on. `claim` is the verdict over a new claim of this node, for a request that
 /// needs one, or `None` where it could not be had.
-pub fn start(facts: Facts, needs_claim: bool, claim: Option<Verdict>) -> Start {
+pub fn start(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Start {
     if needs_claim {
         return start_claimed(facts, claim);
     }
     match facts {
-        Facts { is_model: true, has_attempt: true, .. } => Start::Attach,
-        Facts { is_repeatable: true, .. } => Start::Anew,
+        RequestFacts { is_model: true, has_attempt: true, .. } => Start::Attach,
+        RequestFacts { is_repeatable: true, .. } => Start::Anew,
         _ => Start::Unknown,
     }
 }
 
-fn start_claimed(facts: Facts, claim: Option<Verdict>) -> Start {
+fn start_claimed(facts: RequestFacts, claim: Option<Verdict>) -> Start {
     match claim {
         Some(Verdict::Run) => Start::Claimed,
         Some(Verdict::Recorded(answer)) => Start::Recorded(answer),
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -4,7 +4,7 @@
 use keeljunction_core::claim::{Answer, Verdict};
 use keeljunction_core::drain::Action;
 use keeljunction_core::record::Tokens;
-use keeljunction_core::takeover::{Facts, Start, start};
+use keeljunction_core::takeover::{RequestFacts, Start, start};
 use proptest::prelude::*;
 
 #[test]
@@ -31,8 +31,11 @@
 
 #[test]
 fn a_request_whose_node_is_gone_goes_on_only_where_that_is_safe() {
-    let facts =
-        |is_model, is_repeatable, has_attempt| Facts { is_model, is_repeatable, has_attempt };
+    let facts = |is_model, is_repeatable, has_attempt| RequestFacts {
+        is_model,
+        is_repeatable,
+        has_attempt,
+    };
     let answer =
         Answer { status: 200, media_type: "text/plain".to_owned(), body: "6f6b".to_owned() };
     let taken = || Some(Verdict::Taken("entry-1".to_owned()));
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use keeljunction_core::takeover::{self, Facts};
+use keeljunction_core::takeover::{self, RequestFacts};
 use uuid::Uuid;
 
 use super::answer::{Attempt, not_run, unknown};
@@ -78,7 +78,7 @@
 async fn start(node: &Arc<Node>, answer: &Arc<Answer>, record: &Record) -> Option<Start> {
     let request = &answer.request;
     let running = running_attempt(record);
-    let facts = Facts {
+    let facts = RequestFacts {
         is_model: request.is_model(),
         is_repeatable: request.class.repeatable || request.service.deduplicates,
         has_attempt: running.is_some(),
