--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -15,7 +15,7 @@
 
 /// How to go on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum Strategy {
     /// Attach to the attempt that the record names.
     Attach,
     /// Run it, from the tokens that the record has.
@@ -32,23 +32,23 @@
 
 /// Decides how to go on. `claim` is the verdict over a new claim of this node, for a request that
 /// needs one, or `None` where it could not be had.
-pub fn start(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Start {
+pub fn start(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Strategy {
     if needs_claim {
         return start_claimed(facts, claim);
     }
     match facts {
-        RequestFacts { is_model: true, has_attempt: true, .. } => Start::Attach,
-        RequestFacts { is_repeatable: true, .. } => Start::Anew,
-        _ => Start::Unknown,
+        RequestFacts { is_model: true, has_attempt: true, .. } => Strategy::Attach,
+        RequestFacts { is_repeatable: true, .. } => Strategy::Anew,
+        _ => Strategy::Unknown,
     }
 }
 
-fn start_claimed(facts: RequestFacts, claim: Option<Verdict>) -> Start {
+fn start_claimed(facts: RequestFacts, claim: Option<Verdict>) -> Strategy {
     match claim {
-        Some(Verdict::Run) => Start::Claimed,
-        Some(Verdict::Recorded(answer)) => Start::Recorded(answer),
-        Some(Verdict::Released) => Start::NotRun,
-        Some(Verdict::Taken(_)) if facts.is_model && facts.has_attempt => Start::Attach,
-        Some(Verdict::Taken(_) | Verdict::Free | Verdict::Mismatch) | None => Start::Unknown,
+        Some(Verdict::Run) => Strategy::Claimed,
+        Some(Verdict::Recorded(answer)) => Strategy::Recorded(answer),
+        Some(Verdict::Released) => Strategy::NotRun,
+        Some(Verdict::Taken(_)) if facts.is_model && facts.has_attempt => Strategy::Attach,
+        Some(Verdict::Taken(_) | Verdict::Free | Verdict::Mismatch) | None => Strategy::Unknown,
     }
 }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -4,7 +4,7 @@
 use keeljunction_core::claim::{Answer, Verdict};
 use keeljunction_core::drain::Action;
 use keeljunction_core::record::Tokens;
-use keeljunction_core::takeover::{RequestFacts, Start, start};
+use keeljunction_core::takeover::{RequestFacts, Strategy, start};
 use proptest::prelude::*;
 
 #[test]
@@ -40,34 +40,34 @@
         Answer { status: 200, media_type: "text/plain".to_owned(), body: "6f6b".to_owned() };
     let taken = || Some(Verdict::Taken("entry-1".to_owned()));
     let cases = [
-        ("a stream that may run", facts(true, true, true), false, None, Start::Attach),
-        ("a stream not yet sent", facts(true, true, false), false, None, Start::Anew),
-        ("a plain read", facts(false, true, true), false, None, Start::Anew),
+        ("a stream that may run", facts(true, true, true), false, None, Strategy::Attach),
+        ("a stream not yet sent", facts(true, true, false), false, None, Strategy::Anew),
+        ("a plain read", facts(false, true, true), false, None, Strategy::Anew),
         (
             "unrepeatable, the claim is new",
             facts(false, false, false),
             true,
             Some(Verdict::Run),
-            Start::Claimed,
+            Strategy::Claimed,
         ),
-        ("unrepeatable, sent", facts(false, false, true), true, taken(), Start::Unknown),
-        ("unrepeatable stream, sent", facts(true, false, true), true, taken(), Start::Attach),
+        ("unrepeatable, sent", facts(false, false, true), true, taken(), Strategy::Unknown),
+        ("unrepeatable stream, sent", facts(true, false, true), true, taken(), Strategy::Attach),
         (
             "unrepeatable stream, no attempt known",
             facts(true, false, false),
             true,
             taken(),
-            Start::Unknown,
+            Strategy::Unknown,
         ),
         (
             "answered",
             facts(false, false, true),
             true,
             Some(Verdict::Recorded(answer.clone())),
-            Start::Recorded(answer),
+            Strategy::Recorded(answer),
         ),
-        ("released", facts(false, false, true), true, Some(Verdict::Released), Start::NotRun),
-        ("the table is down", facts(false, false, true), true, None, Start::Unknown),
+        ("released", facts(false, false, true), true, Some(Verdict::Released), Strategy::NotRun),
+        ("the table is down", facts(false, false, true), true, None, Strategy::Unknown),
     ];
     for (name, facts, needs_claim, claim, expected) in cases {
         assert_eq!(start(facts, needs_claim, claim), expected, "{name}");
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -89,14 +89,14 @@
         false => None,
     };
     match takeover::start(facts, request.needs_claim(), claim) {
-        takeover::Start::Attach => running.map(Start::Attached),
-        takeover::Start::Anew => Some(Start::Anew),
-        takeover::Start::Claimed => Some(Start::Claimed(attempt)),
-        takeover::Start::Recorded(recorded) => end(node, answer, ending::recorded(&recorded)),
-        takeover::Start::NotRun => {
+        takeover::Strategy::Attach => running.map(Start::Attached),
+        takeover::Strategy::Anew => Some(Start::Anew),
+        takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
+        takeover::Strategy::Recorded(recorded) => end(node, answer, ending::recorded(&recorded)),
+        takeover::Strategy::NotRun => {
             end(node, answer, not_run(503, "the request was given up before it was sent", 0))
         }
-        takeover::Start::Unknown => {
+        takeover::Strategy::Unknown => {
             let why = "the node that had the request is gone and it is not to be repeated";
             end(node, answer, unknown(502, why, 0))
         }
