--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -19,7 +19,7 @@
     /// Attach to the attempt that the record names.
     Attach,
     /// Run it, from the tokens that the record has.
-    Anew,
+    Rerun,
     /// Run it under the claim that was just got: it never ran before.
     Claimed,
     /// Give the answer that was recorded.
@@ -38,7 +38,7 @@
     }
     match facts {
         RequestFacts { is_model: true, has_attempt: true, .. } => Strategy::Attach,
-        RequestFacts { is_repeatable: true, .. } => Strategy::Anew,
+        RequestFacts { is_repeatable: true, .. } => Strategy::Rerun,
         _ => Strategy::Unknown,
     }
 }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -41,8 +41,8 @@
     let taken = || Some(Verdict::Taken("entry-1".to_owned()));
     let cases = [
         ("a stream that may run", facts(true, true, true), false, None, Strategy::Attach),
-        ("a stream not yet sent", facts(true, true, false), false, None, Strategy::Anew),
-        ("a plain read", facts(false, true, true), false, None, Strategy::Anew),
+        ("a stream not yet sent", facts(true, true, false), false, None, Strategy::Rerun),
+        ("a plain read", facts(false, true, true), false, None, Strategy::Rerun),
         (
             "unrepeatable, the claim is new",
             facts(false, false, false),
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -90,7 +90,7 @@
     };
     match takeover::start(facts, request.needs_claim(), claim) {
         takeover::Strategy::Attach => running.map(Start::Attached),
-        takeover::Strategy::Anew => Some(Start::Anew),
+        takeover::Strategy::Rerun => Some(Start::Anew),
         takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
         takeover::Strategy::Recorded(recorded) => end(node, answer, ending::recorded(&recorded)),
         takeover::Strategy::NotRun => {
