--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -32,7 +32,7 @@
 
 /// Decides how to go on. `claim` is the verdict over a new claim of this node, for a request that
 /// needs one, or `None` where it could not be had.
-pub fn start(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Strategy {
+pub fn choose_strategy(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Strategy {
     if needs_claim {
         return start_claimed(facts, claim);
     }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -4,7 +4,7 @@
 use keeljunction_core::claim::{Answer, Verdict};
 use keeljunction_core::drain::Action;
 use keeljunction_core::record::Tokens;
-use keeljunction_core::takeover::{RequestFacts, Strategy, start};
+use keeljunction_core::takeover::{RequestFacts, Strategy, choose_strategy};
 use proptest::prelude::*;
 
 #[test]
@@ -70,7 +70,7 @@
         ("the table is down", facts(false, false, true), true, None, Strategy::Unknown),
     ];
     for (name, facts, needs_claim, claim, expected) in cases {
-        assert_eq!(start(facts, needs_claim, claim), expected, "{name}");
+        assert_eq!(choose_strategy(facts, needs_claim, claim), expected, "{name}");
     }
 }
 
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -88,7 +88,7 @@
         true => claims::claim(node, request, &attempt).await.ok(),
         false => None,
     };
-    match takeover::start(facts, request.needs_claim(), claim) {
+    match takeover::choose_strategy(facts, request.needs_claim(), claim) {
         takeover::Strategy::Attach => running.map(Start::Attached),
         takeover::Strategy::Rerun => Some(Start::Anew),
         takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
