--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -11,7 +11,7 @@
 
 /// Says what became of a token that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Disposition {
     /// These tokens come next in the answer: the one that arrived, and those held for it.
     Accept(Vec<String>),
     /// Tokens before it are missing; it is held.
@@ -29,14 +29,14 @@
 /// # Examples
 ///
 /// ```
-/// use keeljunction_core::stream::{Cursor, Verdict};
+/// use keeljunction_core::stream::{Cursor, Disposition};
 ///
 /// let mut cursor = Cursor::new("a", 0);
-/// assert_eq!(cursor.take("a", 1, "two"), Verdict::Held);
+/// assert_eq!(cursor.take("a", 1, "two"), Disposition::Held);
 /// let both = vec!["one".to_owned(), "two".to_owned()];
-/// assert_eq!(cursor.take("a", 0, "one"), Verdict::Accept(both));
-/// assert_eq!(cursor.take("a", 1, "two"), Verdict::Repeated);
-/// assert_eq!(cursor.take("b", 2, "three"), Verdict::Foreign);
+/// assert_eq!(cursor.take("a", 0, "one"), Disposition::Accept(both));
+/// assert_eq!(cursor.take("a", 1, "two"), Disposition::Repeated);
+/// assert_eq!(cursor.take("b", 2, "three"), Disposition::Foreign);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cursor {
@@ -58,19 +58,19 @@
     }
 
     /// Takes one token of an attempt in.
-    pub fn take(&mut self, attempt: &str, offset: u64, token: &str) -> Verdict {
+    pub fn take(&mut self, attempt: &str, offset: u64, token: &str) -> Disposition {
         if attempt != self.attempt {
-            return Verdict::Foreign;
+            return Disposition::Foreign;
         }
         if offset < self.next || self.held.contains_key(&offset) {
-            return Verdict::Repeated;
+            return Disposition::Repeated;
         }
         if offset > self.next {
             if self.held.len() >= MOST_HELD {
-                return Verdict::Gap(self.next);
+                return Disposition::Gap(self.next);
             }
             self.held.insert(offset, token.to_owned());
-            return Verdict::Held;
+            return Disposition::Held;
         }
         let mut accepted = vec![token.to_owned()];
         self.next += 1;
@@ -78,7 +78,7 @@
             accepted.push(token);
             self.next += 1;
         }
-        Verdict::Accept(accepted)
+        Disposition::Accept(accepted)
     }
 
     /// Returns `true` if tokens are held for others that are missing.
--- a/crates/core/tests/core/stream.rs
+++ b/crates/core/tests/core/stream.rs
@@ -1,25 +1,25 @@
 //! Which tokens belong to an answer.
 
-use keeljunction_core::stream::{Cursor, Verdict};
+use keeljunction_core::stream::{Cursor, Disposition};
 use proptest::prelude::*;
 
 #[test]
 fn too_much_that_is_missing_asks_for_the_attempt_again() {
     let mut cursor = Cursor::new("a", 0);
     for offset in 1..65 {
-        assert_eq!(cursor.take("a", offset, "x"), Verdict::Held);
+        assert_eq!(cursor.take("a", offset, "x"), Disposition::Held);
     }
-    assert_eq!(cursor.take("a", 65, "x"), Verdict::Gap(0));
+    assert_eq!(cursor.take("a", 65, "x"), Disposition::Gap(0));
     assert!(cursor.is_missing());
 }
 
 #[test]
 fn what_was_held_of_one_attempt_does_not_pass_into_another() {
     let mut cursor = Cursor::new("a", 3);
-    assert_eq!(cursor.take("a", 4, "old"), Verdict::Held);
+    assert_eq!(cursor.take("a", 4, "old"), Disposition::Held);
     cursor.switch("b");
-    assert_eq!(cursor.take("b", 3, "x"), Verdict::Accept(vec!["x".to_owned()]));
-    assert_eq!(cursor.take("a", 4, "old"), Verdict::Foreign);
+    assert_eq!(cursor.take("b", 3, "x"), Disposition::Accept(vec!["x".to_owned()]));
+    assert_eq!(cursor.take("a", 4, "old"), Disposition::Foreign);
     assert_eq!(cursor.get_next(), 4);
 }
 
@@ -40,7 +40,7 @@
         let mut cursor = Cursor::new("a", 0);
         let mut answer = Vec::new();
         for (attempt, offset) in events {
-            if let Verdict::Accept(tokens) = cursor.take(&attempt, offset, &format!("{attempt}{offset}")) {
+            if let Disposition::Accept(tokens) = cursor.take(&attempt, offset, &format!("{attempt}{offset}")) {
                 answer.extend(tokens);
             }
         }
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -6,7 +6,7 @@
 
 use futures_lite::future;
 use keeljunction_core::attempt::End;
-use keeljunction_core::stream::{Cursor, Verdict};
+use keeljunction_core::stream::{Cursor, Disposition};
 
 use super::answer::{Attempt, done};
 use super::{Answer, Node, ending, grant};
@@ -132,10 +132,10 @@
             return End::Finished;
         };
         match cursor.take(&named, offset, &text) {
-            Verdict::Accept(tokens) => answer.push(tokens),
-            Verdict::Held => node.metric.count("tokens_held", 1),
-            Verdict::Repeated | Verdict::Foreign => node.metric.count("tokens_dropped", 1),
-            Verdict::Gap(_) => return broken("tokens are missing"),
+            Disposition::Accept(tokens) => answer.push(tokens),
+            Disposition::Held => node.metric.count("tokens_held", 1),
+            Disposition::Repeated | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
+            Disposition::Gap(_) => return broken("tokens are missing"),
         }
         if let Some(grant) = unread.take() {
             grant::first_token(node, grant);
