--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -15,7 +15,7 @@
     /// These tokens come next in the answer: the one that arrived, and those held for it.
     Accept(Vec<String>),
     /// Tokens before it are missing; it is held.
-    Held,
+    Buffered,
     /// It was seen before.
     Repeated,
     /// It belongs to another attempt.
@@ -32,7 +32,7 @@
 /// use keeljunction_core::stream::{Cursor, Disposition};
 ///
 /// let mut cursor = Cursor::new("a", 0);
-/// assert_eq!(cursor.take("a", 1, "two"), Disposition::Held);
+/// assert_eq!(cursor.take("a", 1, "two"), Disposition::Buffered);
 /// let both = vec!["one".to_owned(), "two".to_owned()];
 /// assert_eq!(cursor.take("a", 0, "one"), Disposition::Accept(both));
 /// assert_eq!(cursor.take("a", 1, "two"), Disposition::Repeated);
@@ -70,7 +70,7 @@
                 return Disposition::Gap(self.next);
             }
             self.held.insert(offset, token.to_owned());
-            return Disposition::Held;
+            return Disposition::Buffered;
         }
         let mut accepted = vec![token.to_owned()];
         self.next += 1;
--- a/crates/core/tests/core/stream.rs
+++ b/crates/core/tests/core/stream.rs
@@ -7,7 +7,7 @@
 fn too_much_that_is_missing_asks_for_the_attempt_again() {
     let mut cursor = Cursor::new("a", 0);
     for offset in 1..65 {
-        assert_eq!(cursor.take("a", offset, "x"), Disposition::Held);
+        assert_eq!(cursor.take("a", offset, "x"), Disposition::Buffered);
     }
     assert_eq!(cursor.take("a", 65, "x"), Disposition::Gap(0));
     assert!(cursor.is_missing());
@@ -16,7 +16,7 @@
 #[test]
 fn what_was_held_of_one_attempt_does_not_pass_into_another() {
     let mut cursor = Cursor::new("a", 3);
-    assert_eq!(cursor.take("a", 4, "old"), Disposition::Held);
+    assert_eq!(cursor.take("a", 4, "old"), Disposition::Buffered);
     cursor.switch("b");
     assert_eq!(cursor.take("b", 3, "x"), Disposition::Accept(vec!["x".to_owned()]));
     assert_eq!(cursor.take("a", 4, "old"), Disposition::Foreign);
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -133,7 +133,7 @@
         };
         match cursor.take(&named, offset, &text) {
             Disposition::Accept(tokens) => answer.push(tokens),
-            Disposition::Held => node.metric.count("tokens_held", 1),
+            Disposition::Buffered => node.metric.count("tokens_held", 1),
             Disposition::Repeated | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
             Disposition::Gap(_) => return broken("tokens are missing"),
         }
