--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -17,7 +17,7 @@
     /// Tokens before it are missing; it is held.
     Buffered,
     /// It was seen before.
-    Repeated,
+    Duplicate,
     /// It belongs to another attempt.
     Foreign,
     /// Too much is missing: the attempt must be read again from this offset.
@@ -35,7 +35,7 @@
 /// assert_eq!(cursor.take("a", 1, "two"), Disposition::Buffered);
 /// let both = vec!["one".to_owned(), "two".to_owned()];
 /// assert_eq!(cursor.take("a", 0, "one"), Disposition::Accept(both));
-/// assert_eq!(cursor.take("a", 1, "two"), Disposition::Repeated);
+/// assert_eq!(cursor.take("a", 1, "two"), Disposition::Duplicate);
 /// assert_eq!(cursor.take("b", 2, "three"), Disposition::Foreign);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
             return Disposition::Foreign;
         }
         if offset < self.next || self.held.contains_key(&offset) {
-            return Disposition::Repeated;
+            return Disposition::Duplicate;
         }
         if offset > self.next {
             if self.held.len() >= MOST_HELD {
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -134,7 +134,7 @@
         match cursor.take(&named, offset, &text) {
             Disposition::Accept(tokens) => answer.push(tokens),
             Disposition::Buffered => node.metric.count("tokens_held", 1),
-            Disposition::Repeated | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
+            Disposition::Duplicate | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
             Disposition::Gap(_) => return broken("tokens are missing"),
         }
         if let Some(grant) = unread.take() {
