--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns `true` if tokens are held for others that are missing.
-    pub fn is_missing(&self) -> bool {
+    pub fn has_gap(&self) -> bool {
         !self.held.is_empty()
     }
 
--- a/crates/core/tests/core/stream.rs
+++ b/crates/core/tests/core/stream.rs
@@ -10,7 +10,7 @@
         assert_eq!(cursor.take("a", offset, "x"), Disposition::Buffered);
     }
     assert_eq!(cursor.take("a", 65, "x"), Disposition::Gap(0));
-    assert!(cursor.is_missing());
+    assert!(cursor.has_gap());
 }
 
 #[test]
@@ -46,6 +46,6 @@
         }
         let expected: Vec<String> = (0..count).map(|offset| format!("a{offset}")).collect();
         prop_assert_eq!(answer, expected);
-        prop_assert!(!cursor.is_missing());
+        prop_assert!(!cursor.has_gap());
     }
 }
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -125,7 +125,7 @@
             Err(end) => return end,
         };
         let Piece::Token { attempt: named, offset, text } = piece else {
-            if cursor.is_missing() {
+            if cursor.has_gap() {
                 return broken("tokens are missing");
             }
             ending::finish_model(node, answer, attempt);
