--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -4,7 +4,7 @@
 
 /// A token bucket whose level may fall below zero: what was consumed in advance is paid back first.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Units that are left.
     pub available: f64,
     /// Units besides, which are held back.
@@ -15,8 +15,8 @@
     capacity: f64,
 }
 
-impl Bucket {
-    /// Makes a bucket at a level, which does not refill until [`Bucket::set`].
+impl TokenBucket {
+    /// Makes a bucket at a level, which does not refill until [`TokenBucket::set`].
     pub fn new(now: Millis, available: f64) -> Self {
         Self { available, reserved: 0.0, filled_at: now, rate: 0.0, capacity: f64::INFINITY }
     }
@@ -55,12 +55,12 @@
         self.available = self.available.min(capacity);
     }
 
-    /// Returns the units a second and the capacity in force; `None` until [`Bucket::set`].
+    /// Returns the units a second and the capacity in force; `None` until [`TokenBucket::set`].
     pub fn get_limits(&self) -> Option<(f64, f64)> {
         self.capacity.is_finite().then_some((self.rate, self.capacity))
     }
 
-    /// Saves nothing up until the next [`Bucket::set`], beyond what pays back a debt.
+    /// Saves nothing up until the next [`TokenBucket::set`], beyond what pays back a debt.
     pub fn stop_saving(&mut self, now: Millis) {
         self.set(now, self.rate, 0.0);
     }
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -6,7 +6,7 @@
 
 use super::Key;
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 use crate::serving::quota::Reach;
 
 /// The lowest rate at which permits are given, in requests a second: only an answer shows that a limit
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Pool {
     incarnation: u64,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Nodes that were denied and have not got a permit since.
     queued: u32,
     /// When the last of them has its turn.
@@ -110,7 +110,7 @@
     fn get_pool(&mut self, now: Millis, key: Key, level: f64) -> &mut Pool {
         let fresh = Pool {
             incarnation: key.incarnation,
-            bucket: Bucket::new(now, level),
+            bucket: TokenBucket::new(now, level),
             queued: 0,
             last_turn: now,
             used_at: now,
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -8,7 +8,7 @@
 use super::report::Source;
 use super::{LEAST_LEFT, NEW_FOR, Quotas, get_raised_part};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// The part of the local share that is admitted, less what pays back what was admitted beyond the
 /// limit.
@@ -108,7 +108,7 @@
         // otherwise.
         let debt = (units - share.advance).max(0.0);
         let bucket = self.local_share.entry(account.to_owned());
-        let bucket = bucket.or_insert(Bucket::new(now, -debt));
+        let bucket = bucket.or_insert(TokenBucket::new(now, -debt));
         bucket.set(now, share.rate, share.rate.max(LEAST_LEFT));
         if bucket.available < LEAST_LEFT {
             return Err(get_wait(LEAST_LEFT - bucket.available, share.rate));
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -32,7 +32,7 @@
 
 use self::report::{RATE_VALID_FOR, Rates};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// What must be left for a request to be admitted, in units.
 const LEAST_LEFT: f64 = 1.0;
@@ -71,8 +71,8 @@
 pub struct Quotas {
     started_at: Millis,
     tolerance: Tolerance,
-    whole: BTreeMap<String, Bucket>,
-    local_share: BTreeMap<String, Bucket>,
+    whole: BTreeMap<String, TokenBucket>,
+    local_share: BTreeMap<String, TokenBucket>,
     /// Until when units are booked for refused callers, by client account.
     booked_until: BTreeMap<String, f64>,
     own: Report,
@@ -388,9 +388,9 @@
     }
 
     /// Makes the bucket of a client account that was not requested of this node before.
-    fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> Bucket {
+    fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> TokenBucket {
         if now >= self.started_at + NEW_FOR {
-            return Bucket::new(now, limit.get_capacity());
+            return TokenBucket::new(now, limit.get_capacity());
         }
         let fresh = self.get_fresh(limit);
         let reports = |is_older: bool| {
@@ -401,7 +401,7 @@
             Some(level) => fresh.min(level as f64),
             None => fresh - reports(false).map(|last| last.admitted as f64).sum::<f64>(),
         };
-        Bucket::new(now, level - reserved).reserve(reserved)
+        TokenBucket::new(now, level - reserved).reserve(reserved)
     }
 
     /// Returns `true` if a report for many nodes did not come in time: what is left is then known too
@@ -457,7 +457,7 @@
 /// Nodes that were out of reach used a part of the rate that did not refill this bucket meanwhile.
 /// What they report of a long time may be many times the burst. The debt is therefore bounded by the
 /// burst and the tolerated excess.
-fn charge(tolerance: Tolerance, bucket: &mut Bucket, admitted: i64) {
+fn charge(tolerance: Tolerance, bucket: &mut TokenBucket, admitted: i64) {
     let admitted = admitted as f64;
     let Some((rate, capacity)) = bucket.get_limits() else {
         bucket.available -= admitted;
@@ -468,7 +468,7 @@
     bucket.available = (bucket.available - admitted).max(least);
 }
 
-fn refund_all(buckets: &mut BTreeMap<String, Bucket>, units: BTreeMap<String, f64>) {
+fn refund_all(buckets: &mut BTreeMap<String, TokenBucket>, units: BTreeMap<String, f64>) {
     for (account, units) in units {
         if let Some(bucket) = buckets.get_mut(&account) {
             bucket.available += units;
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -15,7 +15,7 @@
 use super::choice::{Candidate, Choice, Criteria};
 use super::topology::Topology;
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// Round trips from the choice of a far server to the first byte of its answer: one for a new
 /// connection and one for the request. Few requests cross, so that an idle connection is often gone.
@@ -184,7 +184,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
-    bytes: Bucket,
+    bytes: TokenBucket,
     silent_until: Millis,
 }
 
@@ -243,7 +243,7 @@
     /// Returns the link to a region, new with a full budget where it was not used yet.
     fn open_link(&mut self, now: Millis, region: &str) -> &mut Link {
         let rate = self.rate;
-        let full = || Link { bytes: Bucket::new(now, rate), silent_until: 0 };
+        let full = || Link { bytes: TokenBucket::new(now, rate), silent_until: 0 };
         self.by_region.entry(region.to_owned()).or_insert_with(full)
     }
 }
--- a/crates/core/tests/core/bucket.rs
+++ b/crates/core/tests/core/bucket.rs
@@ -1,11 +1,11 @@
 //! How many calls may be made in a second.
 
-use keeljunction_core::bucket::Bucket;
+use keeljunction_core::bucket::TokenBucket;
 use proptest::prelude::*;
 
 #[test]
 fn after_its_burst_a_bucket_says_when_the_next_call_may_come() {
-    let mut bucket = Bucket::full(0, 2);
+    let mut bucket = TokenBucket::full(0, 2);
     assert_eq!([bucket.take(0), bucket.take(0)], [Ok(()), Ok(())]);
     assert_eq!(bucket.take(0), Err(500));
     assert_eq!(bucket.take(500), Ok(()));
@@ -15,7 +15,7 @@
     /// Over any window the calls stay under the rate and one burst.
     #[test]
     fn calls_stay_under_the_rate(per_second in 1..200u32, gaps in prop::collection::vec(0..50u64, 1..300)) {
-        let mut bucket = Bucket::full(0, per_second);
+        let mut bucket = TokenBucket::full(0, per_second);
         let (mut now, mut taken) = (0, 0u64);
         for gap in gaps {
             now += gap;
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hyper::{Method, Request, StatusCode};
-use keeljunction_core::bucket::Bucket;
+use keeljunction_core::bucket::TokenBucket;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -34,7 +34,7 @@
 pub struct Client {
     http: http::Client,
     settings: settings::Platform,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
     clock: Clock,
 }
 
@@ -42,7 +42,7 @@
     /// Makes a client; it connects when it is first used.
     pub fn new(settings: settings::Platform, http: http::Client) -> Self {
         let clock = Clock::new();
-        let bucket = Mutex::new(Bucket::full(clock.now(), settings.calls_per_second));
+        let bucket = Mutex::new(TokenBucket::full(clock.now(), settings.calls_per_second));
         Self { http, settings, bucket, clock }
     }
 
