--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -61,7 +61,7 @@
     }
 
     /// Saves nothing up until the next [`TokenBucket::set`], beyond what pays back a debt.
-    pub fn stop_saving(&mut self, now: Millis) {
+    pub fn stop_accumulating(&mut self, now: Millis) {
         self.set(now, self.rate, 0.0);
     }
 
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -39,7 +39,7 @@
     pub fn restart_local_share(&mut self, now: Millis, account: &str) {
         if let Some(bucket) = self.local_share.get_mut(account) {
             // What was admitted in advance is paid back as before.
-            bucket.stop_saving(now);
+            bucket.stop_accumulating(now);
         }
     }
 
