--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -16,7 +16,7 @@
 }
 
 impl TokenBucket {
-    /// Makes a bucket at a level, which does not refill until [`TokenBucket::set`].
+    /// Makes a bucket at a level, which does not refill until [`TokenBucket::set_limits`].
     pub fn new(now: Millis, available: f64) -> Self {
         Self { available, reserved: 0.0, filled_at: now, rate: 0.0, capacity: f64::INFINITY }
     }
@@ -48,21 +48,21 @@
     }
 
     /// Refills the bucket at the rate in force until now, and sets the rate in force from now on.
-    pub fn set(&mut self, now: Millis, rate: f64, capacity: f64) {
+    pub fn set_limits(&mut self, now: Millis, rate: f64, capacity: f64) {
         self.refill(now);
         self.rate = rate;
         self.capacity = capacity;
         self.available = self.available.min(capacity);
     }
 
-    /// Returns the units a second and the capacity in force; `None` until [`TokenBucket::set`].
+    /// Returns the units a second and the capacity in force; `None` until [`TokenBucket::set_limits`].
     pub fn get_limits(&self) -> Option<(f64, f64)> {
         self.capacity.is_finite().then_some((self.rate, self.capacity))
     }
 
-    /// Saves nothing up until the next [`TokenBucket::set`], beyond what pays back a debt.
+    /// Saves nothing up until the next [`TokenBucket::set_limits`], beyond what pays back a debt.
     pub fn stop_accumulating(&mut self, now: Millis) {
-        self.set(now, self.rate, 0.0);
+        self.set_limits(now, self.rate, 0.0);
     }
 
     /// Holds no more than `reserved` units back, and makes the others available.
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -83,7 +83,7 @@
         let rate = rate.max(LOWEST_RATE) * fraction;
         let pool = self.get_pool(now, key, -self.draw * (1.0 - fraction));
         pool.used_at = now;
-        pool.bucket.set(now, rate, (rate * SAVED_SECONDS).max(LEAST_SAVED));
+        pool.bucket.set_limits(now, rate, (rate * SAVED_SECONDS).max(LEAST_SAVED));
         match pool.bucket.take(now) {
             Ok(()) => {
                 pool.queued = pool.queued.saturating_sub(1);
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -109,7 +109,7 @@
         let debt = (units - share.advance).max(0.0);
         let bucket = self.local_share.entry(account.to_owned());
         let bucket = bucket.or_insert(TokenBucket::new(now, -debt));
-        bucket.set(now, share.rate, share.rate.max(LEAST_LEFT));
+        bucket.set_limits(now, share.rate, share.rate.max(LEAST_LEFT));
         if bucket.available < LEAST_LEFT {
             return Err(get_wait(LEAST_LEFT - bucket.available, share.rate));
         }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -372,7 +372,7 @@
         }
         let Some(bucket) = self.whole.get_mut(account) else { return 0.0 };
         bucket.release(reserved);
-        bucket.set(now, rate, capacity);
+        bucket.set_limits(now, rate, capacity);
         if charged > 0.0 {
             bucket.available -= charged;
             unreported -= charged;
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -206,7 +206,7 @@
         }
         let share = self.rate / nodes.max(1) as f64;
         let link = self.open_link(now, region);
-        link.bytes.set(now, share, share);
+        link.bytes.set_limits(now, share, share);
         if link.bytes.available > 0.0 {
             return Ok(());
         }
