--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -118,7 +118,7 @@
     });
     let prompt: String = (0..1_000).map(|n| format!("word{n} ")).collect();
     criterion.bench_function("blocks of a prompt of 1000 words", |bencher| {
-        bencher.iter(|| route::blocks(black_box(&prompt)));
+        bencher.iter(|| route::hash_blocks(black_box(&prompt)));
     });
 }
 
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -17,7 +17,7 @@
 }
 
 /// Computes the hash of each whole block of a prompt, in order.
-pub fn blocks(prompt: &str) -> Vec<u64> {
+pub fn hash_blocks(prompt: &str) -> Vec<u64> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut seed = 0;
     let mut hashes = Vec::with_capacity(words.len() / BLOCK_TOKENS);
--- a/crates/core/tests/core/route.rs
+++ b/crates/core/tests/core/route.rs
@@ -1,6 +1,6 @@
 //! Which backend server is expected to answer first.
 
-use keeljunction_core::route::{BLOCK_TOKENS, Demand, Index, Report, Server, blocks, choose};
+use keeljunction_core::route::{BLOCK_TOKENS, Demand, Index, Report, Server, choose, hash_blocks};
 use proptest::prelude::*;
 
 fn servers(count: usize) -> Vec<Server> {
@@ -23,7 +23,7 @@
 fn a_prompt_goes_where_its_prefix_is_cached() {
     let servers = servers(3);
     let mut index = Index::new(100);
-    let prefix = blocks(&prompt(320));
+    let prefix = hash_blocks(&prompt(320));
     index.insert("s2", &prefix);
     assert_eq!(chosen(&servers, &index, &demand(&prefix, 320, 1)), Some("s2".to_owned()));
 }
@@ -33,7 +33,7 @@
     let mut servers = servers(3);
     servers[2].in_flight = 5;
     let mut index = Index::new(100);
-    let prefix = blocks(&prompt(320));
+    let prefix = hash_blocks(&prompt(320));
     index.insert("s2", &prefix);
     assert_eq!(chosen(&servers, &index, &demand(&prefix, 320, 1)), Some("s0".to_owned()));
 }
@@ -81,7 +81,7 @@
 #[test]
 fn a_gap_in_cache_events_drops_what_was_claimed() {
     let mut index = Index::new(100);
-    let prefix = blocks(&prompt(64));
+    let prefix = hash_blocks(&prompt(64));
     assert!(index.apply("s0", 0, &prefix, &[]));
     assert_eq!(index.cached_tokens("s0", &prefix), 64);
     assert!(!index.apply("s0", 2, &[], &[]), "event 1 is missing");
@@ -93,7 +93,7 @@
 #[test]
 fn an_evicted_block_ends_the_prefix() {
     let mut index = Index::new(100);
-    let prefix = blocks(&prompt(64));
+    let prefix = hash_blocks(&prompt(64));
     index.insert("s0", &prefix);
     index.apply("s0", 0, &[], &prefix[2..3]);
     assert_eq!(index.cached_tokens("s0", &prefix), 2 * BLOCK_TOKENS as u64);
@@ -117,8 +117,8 @@
     #[test]
     fn blocks_name_whole_prefixes(common in 0..10usize, other in 1..5usize) {
         let start = prompt(common * BLOCK_TOKENS);
-        let left = blocks(&format!("{start}{}", "l ".repeat(other * BLOCK_TOKENS)));
-        let right = blocks(&format!("{start}{}", "r ".repeat(other * BLOCK_TOKENS)));
+        let left = hash_blocks(&format!("{start}{}", "l ".repeat(other * BLOCK_TOKENS)));
+        let right = hash_blocks(&format!("{start}{}", "r ".repeat(other * BLOCK_TOKENS)));
         let shared = left.iter().zip(&right).take_while(|(l, r)| l == r).count();
         prop_assert_eq!(shared, common);
     }
--- a/crates/keeljunction/src/node/request.rs
+++ b/crates/keeljunction/src/node/request.rs
@@ -34,7 +34,7 @@
         }
         Self {
             tokens: route::count_tokens(&text),
-            prefix: route::blocks(&text),
+            prefix: route::hash_blocks(&text),
             output_tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_OUTPUT_TOKENS),
         }
     }
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -146,7 +146,7 @@
         serde_json::from_value(body["resume"]["tokens"].clone()).unwrap_or_default();
     let most = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS) as usize;
     let context = format!("{prompt}{}", tokens.concat());
-    let blocks = route::blocks(&context);
+    let blocks = route::hash_blocks(&context);
     let held = lock(&engine.cache).held_tokens(&blocks);
     let prefill = route::count_tokens(&context).saturating_sub(held);
     let unix_ms = runtime::unix_ms();
@@ -201,7 +201,7 @@
     }
     attempt.finish();
     let context = format!("{}{}", attempt.prompt, attempt.get_tokens().concat());
-    lock(&engine.cache).store(&route::blocks(&context));
+    lock(&engine.cache).store(&route::hash_blocks(&context));
     engine.running.fetch_sub(1, Ordering::SeqCst);
     engine.requests.fetch_sub(1, Ordering::SeqCst);
 }
@@ -312,7 +312,7 @@
     let context = format!("{}{}", attempt.prompt, attempt.get_tokens().concat());
     let micros = route::count_tokens(&context) * 1_000_000 / engine.options.export_per_second;
     runtime::sleep(Duration::from_micros(micros)).await;
-    reply::json(&json!({ "blocks": route::blocks(&context) }))
+    reply::json(&json!({ "blocks": route::hash_blocks(&context) }))
 }
 
 async fn import(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
