--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Index, Server};
+use super::{PrefixIndex, Server};
 use crate::Millis;
 
 /// A prompt with more uncached tokens than this is long.
@@ -47,7 +47,7 @@
 pub fn choose(
     now: Millis,
     servers: &[Server],
-    index: &Index,
+    index: &PrefixIndex,
     prefill_per_second: u64,
     demand: &Demand<'_>,
 ) -> Option<Choice> {
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -32,7 +32,7 @@
 
 /// The blocks that each of a few servers is thought to hold, bounded per server.
 #[derive(Clone, Debug)]
-pub struct Index {
+pub struct PrefixIndex {
     per_server: usize,
     servers: HashMap<String, Held>,
 }
@@ -46,7 +46,7 @@
     clock: u64,
 }
 
-impl Index {
+impl PrefixIndex {
     /// Makes an index that remembers up to `per_server` blocks of each server.
     pub fn new(per_server: usize) -> Self {
         Self { per_server, servers: HashMap::new() }
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -7,7 +7,7 @@
 use super::hopeless::Hopeless;
 use super::share::{GENERATED_TOKEN_COST, VirtualCounters};
 use crate::Millis;
-use crate::route::{self, Demand, Index, Policy, Report, Server};
+use crate::route::{self, Demand, Policy, PrefixIndex, Report, Server};
 
 /// Blocks of prompts remembered per server.
 const BLOCKS_PER_SERVER: usize = 8_192;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     servers: Vec<Server>,
-    index: Index,
+    index: PrefixIndex,
     shares: VirtualCounters,
     waiting: Vec<Waiter>,
     grants: HashMap<String, Grant>,
@@ -44,7 +44,7 @@
     pub fn new(slots: u32, prefill_per_second: u32) -> Self {
         Self {
             servers: Vec::new(),
-            index: Index::new(BLOCKS_PER_SERVER),
+            index: PrefixIndex::new(BLOCKS_PER_SERVER),
             shares: VirtualCounters::new(),
             waiting: Vec::new(),
             grants: HashMap::new(),
--- a/crates/core/tests/core/route.rs
+++ b/crates/core/tests/core/route.rs
@@ -1,6 +1,8 @@
 //! Which backend server is expected to answer first.
 
-use keeljunction_core::route::{BLOCK_TOKENS, Demand, Index, Report, Server, choose, hash_blocks};
+use keeljunction_core::route::{
+    BLOCK_TOKENS, Demand, PrefixIndex, Report, Server, choose, hash_blocks,
+};
 use proptest::prelude::*;
 
 fn servers(count: usize) -> Vec<Server> {
@@ -15,14 +17,14 @@
     Demand { prompt_tokens: tokens, prefix, priority, avoid: &[] }
 }
 
-fn chosen(servers: &[Server], index: &Index, demand: &Demand<'_>) -> Option<String> {
+fn chosen(servers: &[Server], index: &PrefixIndex, demand: &Demand<'_>) -> Option<String> {
     choose(10_000, servers, index, 1_000, demand).map(|choice| servers[choice.index].name.clone())
 }
 
 #[test]
 fn a_prompt_goes_where_its_prefix_is_cached() {
     let servers = servers(3);
-    let mut index = Index::new(100);
+    let mut index = PrefixIndex::new(100);
     let prefix = hash_blocks(&prompt(320));
     index.insert("s2", &prefix);
     assert_eq!(chosen(&servers, &index, &demand(&prefix, 320, 1)), Some("s2".to_owned()));
@@ -32,7 +34,7 @@
 fn a_crowded_server_is_passed_over_even_for_its_cache() {
     let mut servers = servers(3);
     servers[2].in_flight = 5;
-    let mut index = Index::new(100);
+    let mut index = PrefixIndex::new(100);
     let prefix = hash_blocks(&prompt(320));
     index.insert("s2", &prefix);
     assert_eq!(chosen(&servers, &index, &demand(&prefix, 320, 1)), Some("s0".to_owned()));
@@ -46,15 +48,15 @@
     servers[3].failed_at = Some(9_500);
     let avoid = ["s2".to_owned()];
     let demand = Demand { avoid: &avoid, ..demand(&[], 10, 0) };
-    assert_eq!(chosen(&servers, &Index::new(1), &demand), Some("s4".to_owned()));
+    assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand), Some("s4".to_owned()));
 }
 
 #[test]
 fn the_last_places_are_kept_for_the_most_urgent_class() {
     let mut servers = servers(1);
     servers[0].in_flight = 7;
-    assert_eq!(chosen(&servers, &Index::new(1), &demand(&[], 10, 1)), None);
-    assert_eq!(chosen(&servers, &Index::new(1), &demand(&[], 10, 0)), Some("s0".to_owned()));
+    assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 10, 1)), None);
+    assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 10, 0)), Some("s0".to_owned()));
 }
 
 #[test]
@@ -64,23 +66,23 @@
         server.long_prompts = 1;
         server.backlog_tokens = 50_000;
     }
-    let long = chosen(&servers, &Index::new(1), &demand(&[], 5_000, 1));
+    let long = chosen(&servers, &PrefixIndex::new(1), &demand(&[], 5_000, 1));
     assert_ne!(long, Some("s3".to_owned()));
-    assert_eq!(chosen(&servers, &Index::new(1), &demand(&[], 50, 0)), Some("s3".to_owned()));
+    assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 50, 0)), Some("s3".to_owned()));
 }
 
 #[test]
 fn an_old_report_counts_as_unknown() {
     let mut servers = servers(2);
     servers[0].report = Some(Report { at: 1_000, requests: 8, queued_tokens: 90_000 });
-    assert_eq!(chosen(&servers, &Index::new(1), &demand(&[], 10, 0)), Some("s0".to_owned()));
+    assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 10, 0)), Some("s0".to_owned()));
     servers[0].report = Some(Report { at: 9_000, requests: 8, queued_tokens: 90_000 });
-    assert_eq!(chosen(&servers, &Index::new(1), &demand(&[], 10, 0)), Some("s1".to_owned()));
+    assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 10, 0)), Some("s1".to_owned()));
 }
 
 #[test]
 fn a_gap_in_cache_events_drops_what_was_claimed() {
-    let mut index = Index::new(100);
+    let mut index = PrefixIndex::new(100);
     let prefix = hash_blocks(&prompt(64));
     assert!(index.apply("s0", 0, &prefix, &[]));
     assert_eq!(index.cached_tokens("s0", &prefix), 64);
@@ -92,7 +94,7 @@
 
 #[test]
 fn an_evicted_block_ends_the_prefix() {
-    let mut index = Index::new(100);
+    let mut index = PrefixIndex::new(100);
     let prefix = hash_blocks(&prompt(64));
     index.insert("s0", &prefix);
     index.apply("s0", 0, &[], &prefix[2..3]);
@@ -103,7 +105,7 @@
     /// Whatever is sent, the index remembers no more than its bound of each server.
     #[test]
     fn the_index_is_bounded(sent in prop::collection::vec(prop::collection::vec(0..200u64, 1..20), 1..60)) {
-        let mut index = Index::new(50);
+        let mut index = PrefixIndex::new(50);
         for prefix in &sent {
             index.insert("s0", prefix);
         }
