--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -18,7 +18,7 @@
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct Request<'a> {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Hashes of the prompt's blocks.
@@ -49,7 +49,7 @@
     servers: &[Server],
     index: &PrefixIndex,
     prefill_per_second: u64,
-    demand: &Demand<'_>,
+    demand: &Request<'_>,
 ) -> Option<Choice> {
     let mean = mean_load(now, servers);
     let candidates = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, demand));
@@ -87,7 +87,7 @@
 pub fn choose_next(
     now: Millis,
     servers: &[Server],
-    demand: &Demand<'_>,
+    demand: &Request<'_>,
     last: usize,
 ) -> Option<Choice> {
     let count = servers.len();
@@ -100,7 +100,7 @@
 pub fn choose_two(
     now: Millis,
     servers: &[Server],
-    demand: &Demand<'_>,
+    demand: &Request<'_>,
     random: &mut fastrand::Rng,
 ) -> Option<Choice> {
     let fit = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, demand));
@@ -115,7 +115,7 @@
     Some(Choice { index, cached_tokens: 0, expected_ms: 0 })
 }
 
-fn has_room(now: Millis, server: &Server, demand: &Demand<'_>) -> bool {
+fn has_room(now: Millis, server: &Server, demand: &Request<'_>) -> bool {
     let reserve = if demand.priority == 0 { 0 } else { server.limit / URGENT_RESERVE_DIVISOR };
     let has_failed = server.failed_at.is_some_and(|at| now < at + FAILURE_PAUSE_MS);
     !server.is_leaving
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -7,7 +7,7 @@
 use super::hopeless::Hopeless;
 use super::share::{GENERATED_TOKEN_COST, VirtualCounters};
 use crate::Millis;
-use crate::route::{self, Demand, Policy, PrefixIndex, Report, Server};
+use crate::route::{self, Policy, PrefixIndex, Report, Request, Server};
 
 /// Blocks of prompts remembered per server.
 const BLOCKS_PER_SERVER: usize = 8_192;
@@ -273,7 +273,7 @@
 
     fn try_grant(&mut self, now: Millis, ask: &GrantRequest) -> Option<Grant> {
         let avoid = if self.has_other_than(&ask.avoid) { ask.avoid.as_slice() } else { &[] };
-        let demand = Demand {
+        let demand = Request {
             prompt_tokens: ask.prompt_tokens,
             prefix: &ask.prefix,
             priority: ask.priority,
--- a/crates/core/tests/core/route.rs
+++ b/crates/core/tests/core/route.rs
@@ -1,7 +1,7 @@
 //! Which backend server is expected to answer first.
 
 use keeljunction_core::route::{
-    BLOCK_TOKENS, Demand, PrefixIndex, Report, Server, choose, hash_blocks,
+    BLOCK_TOKENS, PrefixIndex, Report, Request, Server, choose, hash_blocks,
 };
 use proptest::prelude::*;
 
@@ -13,11 +13,11 @@
     (0..words).map(|n| format!("w{n} ")).collect()
 }
 
-fn demand(prefix: &[u64], tokens: u64, priority: u32) -> Demand<'_> {
-    Demand { prompt_tokens: tokens, prefix, priority, avoid: &[] }
+fn demand(prefix: &[u64], tokens: u64, priority: u32) -> Request<'_> {
+    Request { prompt_tokens: tokens, prefix, priority, avoid: &[] }
 }
 
-fn chosen(servers: &[Server], index: &PrefixIndex, demand: &Demand<'_>) -> Option<String> {
+fn chosen(servers: &[Server], index: &PrefixIndex, demand: &Request<'_>) -> Option<String> {
     choose(10_000, servers, index, 1_000, demand).map(|choice| servers[choice.index].name.clone())
 }
 
@@ -47,7 +47,7 @@
     servers[1].in_flight = 8;
     servers[3].failed_at = Some(9_500);
     let avoid = ["s2".to_owned()];
-    let demand = Demand { avoid: &avoid, ..demand(&[], 10, 0) };
+    let demand = Request { avoid: &avoid, ..demand(&[], 10, 0) };
     assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand), Some("s4".to_owned()));
 }
 
