--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -6,4 +6,4 @@
 
 pub use choice::{Choice, LONG_PROMPT_TOKENS, Policy, Request, choose, choose_next, choose_two};
 pub use prefix::{BLOCK_TOKENS, PrefixIndex, count_tokens, hash_blocks};
-pub use server::{Report, Server};
+pub use server::{LoadReport, Server};
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -7,7 +7,7 @@
 
 /// What a backend server last said of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// When it was true, on the reader's clock.
     pub at: Millis,
     /// Requests running or waiting there.
@@ -38,7 +38,7 @@
     /// Long prompts that this router has there.
     pub long_prompts: u32,
     /// The last report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// When a connection to it last failed, if none has worked since.
     pub failed_at: Option<Millis>,
 }
@@ -62,7 +62,7 @@
     }
 
     /// Returns the report, unless it is too old to mean anything.
-    pub fn get_fresh_report(&self, now: Millis) -> Option<Report> {
+    pub fn get_fresh_report(&self, now: Millis) -> Option<LoadReport> {
         self.report.filter(|report| now.saturating_sub(report.at) <= REPORT_BOUND_MS)
     }
 
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -7,7 +7,7 @@
 use super::hopeless::Hopeless;
 use super::share::{GENERATED_TOKEN_COST, VirtualCounters};
 use crate::Millis;
-use crate::route::{self, Policy, PrefixIndex, Report, Request, Server};
+use crate::route::{self, LoadReport, Policy, PrefixIndex, Request, Server};
 
 /// Blocks of prompts remembered per server.
 const BLOCKS_PER_SERVER: usize = 8_192;
@@ -117,7 +117,7 @@
     }
 
     /// Takes a server's load report in.
-    pub fn report(&mut self, server: &str, report: Report) {
+    pub fn report(&mut self, server: &str, report: LoadReport) {
         if let Some(server) = self.servers.iter_mut().find(|s| s.name == server) {
             server.report = Some(report);
         }
--- a/crates/core/tests/core/route.rs
+++ b/crates/core/tests/core/route.rs
@@ -1,7 +1,7 @@
 //! Which backend server is expected to answer first.
 
 use keeljunction_core::route::{
-    BLOCK_TOKENS, PrefixIndex, Report, Request, Server, choose, hash_blocks,
+    BLOCK_TOKENS, LoadReport, PrefixIndex, Request, Server, choose, hash_blocks,
 };
 use proptest::prelude::*;
 
@@ -74,9 +74,9 @@
 #[test]
 fn an_old_report_counts_as_unknown() {
     let mut servers = servers(2);
-    servers[0].report = Some(Report { at: 1_000, requests: 8, queued_tokens: 90_000 });
+    servers[0].report = Some(LoadReport { at: 1_000, requests: 8, queued_tokens: 90_000 });
     assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 10, 0)), Some("s0".to_owned()));
-    servers[0].report = Some(Report { at: 9_000, requests: 8, queued_tokens: 90_000 });
+    servers[0].report = Some(LoadReport { at: 9_000, requests: 8, queued_tokens: 90_000 });
     assert_eq!(chosen(&servers, &PrefixIndex::new(1), &demand(&[], 10, 0)), Some("s1".to_owned()));
 }
 
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -1,6 +1,6 @@
 //! Whose turn it is, whether there is room, and when to come back.
 
-use keeljunction_core::route::Report;
+use keeljunction_core::route::LoadReport;
 use keeljunction_core::shard::{
     Decision, GrantRequest, MAX_SHARD_SERVERS, Queue, shard_count, shard_of,
 };
@@ -135,7 +135,7 @@
 fn a_queue_that_decides_alone_uses_its_part_though_others_use_theirs() {
     let mut queue = Queue::new(8, 1_000).shared_by(4);
     queue.set_servers([("s0", "127.0.0.1:1", "x", false)].into_iter());
-    queue.report("s0", Report { at: 0, requests: 6, queued_tokens: 0 });
+    queue.report("s0", LoadReport { at: 0, requests: 6, queued_tokens: 0 });
     for id in ["a", "b"] {
         assert!(
             matches!(queue.submit(0, ask(id, "flood", 0, 900_000)), Decision::Granted(_)),
@@ -148,7 +148,7 @@
         "its part is used"
     );
     queue.release(1, "a", None);
-    queue.report("s0", Report { at: 1, requests: 8, queued_tokens: 0 });
+    queue.report("s0", LoadReport { at: 1, requests: 8, queued_tokens: 0 });
     assert_eq!(queue.poll(1), [], "the server is full");
 }
 
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::bundle::Kind;
 use keeljunction_core::directory::{Departure, Server};
 use keeljunction_core::member::{Member, State};
-use keeljunction_core::route::Report;
+use keeljunction_core::route::LoadReport;
 
 use super::grant::{self, ShardKey};
 use super::shard::Shard;
@@ -119,7 +119,8 @@
     match engine.load().await {
         Ok(load) => {
             let at = node.now().saturating_sub(load.age_ms);
-            let report = Report { at, requests: load.requests, queued_tokens: load.queued_tokens };
+            let report =
+                LoadReport { at, requests: load.requests, queued_tokens: load.queued_tokens };
             shard.with(|queue, _| queue.report(server, report));
         }
         Err(failure) if failure.is_not_sent() => {
