--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -77,7 +77,7 @@
     /// The least expected first-token time, by [`choose`].
     #[default]
     Expected,
-    /// The less loaded of two random ones, by [`choose_two`]: a baseline.
+    /// The less loaded of two random ones, by [`choose_less_loaded`]: a baseline.
     TwoChoices,
     /// One after the other, by [`choose_next`]: a baseline.
     RoundRobin,
@@ -97,7 +97,7 @@
 }
 
 /// Chooses the less loaded of two random servers: the baseline that [`choose`] is measured against.
-pub fn choose_two(
+pub fn choose_less_loaded(
     now: Millis,
     servers: &[Server],
     demand: &Request<'_>,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -4,6 +4,8 @@
 mod prefix;
 mod server;
 
-pub use choice::{Choice, LONG_PROMPT_TOKENS, Policy, Request, choose, choose_next, choose_two};
+pub use choice::{
+    Choice, LONG_PROMPT_TOKENS, Policy, Request, choose, choose_less_loaded, choose_next,
+};
 pub use prefix::{BLOCK_TOKENS, PrefixIndex, count_tokens, hash_blocks};
 pub use server::{LoadReport, Server};
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -282,7 +282,9 @@
         let (servers, prefill) = (&self.servers, self.prefill_per_second);
         let choice = match self.policy {
             Policy::Expected => route::choose(now, servers, &self.index, prefill, &demand),
-            Policy::TwoChoices => route::choose_two(now, servers, &demand, &mut self.random),
+            Policy::TwoChoices => {
+                route::choose_less_loaded(now, servers, &demand, &mut self.random)
+            }
             Policy::RoundRobin => route::choose_next(now, servers, &demand, self.last),
         }?;
         self.last = choice.index;
