--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -79,12 +79,12 @@
     Expected,
     /// The less loaded of two random ones, by [`choose_less_loaded`]: a baseline.
     TwoChoices,
-    /// One after the other, by [`choose_next`]: a baseline.
+    /// One after the other, by [`choose_round_robin`]: a baseline.
     RoundRobin,
 }
 
 /// Chooses the next server with room after the last one chosen.
-pub fn choose_next(
+pub fn choose_round_robin(
     now: Millis,
     servers: &[Server],
     demand: &Request<'_>,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -5,7 +5,7 @@
 mod server;
 
 pub use choice::{
-    Choice, LONG_PROMPT_TOKENS, Policy, Request, choose, choose_less_loaded, choose_next,
+    Choice, LONG_PROMPT_TOKENS, Policy, Request, choose, choose_less_loaded, choose_round_robin,
 };
 pub use prefix::{BLOCK_TOKENS, PrefixIndex, count_tokens, hash_blocks};
 pub use server::{LoadReport, Server};
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -285,7 +285,7 @@
             Policy::TwoChoices => {
                 route::choose_less_loaded(now, servers, &demand, &mut self.random)
             }
-            Policy::RoundRobin => route::choose_next(now, servers, &demand, self.last),
+            Policy::RoundRobin => route::choose_round_robin(now, servers, &demand, self.last),
         }?;
         self.last = choice.index;
         let server = &mut self.servers[choice.index];
