--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 
 /// A load report that older than this counts as unknown, in milliseconds.
-pub const REPORT_BOUND_MS: Millis = 2_000;
+pub const MAX_REPORT_AGE_MS: Millis = 2_000;
 
 /// What a backend server last said of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 
     /// Returns the report, unless it is too old to mean anything.
     pub fn get_fresh_report(&self, now: Millis) -> Option<LoadReport> {
-        self.report.filter(|report| now.saturating_sub(report.at) <= REPORT_BOUND_MS)
+        self.report.filter(|report| now.saturating_sub(report.at) <= MAX_REPORT_AGE_MS)
     }
 
     /// Returns `true` if there is room for one more: of this router's part, less `reserve`, and of the
