--- a/crates/core/src/bundle/roll.rs
+++ b/crates/core/src/bundle/roll.rs
@@ -54,6 +54,6 @@
 }
 
 /// Computes the number of the next roll.
-pub fn next(current: Option<&Roll>) -> u64 {
+pub fn next_number(current: Option<&Roll>) -> u64 {
     current.map_or(0, |roll| roll.number) + 1
 }
--- a/crates/keeljunction/src/command/roll.rs
+++ b/crates/keeljunction/src/command/roll.rs
@@ -37,7 +37,7 @@
     let current = row.as_ref().map(read_roll).transpose()?;
     check_above(current.as_ref(), order.above)?;
     let roll = Roll {
-        number: bundle::next(current.as_ref()),
+        number: bundle::next_number(current.as_ref()),
         digest: order.digest,
         version: order.version.to_owned(),
         action: order.action,
