--- a/crates/core/src/bundle/mod.rs
+++ b/crates/core/src/bundle/mod.rs
@@ -8,4 +8,4 @@
 pub use check::parse;
 pub use document::{Account, Class, Document, Group, Kind, Model, Price, Service};
 pub use roll::{Action, Adoption, Roll, adopt, next_number};
-pub use signature::{Signature, digest, key_from_hex, sign, verify};
+pub use signature::{Signature, digest, parse_signing_key, sign, verify};
--- a/crates/core/src/bundle/signature.rs
+++ b/crates/core/src/bundle/signature.rs
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Returns [`ErrorKind::Untrusted`] where the text is not a key. The text is never shown.
-pub fn key_from_hex(text: &str) -> Result<SigningKey, Error> {
+pub fn parse_signing_key(text: &str) -> Result<SigningKey, Error> {
     Ok(SigningKey::from_bytes(&bytes_of(text.trim())?))
 }
 
--- a/crates/core/tests/core/bundle.rs
+++ b/crates/core/tests/core/bundle.rs
@@ -1,7 +1,7 @@
 //! What a bundle may say, who signed it, and which roll is newer.
 
 use keeljunction_core::ErrorKind;
-use keeljunction_core::bundle::{Adoption, adopt, key_from_hex, parse, sign, verify};
+use keeljunction_core::bundle::{Adoption, adopt, parse, parse_signing_key, sign, verify};
 use keeljunction_core::error::Context;
 
 const GOOD: &str = "
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_signature_holds_for_its_body_and_key_alone() {
-    let key = key_from_hex(&"11".repeat(32)).expect("it is a key");
+    let key = parse_signing_key(&"11".repeat(32)).expect("it is a key");
     let signature = sign(&key, b"body");
     let trusted = vec![signature.key.clone()];
     assert_eq!(verify(&trusted, b"body", &signature), Ok(()));
--- a/crates/keeljunction/src/command/bundle.rs
+++ b/crates/keeljunction/src/command/bundle.rs
@@ -137,7 +137,7 @@
     if !path.exists() {
         write_secret(path, &hex::encode(SigningKey::generate(&mut OsRng).to_bytes()))?;
     }
-    let key = bundle::key_from_hex(&fs::read_to_string(path)?)?;
+    let key = bundle::parse_signing_key(&fs::read_to_string(path)?)?;
     println!("{}", hex::encode(key.verifying_key().as_bytes()));
     Ok(())
 }
@@ -146,7 +146,7 @@
     let path = get_path(matches, "file")?;
     let body = read(path)?;
     parse(&body)?;
-    let key = bundle::key_from_hex(&fs::read_to_string(get_path(matches, "key")?)?)?;
+    let key = bundle::parse_signing_key(&fs::read_to_string(get_path(matches, "key")?)?)?;
     let signature = bundle::sign(&key, &body);
     let to = signature_path(path);
     fs::write(&to, serde_json::to_string_pretty(&signature).unwrap_or_default())?;
