--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -61,7 +61,7 @@
 }
 
 /// Judges the row that stands after an insert, or after its answer was lost.
-pub fn judge(stands: &Row, mine: &Row) -> Verdict {
+pub fn evaluate(stands: &Row, mine: &Row) -> Verdict {
     if stands.digest != mine.digest {
         return Verdict::Mismatch;
     }
--- a/crates/core/tests/core/claim.rs
+++ b/crates/core/tests/core/claim.rs
@@ -1,6 +1,6 @@
 //! Whether a request that must not be repeated may run.
 
-use keeljunction_core::claim::{Answer, Row, Verdict, judge, row_key};
+use keeljunction_core::claim::{Answer, Row, Verdict, evaluate, row_key};
 use proptest::prelude::*;
 
 fn row(attempt: &str, instance: &str) -> Row {
@@ -36,7 +36,7 @@
         ("another request", Row { digest: "x".to_owned(), ..row("a", "i") }, Verdict::Mismatch),
     ];
     for (name, stands, verdict) in cases {
-        assert_eq!(judge(&stands, &mine), verdict, "{name}");
+        assert_eq!(evaluate(&stands, &mine), verdict, "{name}");
     }
 }
 
@@ -69,7 +69,7 @@
         for step in steps {
             match step {
                 Step::Claim(n) => {
-                    let verdict = stands.as_ref().map(|stands| judge(stands, &attempts[n]));
+                    let verdict = stands.as_ref().map(|stands| evaluate(stands, &attempts[n]));
                     match verdict {
                         None | Some(Verdict::Free) => {
                             stands = Some(attempts[n].clone());
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -155,7 +155,7 @@
         let judged = stands.and_then(|row| Some((*row, serde_json::from_str(&row.value).ok()?)));
         let verdict = match judged {
             None => Err(fault.clone()),
-            Some((row, stands)) => match claim::judge(&stands, &pending.row) {
+            Some((row, stands)) => match claim::evaluate(&stands, &pending.row) {
                 Verdict::Free => replace(node, row, &pending.row).await,
                 verdict => Ok(verdict),
             },
