--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -56,7 +56,7 @@
 }
 
 /// Counts the VMs left after the worst loss of one data centre's reclaimable VMs.
-pub fn survivors(offers: &[Offer], plan: &Plan) -> u32 {
+pub fn count_survivors(offers: &[Offer], plan: &Plan) -> u32 {
     let mut exposed: BTreeMap<&str, u32> = BTreeMap::new();
     for (place, held) in plan {
         if offers[*place].reclaimable {
@@ -115,6 +115,6 @@
 fn rank(offers: &[Offer], demand: &Demand, plan: &Plan) -> (u32, u32, u64) {
     let need = demand.target.max(demand.floor);
     let short = need.saturating_sub(count(plan));
-    let exposed = demand.after_loss.saturating_sub(survivors(offers, plan));
+    let exposed = demand.after_loss.saturating_sub(count_survivors(offers, plan));
     (short, exposed, price(offers, plan))
 }
--- a/crates/core/tests/core/fleet.rs
+++ b/crates/core/tests/core/fleet.rs
@@ -1,6 +1,6 @@
 //! Which VMs to hold.
 
-use keeljunction_core::fleet::{Demand, Offer, plan, price, survivors};
+use keeljunction_core::fleet::{Demand, Offer, count_survivors, plan, price};
 use proptest::prelude::*;
 
 fn offer(data_centre: &str, reclaimable: bool, per_hour_milli: u64) -> Offer {
@@ -19,7 +19,7 @@
     let offers = [offer("x", true, 100), offer("y", true, 120), offer("z", false, 400)];
     let demand = Demand { target: 4, after_loss: 2, floor: 0 };
     let held = plan(0, &offers, &demand);
-    assert_eq!(survivors(&offers, &held), 2, "{held:?}");
+    assert_eq!(count_survivors(&offers, &held), 2, "{held:?}");
     assert_eq!(price(&offers, &held), 2 * 100 + 2 * 120, "{held:?}");
 }
 
@@ -37,7 +37,7 @@
     let offers = [offer("x", true, 100), offer("x", false, 400)];
     let demand = Demand { target: 3, after_loss: 1, floor: 0 };
     let held = plan(0, &offers, &demand);
-    assert!(survivors(&offers, &held) >= 1, "{held:?}");
+    assert!(count_survivors(&offers, &held) >= 1, "{held:?}");
     assert_eq!(price(&offers, &held), 2 * 100 + 400, "{held:?}");
 }
 
@@ -59,7 +59,7 @@
         prop_assert!(held.iter().all(|(place, count)| *count <= offers[*place].most));
         prop_assert!(count >= target.min(all), "{held:?}");
         let everything = offers.iter().enumerate().map(|(place, offer)| (place, offer.most)).collect();
-        let possible = survivors(&offers, &everything);
-        prop_assert!(survivors(&offers, &held) >= after_loss.min(possible), "{held:?} of {possible}");
+        let possible = count_survivors(&offers, &everything);
+        prop_assert!(count_survivors(&offers, &held) >= after_loss.min(possible), "{held:?} of {possible}");
     }
 }
