--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -56,11 +56,11 @@
 
 /// Watches another node's lease, to take it over when it lapses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Watch {
+pub struct Watcher {
     seen: Option<(u64, Millis)>,
 }
 
-impl Watch {
+impl Watcher {
     /// Notes the row's version; returns `true` if the lease has lapsed for certain.
     ///
     /// The lease counts from when this watcher first saw the version, so no clocks are compared.
--- a/crates/core/tests/core/lease.rs
+++ b/crates/core/tests/core/lease.rs
@@ -1,6 +1,6 @@
 //! Whether a holder may still act.
 
-use keeljunction_core::lease::{Lease, Row, Watch};
+use keeljunction_core::lease::{Lease, Row, Watcher};
 use proptest::prelude::*;
 
 fn row(renewal: u64) -> Row {
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_watcher_waits_out_the_lease_and_the_longest_order_from_when_it_first_saw_it() {
-    let mut watch = Watch::default();
+    let mut watch = Watcher::default();
     assert!(!watch.is_lapsed(5_000, 1, &row(1), 300));
     assert!(!watch.is_lapsed(6_299, 1, &row(1), 300));
     assert!(watch.is_lapsed(6_300, 1, &row(1), 300));
@@ -36,7 +36,7 @@
         now in 0..20_000u64,
     ) {
         let lease = Lease::new(1, asked, length, 100);
-        let mut watch = Watch::default();
+        let mut watch = Watcher::default();
         let row = Row { holder: "a".to_owned(), length_ms: length, renewal: 1 };
         let seen = asked + seen_after;
         watch.is_lapsed(seen + shift, 1, &row, 0);
--- a/crates/keeljunction/src/node/lease.rs
+++ b/crates/keeljunction/src/node/lease.rs
@@ -1,7 +1,7 @@
 //! Leases in the table service, by which one node at a time acts for a service.
 
 use keeljunction_core::Millis;
-use keeljunction_core::lease::{Lease, Row, Watch};
+use keeljunction_core::lease::{Lease, Row, Watcher};
 
 use super::Node;
 use crate::platform::{self, Commit, Fault, Transaction};
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct Tenure {
     held: Option<Lease>,
-    watch: Watch,
+    watch: Watcher,
     renewal: u64,
 }
 
