--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns `true` if it is time to renew.
-    pub fn is_due(&self, now: Millis) -> bool {
+    pub fn is_renewal_due(&self, now: Millis) -> bool {
         now >= self.asked_at + self.length / 3
     }
 }
--- a/crates/core/tests/core/lease.rs
+++ b/crates/core/tests/core/lease.rs
@@ -13,7 +13,7 @@
     assert_eq!(lease.get_fence(100), Some(7));
     assert_eq!(lease.get_fence(899), Some(7));
     assert_eq!(lease.get_fence(900), None);
-    assert!(!lease.is_due(432) && lease.is_due(433));
+    assert!(!lease.is_renewal_due(432) && lease.is_renewal_due(433));
 }
 
 #[test]
--- a/crates/keeljunction/src/node/lease.rs
+++ b/crates/keeljunction/src/node/lease.rs
@@ -40,7 +40,7 @@
     /// Returns the platform's [`Fault`]. After a lost answer the lease counts as not renewed; the
     /// next look at the row shows.
     pub async fn keep(&mut self, node: &Node, key: &str) -> Result<(), Fault> {
-        if self.held.as_ref().is_some_and(|lease| !lease.is_due(node.now())) {
+        if self.held.as_ref().is_some_and(|lease| !lease.is_renewal_due(node.now())) {
             return Ok(());
         }
         let row = node.platform.read(key).await?;
