--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -67,7 +67,7 @@
 
     /// Takes a repeat, where the budget of this node, one of `nodes`, allows it.
     pub fn take(&mut self, now: Millis, service: &str, nodes: usize) -> bool {
-        let left = self.get_left(now, service, nodes);
+        let left = self.get_remaining(now, service, nodes);
         if left < 1.0 {
             return false;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Returns how many repeats are left in the window that ends now.
-    pub fn get_left(&mut self, now: Millis, service: &str, nodes: usize) -> f64 {
+    pub fn get_remaining(&mut self, now: Millis, service: &str, nodes: usize) -> f64 {
         let Allowance { ratio, least, window, used } = self.allowance;
         let counts = self.services.entry(service.to_owned()).or_default();
         expire(&mut counts.requests, now, window);
--- a/crates/core/tests/core/retry.rs
+++ b/crates/core/tests/core/retry.rs
@@ -18,8 +18,8 @@
     for _ in 0..100 {
         budget.count_request(1_000, "llm");
     }
-    assert_eq!(budget.get_left(1_000, "llm", 1), 14.0);
-    assert_eq!(budget.get_left(11_000, "llm", 1), 0.0);
+    assert_eq!(budget.get_remaining(1_000, "llm", 1), 14.0);
+    assert_eq!(budget.get_remaining(11_000, "llm", 1), 0.0);
 }
 
 #[test]
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -195,7 +195,7 @@
                 let ready = state.directory.iter_ready(service).count() as i64;
                 let labels = ServiceLabels { service: service.clone() };
                 self.ready_servers.get_or_create(&labels).set(ready);
-                let retries = state.budget.get_left(now, service, reach.all);
+                let retries = state.budget.get_remaining(now, service, reach.all);
                 self.retries_left.get_or_create(&labels).set(retries);
             }
             for account in configuration.accounts.iter().flatten() {
