--- a/crates/core/tests/core/retry.rs
+++ b/crates/core/tests/core/retry.rs
@@ -3,7 +3,7 @@
 use keeljunction_core::retry::{Allowance, Budget, backoff};
 use proptest::prelude::*;
 
-const ALLOWANCE: Allowance = Allowance { ratio: 0.2, least: 50.0, window: 10_000, used: 0.7 };
+const ALLOWANCE: Allowance = Allowance { ratio: 0.2, min_retries: 50.0, window: 10_000, used: 0.7 };
 
 #[test]
 fn an_unused_budget_allows_an_even_part_of_the_fixed_number() {
@@ -14,7 +14,7 @@
 
 #[test]
 fn requests_add_their_ratio_and_leave_with_the_window() {
-    let mut budget = Budget::new(Allowance { least: 0.0, ..ALLOWANCE });
+    let mut budget = Budget::new(Allowance { min_retries: 0.0, ..ALLOWANCE });
     for _ in 0..100 {
         budget.count_request(1_000, "llm");
     }
@@ -24,7 +24,7 @@
 
 #[test]
 fn services_do_not_share_a_budget() {
-    let mut budget = Budget::new(Allowance { least: 0.0, ..ALLOWANCE });
+    let mut budget = Budget::new(Allowance { min_retries: 0.0, ..ALLOWANCE });
     for _ in 0..100 {
         budget.count_request(1_000, "llm");
     }
@@ -52,14 +52,14 @@
             let in_window = |at: &&u64| **at <= *end && **at + ALLOWANCE.window > *end;
             let requests = arrivals.iter().map(|(at, _)| at).filter(in_window).count();
             let used = repeats.iter().filter(in_window).count();
-            prop_assert!(used as f64 <= 0.2 * requests as f64 + ALLOWANCE.least);
+            prop_assert!(used as f64 <= 0.2 * requests as f64 + ALLOWANCE.min_retries);
         }
     }
 }
 
 #[test]
 fn a_wave_of_failures_gets_no_more_than_the_share_and_the_burst() {
-    let allowance = Allowance { ratio: 0.1, least: 3.0, window: 10_000, used: 1.0 };
+    let allowance = Allowance { ratio: 0.1, min_retries: 3.0, window: 10_000, used: 1.0 };
     let mut budget = Budget::new(allowance);
     for now in 0..100 {
         budget.count_request(now, "llm");
@@ -73,8 +73,8 @@
     #[test]
     fn retries_stay_within_the_share(tries in prop::collection::vec(any::<bool>(), 0..500), share in 0..500u32, burst in 0..10u32) {
         let ratio = f64::from(share) / 1_000.0;
-        let least = f64::from(burst);
-        let mut budget = Budget::new(Allowance { ratio, least, window: 10_000, used: 1.0 });
+        let min_retries = f64::from(burst);
+        let mut budget = Budget::new(Allowance { ratio, min_retries, window: 10_000, used: 1.0 });
         let (mut first, mut again) = (0, 0);
         for is_first in tries {
             if is_first {
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -252,7 +252,7 @@
         let windows_kept = count_kept(due, (bounds.report_window_s * 1_000.0) as Millis);
         let allowance = Allowance {
             ratio: bounds.retry_budget_ratio,
-            least: bounds.budget_min_retries,
+            min_retries: bounds.budget_min_retries,
             window: (bounds.budget_window_s * 1_000.0) as Millis,
             used: BUDGET_USED,
         };
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -116,7 +116,7 @@
         let http = http::Client::new(CONNECT_WITHIN);
         let allowance = Allowance {
             ratio: settings.routing.retry_per_mille as f64 / 1_000.0,
-            least: settings.routing.retry_burst as f64,
+            min_retries: settings.routing.retry_burst as f64,
             window: BUDGET_WINDOW_MS,
             used: 1.0,
         };
