--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -20,7 +20,7 @@
     pub window: Millis,
     /// The fraction of the allowance that is used; the rest is a margin for repeats that callers'
     /// own retries and lost answers add at the edges of windows.
-    pub used: f64,
+    pub usable_fraction: f64,
 }
 
 /// The repeats of one node, by service, in a sliding window.
@@ -31,7 +31,7 @@
 /// use keeljunction_core::retry::{Allowance, Budget};
 ///
 /// // A tenth of the requests and one more in any ten seconds.
-/// let mut budget = Budget::new(Allowance { ratio: 0.1, min_retries: 1.0, window: 10_000, used: 1.0 });
+/// let mut budget = Budget::new(Allowance { ratio: 0.1, min_retries: 1.0, window: 10_000, usable_fraction: 1.0 });
 /// assert!(budget.take(0, "llm", 1));
 /// assert!(!budget.take(0, "llm", 1));
 /// for _ in 0..10 {
@@ -77,13 +77,13 @@
 
     /// Returns how many repeats are left in the window that ends now.
     pub fn get_remaining(&mut self, now: Millis, service: &str, nodes: usize) -> f64 {
-        let Allowance { ratio, min_retries, window, used } = self.allowance;
+        let Allowance { ratio, min_retries, window, usable_fraction } = self.allowance;
         let counts = self.services.entry(service.to_owned()).or_default();
         expire(&mut counts.requests, now, window);
         expire(&mut counts.repeats, now, window);
         let own_least = min_retries / nodes.max(1) as f64;
         let owed = ratio * counts.requests.len() as f64 + own_least;
-        owed * used - counts.repeats.len() as f64
+        owed * usable_fraction - counts.repeats.len() as f64
     }
 }
 
--- a/crates/core/tests/core/retry.rs
+++ b/crates/core/tests/core/retry.rs
@@ -3,7 +3,8 @@
 use keeljunction_core::retry::{Allowance, Budget, backoff};
 use proptest::prelude::*;
 
-const ALLOWANCE: Allowance = Allowance { ratio: 0.2, min_retries: 50.0, window: 10_000, used: 0.7 };
+const ALLOWANCE: Allowance =
+    Allowance { ratio: 0.2, min_retries: 50.0, window: 10_000, usable_fraction: 0.7 };
 
 #[test]
 fn an_unused_budget_allows_an_even_part_of_the_fixed_number() {
@@ -59,7 +60,8 @@
 
 #[test]
 fn a_wave_of_failures_gets_no_more_than_the_share_and_the_burst() {
-    let allowance = Allowance { ratio: 0.1, min_retries: 3.0, window: 10_000, used: 1.0 };
+    let allowance =
+        Allowance { ratio: 0.1, min_retries: 3.0, window: 10_000, usable_fraction: 1.0 };
     let mut budget = Budget::new(allowance);
     for now in 0..100 {
         budget.count_request(now, "llm");
@@ -74,7 +76,7 @@
     fn retries_stay_within_the_share(tries in prop::collection::vec(any::<bool>(), 0..500), share in 0..500u32, burst in 0..10u32) {
         let ratio = f64::from(share) / 1_000.0;
         let min_retries = f64::from(burst);
-        let mut budget = Budget::new(Allowance { ratio, min_retries, window: 10_000, used: 1.0 });
+        let mut budget = Budget::new(Allowance { ratio, min_retries, window: 10_000, usable_fraction: 1.0 });
         let (mut first, mut again) = (0, 0);
         for is_first in tries {
             if is_first {
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -254,7 +254,7 @@
             ratio: bounds.retry_budget_ratio,
             min_retries: bounds.budget_min_retries,
             window: (bounds.budget_window_s * 1_000.0) as Millis,
-            used: BUDGET_USED,
+            usable_fraction: BUDGET_USED,
         };
         let tolerance = Tolerance {
             window_seconds: bounds.quota_window_s,
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -118,7 +118,7 @@
             ratio: settings.routing.retry_per_mille as f64 / 1_000.0,
             min_retries: settings.routing.retry_burst as f64,
             window: BUDGET_WINDOW_MS,
-            used: 1.0,
+            usable_fraction: 1.0,
         };
         Arc::new(Self {
             clock,
