--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -21,7 +21,7 @@
     /// Until when starts here are not tried, because one was refused.
     pub refused_until: Option<Millis>,
     /// The most VMs to hold here.
-    pub most: u32,
+    pub max_vms: u32,
 }
 
 /// What the VMs must carry.
@@ -90,7 +90,7 @@
     let mut plan = Plan::new();
     for place in by_price(now, offers) {
         let offer = &offers[place];
-        let mut room = offer.most.min(need - count(&plan));
+        let mut room = offer.max_vms.min(need - count(&plan));
         if offer.reclaimable {
             let exposed = exposed.entry(&offer.data_centre).or_default();
             room = room.min(bound - *exposed);
--- a/crates/core/tests/core/fleet.rs
+++ b/crates/core/tests/core/fleet.rs
@@ -10,7 +10,7 @@
         reclaimable,
         per_hour_milli,
         refused_until: None,
-        most: 10,
+        max_vms: 10,
     }
 }
 
@@ -51,14 +51,14 @@
     ) {
         let offers: Vec<Offer> = shape
             .iter()
-            .map(|(dc, reclaimable, milli, most)| Offer { most: *most, ..offer(&dc.to_string(), *reclaimable, *milli) })
+            .map(|(dc, reclaimable, milli, most)| Offer { max_vms: *most, ..offer(&dc.to_string(), *reclaimable, *milli) })
             .collect();
         let held = plan(0, &offers, &Demand { target, after_loss, floor: 0 });
         let count: u32 = held.values().sum();
-        let all: u32 = offers.iter().map(|offer| offer.most).sum();
-        prop_assert!(held.iter().all(|(place, count)| *count <= offers[*place].most));
+        let all: u32 = offers.iter().map(|offer| offer.max_vms).sum();
+        prop_assert!(held.iter().all(|(place, count)| *count <= offers[*place].max_vms));
         prop_assert!(count >= target.min(all), "{held:?}");
-        let everything = offers.iter().enumerate().map(|(place, offer)| (place, offer.most)).collect();
+        let everything = offers.iter().enumerate().map(|(place, offer)| (place, offer.max_vms)).collect();
         let possible = count_survivors(&offers, &everything);
         prop_assert!(count_survivors(&offers, &held) >= after_loss.min(possible), "{held:?} of {possible}");
     }
--- a/crates/keeljunction/src/node/fleet.rs
+++ b/crates/keeljunction/src/node/fleet.rs
@@ -105,7 +105,7 @@
                 .refused
                 .get(&(price.data_centre.clone(), price.reclaimable))
                 .copied(),
-            most: MOST,
+            max_vms: MOST,
         };
         prices.map(offer).collect()
     }
