--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -30,7 +30,7 @@
     /// The server's name.
     pub server: String,
     /// When its VM is gone, on the reader's clock.
-    pub until: Millis,
+    pub gone_at: Millis,
 }
 
 /// The backend servers that a node knows.
@@ -64,11 +64,11 @@
     pub fn add_departure(&mut self, departure: &Departure) -> bool {
         let known = self.departures.get(&departure.server).copied();
         if let Some(until) = known {
-            let earliest = until.min(departure.until);
+            let earliest = until.min(departure.gone_at);
             self.departures.insert(departure.server.clone(), earliest);
             return false;
         }
-        self.departures.insert(departure.server.clone(), departure.until);
+        self.departures.insert(departure.server.clone(), departure.gone_at);
         self.news.push(&departure.server, departure.clone());
         true
     }
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -16,7 +16,7 @@
     if !is_new {
         return;
     }
-    let left = departure.until.saturating_sub(node.now());
+    let left = departure.gone_at.saturating_sub(node.now());
     if departure.server == node.get_name() {
         stop::begin(node, Duration::from_millis(left));
     }
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -91,7 +91,7 @@
         }
     }
     for heard in news.departures {
-        departure::learn(node, &Departure { server: heard.server, until: now + heard.left_ms });
+        departure::learn(node, &Departure { server: heard.server, gone_at: now + heard.left_ms });
     }
     if let Some(address) = address.filter(|_| news.roll > node.get_roll()) {
         let node = node.clone();
@@ -188,7 +188,7 @@
     let now = node.now();
     let write = |departure: &Departure| wire::Departure {
         server: departure.server.clone(),
-        left_ms: departure.until.saturating_sub(now),
+        left_ms: departure.gone_at.saturating_sub(now),
     };
     wire::News {
         roll: node.get_roll(),
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -40,8 +40,8 @@
     match node.platform.notices().await {
         Ok(notices) => {
             for notice in notices {
-                let until = node.now() + notice.left_ms;
-                departure::learn(node, &Departure { server: notice.vm, until });
+                let gone_at = node.now() + notice.left_ms;
+                departure::learn(node, &Departure { server: notice.vm, gone_at });
             }
         }
         Err(fault) => log::debug!("the notices were not read: {fault}"),
@@ -80,7 +80,7 @@
     }
     runtime::lock(&node.directory).set_servers(now, servers.into_iter());
     for server in leaving {
-        departure::learn(node, &Departure { server, until: now + UNNOTICED_MS });
+        departure::learn(node, &Departure { server, gone_at: now + UNNOTICED_MS });
     }
     grant::sync_all(node);
 }
