--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -51,7 +51,7 @@
     Recorded(Answer),
     /// Another attempt, of the named node, holds the claim and has no answer yet: nothing may be
     /// sent.
-    Taken(String),
+    HeldByOther(String),
     /// This instance was given up before it was sent: it must never be sent.
     Released,
     /// An earlier instance was given up: the claim may be taken over, by replacing the row.
@@ -72,7 +72,7 @@
         (true, true) => Verdict::Released,
         (true, false) => Verdict::Free,
         (false, _) if stands.attempt == mine.attempt => Verdict::Run,
-        (false, _) => Verdict::Taken(stands.node.clone()),
+        (false, _) => Verdict::HeldByOther(stands.node.clone()),
     }
 }
 
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -48,7 +48,9 @@
         Some(Verdict::Run) => Strategy::Claimed,
         Some(Verdict::Recorded(answer)) => Strategy::Recorded(answer),
         Some(Verdict::Released) => Strategy::NotRun,
-        Some(Verdict::Taken(_)) if facts.is_model && facts.has_attempt => Strategy::Attach,
-        Some(Verdict::Taken(_) | Verdict::Free | Verdict::Mismatch) | None => Strategy::Unknown,
+        Some(Verdict::HeldByOther(_)) if facts.is_model && facts.has_attempt => Strategy::Attach,
+        Some(Verdict::HeldByOther(_) | Verdict::Free | Verdict::Mismatch) | None => {
+            Strategy::Unknown
+        }
     }
 }
--- a/crates/core/tests/core/attempt.rs
+++ b/crates/core/tests/core/attempt.rs
@@ -38,7 +38,7 @@
     };
     let answer =
         Answer { status: 200, media_type: "text/plain".to_owned(), body: "6f6b".to_owned() };
-    let taken = || Some(Verdict::Taken("entry-1".to_owned()));
+    let taken = || Some(Verdict::HeldByOther("entry-1".to_owned()));
     let cases = [
         ("a stream that may run", facts(true, true, true), false, None, Strategy::Attach),
         ("a stream not yet sent", facts(true, true, false), false, None, Strategy::Rerun),
--- a/crates/core/tests/core/claim.rs
+++ b/crates/core/tests/core/claim.rs
@@ -23,8 +23,8 @@
     let released = |attempt, instance| Row { released: true, ..row(attempt, instance) };
     let cases = [
         ("my own", row("a", "i"), Verdict::Run),
-        ("another attempt", row("b", "i"), Verdict::Taken("node of b".to_owned())),
-        ("another instance", row("b", "j"), Verdict::Taken("node of b".to_owned())),
+        ("another attempt", row("b", "i"), Verdict::HeldByOther("node of b".to_owned())),
+        ("another instance", row("b", "j"), Verdict::HeldByOther("node of b".to_owned())),
         ("released, this instance", released("b", "i"), Verdict::Released),
         ("released, my own attempt", released("a", "i"), Verdict::Released),
         ("released, an earlier instance", released("b", "j"), Verdict::Free),
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -152,7 +152,7 @@
 /// Claims a request that must not be repeated, or says what its caller gets instead.
 async fn get_claim(node: &Arc<Node>, answer: &Answer, attempt: &str) -> Result<(), Instead> {
     match claims::claim(node, &answer.request, attempt).await {
-        Ok(Verdict::Taken(runner)) => Err(Instead::RunsAt(runner)),
+        Ok(Verdict::HeldByOther(runner)) => Err(Instead::RunsAt(runner)),
         Ok(verdict) => judged(verdict).map_err(Instead::End),
         Err(fault) => {
             claims::release(node, &answer.request, attempt);
@@ -169,7 +169,7 @@
         Verdict::Run => Ok(()),
         Verdict::Recorded(answer) => Err(ending::recorded(&answer)),
         Verdict::Released => Err(not_run(503, "the request was given up before it was sent", 0)),
-        Verdict::Taken(_) | Verdict::Free => Err(sent_before()),
+        Verdict::HeldByOther(_) | Verdict::Free => Err(sent_before()),
         Verdict::Mismatch => Err(key_reused()),
     }
 }
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -171,7 +171,7 @@
         Transaction::new().expect(&stands.key, Some(stands.version)).put(&stands.key, value);
     match node.platform.commit(&transaction).await? {
         Commit::Done(_) => Ok(Verdict::Run),
-        Commit::Conflict(_) => Ok(Verdict::Taken(String::new())),
+        Commit::Conflict(_) => Ok(Verdict::HeldByOther(String::new())),
     }
 }
 
