--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -55,7 +55,7 @@
     /// This instance was given up before it was sent: it must never be sent.
     Released,
     /// An earlier instance was given up: the claim may be taken over, by replacing the row.
-    Free,
+    Available,
     /// The key was used for another request.
     Mismatch,
 }
@@ -70,7 +70,7 @@
     }
     match (stands.released, stands.instance == mine.instance) {
         (true, true) => Verdict::Released,
-        (true, false) => Verdict::Free,
+        (true, false) => Verdict::Available,
         (false, _) if stands.attempt == mine.attempt => Verdict::Run,
         (false, _) => Verdict::HeldByOther(stands.node.clone()),
     }
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -49,7 +49,7 @@
         Some(Verdict::Recorded(answer)) => Strategy::Recorded(answer),
         Some(Verdict::Released) => Strategy::NotRun,
         Some(Verdict::HeldByOther(_)) if facts.is_model && facts.has_attempt => Strategy::Attach,
-        Some(Verdict::HeldByOther(_) | Verdict::Free | Verdict::Mismatch) | None => {
+        Some(Verdict::HeldByOther(_) | Verdict::Available | Verdict::Mismatch) | None => {
             Strategy::Unknown
         }
     }
--- a/crates/core/tests/core/claim.rs
+++ b/crates/core/tests/core/claim.rs
@@ -27,7 +27,7 @@
         ("another instance", row("b", "j"), Verdict::HeldByOther("node of b".to_owned())),
         ("released, this instance", released("b", "i"), Verdict::Released),
         ("released, my own attempt", released("a", "i"), Verdict::Released),
-        ("released, an earlier instance", released("b", "j"), Verdict::Free),
+        ("released, an earlier instance", released("b", "j"), Verdict::Available),
         (
             "answered",
             Row { answer: Some(answer.clone()), ..row("b", "j") },
@@ -71,7 +71,7 @@
                 Step::Claim(n) => {
                     let verdict = stands.as_ref().map(|stands| evaluate(stands, &attempts[n]));
                     match verdict {
-                        None | Some(Verdict::Free) => {
+                        None | Some(Verdict::Available) => {
                             stands = Some(attempts[n].clone());
                             may_run[n] = true;
                         }
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -169,7 +169,7 @@
         Verdict::Run => Ok(()),
         Verdict::Recorded(answer) => Err(ending::recorded(&answer)),
         Verdict::Released => Err(not_run(503, "the request was given up before it was sent", 0)),
-        Verdict::HeldByOther(_) | Verdict::Free => Err(sent_before()),
+        Verdict::HeldByOther(_) | Verdict::Available => Err(sent_before()),
         Verdict::Mismatch => Err(key_reused()),
     }
 }
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -156,7 +156,7 @@
         let verdict = match judged {
             None => Err(fault.clone()),
             Some((row, stands)) => match claim::evaluate(&stands, &pending.row) {
-                Verdict::Free => replace(node, row, &pending.row).await,
+                Verdict::Available => replace(node, row, &pending.row).await,
                 verdict => Ok(verdict),
             },
         };
