--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Registry, Unit};
 
-use super::labels::{AccountLabels, KindLabels, RegionLabels, ServiceLabels};
+use super::labels::{AccountLabels, MemoryKindLabels, RegionLabels, ServiceLabels};
 use crate::node::Node;
 use crate::node::memory::read_resident_bytes;
 
@@ -27,7 +27,7 @@
     sampled_out_lines: Gauge<i64, AtomicI64>,
     dropped_lines: Gauge<i64, AtomicI64>,
     resident: Gauge<i64, AtomicI64>,
-    memory_held: Family<KindLabels, Gauge>,
+    memory_held: Family<MemoryKindLabels, Gauge>,
     memory_capacity: Gauge<i64, AtomicI64>,
     memory_part: Gauge<f64, AtomicU64>,
     is_short_of_memory: Gauge<i64, AtomicI64>,
@@ -175,7 +175,7 @@
             self.memory_part.set(state.memory.get_use().part);
             self.is_short_of_memory.set(state.memory.is_short().into());
             for kind in Kind::ALL {
-                let labels = KindLabels { kind: kind.as_str().to_owned() };
+                let labels = MemoryKindLabels { kind: kind.as_str().to_owned() };
                 let held = state.memory.get_held(kind) as i64;
                 self.memory_held.get_or_create(&labels).set(held);
             }
--- a/crates/gateway/src/metrics/labels.rs
+++ b/crates/gateway/src/metrics/labels.rs
@@ -76,7 +76,7 @@
 
 /// What memory is reserved for.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct KindLabels {
+pub struct MemoryKindLabels {
     /// A name that the code fixes.
     pub kind: String,
 }
--- a/crates/gateway/src/metrics/mod.rs
+++ b/crates/gateway/src/metrics/mod.rs
@@ -14,7 +14,7 @@
 mod registry;
 
 pub use labels::{
-    AccountLabels, CapacityLabels, KindLabels, ReasonLabels, RegionLabels, RequestLabels,
+    AccountLabels, CapacityLabels, MemoryKindLabels, ReasonLabels, RegionLabels, RequestLabels,
     ServiceLabels, SpillLabels,
 };
 pub use registry::Metrics;
