--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -6,10 +6,10 @@
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use keeljunction_core::member::{List, Member, State, Timing};
+use keeljunction_core::rendezvous;
 use keeljunction_core::route;
-use keeljunction_core::shard::{Ask, Decision, Queue};
+use keeljunction_core::shard::{Decision, GrantRequest, Queue};
 use keeljunction_core::stream::Cursor;
-use keeljunction_core::succession;
 
 fn queue(servers: usize) -> Queue {
     let mut queue = Queue::new(64, 8_000);
@@ -19,8 +19,8 @@
     queue
 }
 
-fn ask(number: usize, prefix: &[u64]) -> Ask {
-    Ask {
+fn ask(number: usize, prefix: &[u64]) -> GrantRequest {
+    GrantRequest {
         id: number.to_string(),
         group: "flood".to_owned(),
         priority: 1,
@@ -43,9 +43,9 @@
             |bencher| {
                 bencher.iter(|| {
                     number += 1;
-                    let decision = queue.offer(number as u64, ask(number, &prefix));
+                    let decision = queue.submit(number as u64, ask(number, &prefix));
                     if let Decision::Granted(grant) = black_box(decision) {
-                        queue.first_token(&grant.id);
+                        queue.record_first_token(&grant.id);
                         queue.release(number as u64, &grant.id, None);
                     }
                 });
@@ -60,7 +60,7 @@
             let full = || {
                 let mut queue = queue(1);
                 for number in 0..64 + waiting {
-                    queue.offer(0, Ask { wait: 1_000_000, ..ask(number, &[]) });
+                    queue.submit(0, GrantRequest { wait: 1_000_000, ..ask(number, &[]) });
                 }
                 queue
             };
@@ -78,7 +78,7 @@
         let names: Vec<String> = (0..nodes).map(|n| format!("entry-{n}")).collect();
         criterion.bench_function(&format!("owner among {nodes} nodes"), |bencher| {
             bencher.iter(|| {
-                succession::owner(black_box("shard/hidro-llm/7"), names.iter().map(String::as_str))
+                rendezvous::owner(black_box("shard/hidro-llm/7"), names.iter().map(String::as_str))
             });
         });
     }
@@ -93,7 +93,7 @@
         state: State::Alive,
     };
     for nodes in [9, 33, 330] {
-        let mut list = List::new(member(0, 1), Timing { suspicion: 1_000, memory: 1_000 });
+        let mut list = List::new(member(0, 1), Timing { suspicion: 1_000, dead_retention: 1_000 });
         for n in 1..nodes {
             list.apply(0, member(n, 1));
         }
@@ -104,7 +104,7 @@
                 bencher.iter(|| {
                     incarnation += 1;
                     list.apply(0, member(1 + incarnation as usize % (nodes - 1), incarnation));
-                    black_box(list.take_news(6))
+                    black_box(list.take_updates(6))
                 });
             },
         );
@@ -118,7 +118,7 @@
     });
     let prompt: String = (0..1_000).map(|n| format!("word{n} ")).collect();
     criterion.bench_function("blocks of a prompt of 1000 words", |bencher| {
-        bencher.iter(|| route::blocks(black_box(&prompt)));
+        bencher.iter(|| route::hash_blocks(black_box(&prompt)));
     });
 }
 
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -17,7 +17,7 @@
 }
 
 /// Computes the hash of each whole block of a prompt, in order.
-pub fn blocks(prompt: &str) -> Vec<u64> {
+pub fn hash_blocks(prompt: &str) -> Vec<u64> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut seed = 0;
     let mut hashes = Vec::with_capacity(words.len() / BLOCK_TOKENS);
@@ -32,7 +32,7 @@
 
 /// The blocks that each of a few servers is thought to hold, bounded per server.
 #[derive(Clone, Debug)]
-pub struct Index {
+pub struct PrefixIndex {
     per_server: usize,
     servers: HashMap<String, Held>,
 }
@@ -46,7 +46,7 @@
     clock: u64,
 }
 
-impl Index {
+impl PrefixIndex {
     /// Makes an index that remembers up to `per_server` blocks of each server.
     pub fn new(per_server: usize) -> Self {
         Self { per_server, servers: HashMap::new() }
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -8,7 +8,7 @@
 use super::report::Source;
 use super::{LEAST_LEFT, NEW_FOR, Quotas, get_raised_part};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// The part of the local share that is admitted, less what pays back what was admitted beyond the
 /// limit.
@@ -39,7 +39,7 @@
     pub fn restart_local_share(&mut self, now: Millis, account: &str) {
         if let Some(bucket) = self.local_share.get_mut(account) {
             // What was admitted in advance is paid back as before.
-            bucket.stop_saving(now);
+            bucket.stop_accumulating(now);
         }
     }
 
@@ -108,8 +108,8 @@
         // otherwise.
         let debt = (units - share.advance).max(0.0);
         let bucket = self.local_share.entry(account.to_owned());
-        let bucket = bucket.or_insert(Bucket::new(now, -debt));
-        bucket.set(now, share.rate, share.rate.max(LEAST_LEFT));
+        let bucket = bucket.or_insert(TokenBucket::new(now, -debt));
+        bucket.set_limits(now, share.rate, share.rate.max(LEAST_LEFT));
         if bucket.available < LEAST_LEFT {
             return Err(get_wait(LEAST_LEFT - bucket.available, share.rate));
         }
--- a/crates/core/src/shard/share.rs
+++ b/crates/core/src/shard/share.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 /// Cost of one generated token, against one uncached prompt token.
-pub const GENERATED_COST: u64 = 4;
+pub const GENERATED_TOKEN_COST: u64 = 4;
 
 /// Virtual token counters. The group with the least counter that has work waiting goes next.
 ///
 /// A group that comes back from idle is lifted to the least busy counter, so that nobody saves
 /// up; a share that is not used is lent to those who wait.
 #[derive(Clone, Debug, Default)]
-pub struct Counter {
+pub struct VirtualCounters {
     groups: BTreeMap<String, Group>,
 }
 
@@ -21,7 +21,7 @@
     busy: u32,
 }
 
-impl Counter {
+impl VirtualCounters {
     /// Makes a counter without groups.
     pub fn new() -> Self {
         Self::default()
@@ -40,7 +40,7 @@
     }
 
     /// Notes that a group has one more request waiting or running.
-    pub fn arrive(&mut self, name: &str) {
+    pub fn add_request(&mut self, name: &str) {
         let floor = self.floor();
         let group = self.group(name, floor);
         if group.busy == 0 {
@@ -50,7 +50,7 @@
     }
 
     /// Notes that a group has one request less waiting or running.
-    pub fn leave(&mut self, name: &str) {
+    pub fn remove_request(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
             group.busy = group.busy.saturating_sub(1);
         }
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -3,7 +3,7 @@
 use keeljunction_core::member::{List, Member, State, Timing};
 use proptest::prelude::*;
 
-const TIMING: Timing = Timing { suspicion: 1_000, memory: 100_000 };
+const TIMING: Timing = Timing { suspicion: 1_000, dead_retention: 100_000 };
 
 fn member(name: &str, incarnation: u64, state: State) -> Member {
     Member {
@@ -29,18 +29,18 @@
 #[test]
 fn a_silent_node_is_suspected_then_dead() {
     let mut list = list();
-    list.missed(100, "a");
+    list.record_missed_probe(100, "a");
     assert_eq!(state(&list, "a"), Some(State::Suspect));
     assert_eq!(list.expire(1_099), []);
     assert_eq!(list.expire(1_100).len(), 1);
     assert_eq!(state(&list, "a"), Some(State::Dead));
-    assert_eq!(list.usable().count(), 2);
+    assert_eq!(list.iter_usable().count(), 2);
 }
 
 #[test]
 fn a_suspect_that_refutes_is_alive_and_stale_news_do_not_harm_it() {
     let mut list = list();
-    list.missed(100, "a");
+    list.record_missed_probe(100, "a");
     assert!(list.apply(200, member("a", 2, State::Alive)));
     assert_eq!(list.expire(5_000), []);
     assert!(!list.apply(300, member("a", 1, State::Dead)));
@@ -51,19 +51,19 @@
 fn news_of_its_own_death_are_refuted_with_a_higher_incarnation() {
     let mut list = list();
     assert!(list.apply(0, member("me", 4, State::Dead)));
-    assert_eq!(list.get_me().incarnation, 5);
-    assert_eq!(list.get_me().state, State::Alive);
-    assert!(list.take_news(9).contains(&member("me", 5, State::Alive)));
+    assert_eq!(list.get_local().incarnation, 5);
+    assert_eq!(list.get_local().state, State::Alive);
+    assert!(list.take_updates(9).contains(&member("me", 5, State::Alive)));
 }
 
 #[test]
 fn a_leaving_node_stays_leaving_until_it_is_silent() {
     let mut list = list();
     list.apply(0, member("a", 2, State::Leaving));
-    list.missed(10, "a");
-    list.answered("a");
+    list.record_missed_probe(10, "a");
+    list.record_answer("a");
     assert_eq!(list.expire(2_000), []);
-    list.missed(3_000, "a");
+    list.record_missed_probe(3_000, "a");
     assert_eq!(list.expire(4_000).len(), 1);
 }
 
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -5,8 +5,8 @@
 
 use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
 
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::runtime;
@@ -22,7 +22,7 @@
 /// Looks after callers for as long as the node runs.
 pub fn watch(node: &Arc<Node>) {
     let node = node.clone();
-    runtime::every(LOOK, move || {
+    runtime::spawn_periodic(LOOK, move || {
         look_at_all(&node);
         std::future::ready(())
     });
@@ -31,8 +31,8 @@
 /// Disconnects all callers that rest; called shortly before the node ends.
 pub fn disconnect_stalled(node: &Node) {
     let now = node.now();
-    for feed in node.feeds.list() {
-        let Some(look) = (feed.look)(now) else { continue };
+    for feed in node.active_responses.list() {
+        let Some(look) = (feed.check_status)(now) else { continue };
         if look.caller.resting >= RESTING_AFTER {
             disconnect(node, &feed, &look, "stopping");
         }
@@ -41,10 +41,10 @@
 
 fn look_at_all(node: &Node) {
     let now = node.now();
-    let feeds = node.feeds.list();
-    let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.look)(now)?)));
-    let looked: Vec<(&Arc<Handle>, Look)> = looked.collect();
-    for (feed, look) in looked.iter().filter(|(_, look)| look.is_over) {
+    let feeds = node.active_responses.list();
+    let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.check_status)(now)?)));
+    let looked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = looked.collect();
+    for (feed, look) in looked.iter().filter(|(_, look)| look.is_too_slow) {
         disconnect(node, feed, look, "no_progress");
     }
     let is_short = looked.iter().any(|(_, look)| look.is_short);
@@ -53,7 +53,7 @@
         return;
     }
     let callers: Vec<Caller> =
-        looked.iter().filter(|(_, look)| !look.is_over).map(|(_, look)| look.caller).collect();
+        looked.iter().filter(|(_, look)| !look.is_too_slow).map(|(_, look)| look.caller).collect();
     let picked = pick_resting(&callers, missing);
     for (feed, look) in looked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
         disconnect(node, feed, look, "memory");
@@ -70,7 +70,7 @@
     (total - capacity * EASED_PART) as usize
 }
 
-fn disconnect(node: &Node, feed: &Handle, look: &Look, reason: &'static str) {
+fn disconnect(node: &Node, feed: &ResponseHandle, look: &ResponseStatus, reason: &'static str) {
     event::emit(&Event::CallerDisconnected {
         request: &feed.request,
         reason,
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -22,8 +22,9 @@
 use super::flow::Flow;
 use super::respond::{Passage, Record};
 use super::source::{Source, Step};
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
+
 use crate::http::{Body, ConnectionHandle};
 use crate::node::{Node, Reservation};
 use crate::runtime::{self, lock};
@@ -88,18 +89,18 @@
         let bound = get_bound(node.with(|state| state.memory.get_capacity()));
         let flow = Flow::new(Buffer::new(bound), held, peer, node.now());
         let flow = Mutex::new(flow);
-        let id = node.feeds.make_id();
+        let id = node.active_responses.make_id();
         let feed = Arc::new(Self { node: node.clone(), id, request, passage, due, flow });
-        node.feeds.add(id, feed.make_handle());
+        node.active_responses.add(id, feed.make_handle());
         feed
     }
 
     /// Makes what the node keeps of the answer, which does not keep the answer itself.
-    fn make_handle(self: &Arc<Self>) -> Handle {
+    fn make_handle(self: &Arc<Self>) -> ResponseHandle {
         let (looking, disconnecting) = (Arc::downgrade(self), Arc::downgrade(self));
-        Handle {
+        ResponseHandle {
             request: self.request.clone(),
-            look: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
+            check_status: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
             disconnect: Box::new(move |reason| {
                 if let Some(feed) = disconnecting.upgrade() {
                     feed.disconnect(reason);
@@ -166,7 +167,7 @@
     }
 
     /// Notes whether the caller takes what is there, and starts to read ahead where it does not.
-    fn look(self: &Arc<Self>, now: Millis) -> Look {
+    fn look(self: &Arc<Self>, now: Millis) -> ResponseStatus {
         let mut flow = lock(&self.flow);
         let since = now.saturating_sub(flow.looked_at);
         flow.looked_at = now;
@@ -181,11 +182,11 @@
             flow.is_reading_ahead = true;
             let feed = self.clone();
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
-            flow.reading = Some(runtime::task(reading));
+            flow.reading = Some(runtime::spawn_with_handle(reading));
         }
         let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
         let caller = Caller { id: self.id, bytes, resting };
-        Look { caller, is_over: flow.progress.is_too_slow(), is_short }
+        ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short }
     }
 
     /// Reads the server until the caller's connection polls, the buffer is full, or the answer has
@@ -236,7 +237,7 @@
 
 impl Drop for FeedBody {
     fn drop(&mut self) {
-        self.0.node.feeds.remove(self.0.id);
+        self.0.node.active_responses.remove(self.0.id);
         let leftover = lock(&self.0.flow).end();
         drop(leftover);
     }
--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -171,21 +171,21 @@
     /// again.
     pub async fn is_listening(&self, address: SocketAddr) -> bool {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        let connecting = runtime::within(self.connect_within, TcpStream::connect(address)).await;
+        let connecting = runtime::timeout(self.connect_within, TcpStream::connect(address)).await;
         matches!(connecting, Some(Ok(_)))
     }
 
     fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = runtime::lock(&self.idle);
         let kept = idle.get_mut(&to)?;
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         kept.retain(|connection| connection.is_usable(now, self.rest));
         // The one that was used last: those that are not needed rest until the server closes them.
         kept.pop()
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<Connection, SendError> {
-        let connecting = runtime::within(self.connect_within, TcpStream::connect(to)).await;
+        let connecting = runtime::timeout(self.connect_within, TcpStream::connect(to)).await;
         let stream = match connecting {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(SendError::NotSent(error.to_string())),
@@ -200,10 +200,10 @@
         let writes = socket.get_write_state();
         let made = http1::handshake(socket).await;
         let (sender, connection) = made.map_err(|error| SendError::NotSent(error.to_string()))?;
-        let driver = runtime::task(async move {
+        let driver = runtime::spawn_with_handle(async move {
             let _ = drive(pin!(connection), &writes).await;
         });
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         Ok(Connection { sender, until: now + KEEP_FOR, rests_since: now, _driver: driver })
     }
 
@@ -213,7 +213,7 @@
         mut connection: Connection,
         response: Response<Incoming>,
     ) -> Response<ResponseBody> {
-        connection.until = runtime::boot_time() + keep_for(response.headers());
+        connection.until = runtime::boottime_now() + keep_for(response.headers());
         let idle = self.idle.clone();
         let idle_per_address = self.idle_per_address.clone();
         response.map(|body| ResponseBody {
@@ -298,7 +298,7 @@
             if kept.connection.sender.ready().await.is_ok() {
                 let mut idle = runtime::lock(&kept.idle);
                 let connections = idle.entry(kept.to).or_default();
-                kept.connection.rests_since = runtime::boot_time();
+                kept.connection.rests_since = runtime::boottime_now();
                 if connections.len() < kept.idle_per_address.load(Ordering::Relaxed) {
                     connections.push(kept.connection);
                 }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -70,7 +70,7 @@
 /// Sends logs of at least a level to standard output, with this many sampled lines a second.
 ///
 /// A second call changes nothing.
-pub fn start(level: &str, lines_per_second: u32) {
+pub fn init(level: &str, lines_per_second: u32) {
     let (queue, lines) = async_channel::bounded(QUEUE_LINES);
     let filter = LevelFilter::from_str(level).unwrap_or(LevelFilter::Info);
     let window = SampleWindow { began: Instant::now(), lines: 0, left_out: 0 };
@@ -108,7 +108,7 @@
     if *lock(&log.level) < LevelFilter::Info {
         return;
     }
-    if event.is_usual() && !log.admit() {
+    if event.is_routine() && !log.admit() {
         log.sampled_out.fetch_add(1, Ordering::Relaxed);
         return;
     }
@@ -116,7 +116,7 @@
 }
 
 /// Returns how many lines were sampled out and how many a full queue cost.
-pub fn get_losses() -> (u64, u64) {
+pub fn get_suppressed_counts() -> (u64, u64) {
     let Some(log) = LOG.get() else { return (0, 0) };
     (log.sampled_out.load(Ordering::Relaxed), log.dropped.load(Ordering::Relaxed))
 }
--- a/crates/gateway/src/metrics/labels.rs
+++ b/crates/gateway/src/metrics/labels.rs
@@ -46,7 +46,7 @@
 
 impl RegionLabels {
     /// Makes the labels of a region.
-    pub fn of(region: &str) -> Self {
+    pub fn new(region: &str) -> Self {
         Self { region: region.to_owned() }
     }
 }
@@ -62,7 +62,7 @@
 
 impl SpillLabels {
     /// Makes the labels of a region and a reason.
-    pub fn of(region: &str, reason: &str) -> Self {
+    pub fn new(region: &str, reason: &str) -> Self {
         Self { region: region.to_owned(), reason: reason.to_owned() }
     }
 }
@@ -76,7 +76,7 @@
 
 /// What memory is reserved for.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct KindLabels {
+pub struct MemoryKindLabels {
     /// A name that the code fixes.
     pub kind: String,
 }
--- a/crates/gateway/src/node/pauses.rs
+++ b/crates/gateway/src/node/pauses.rs
@@ -10,7 +10,7 @@
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::runtime::{self, Suspension};
+use crate::runtime::{self, SuspensionDetector};
 
 /// How much later than its period a look may be before that counts as a pause, in milliseconds: leases
 /// and freshness bounds are a few seconds.
@@ -20,21 +20,21 @@
 #[derive(Debug)]
 pub(super) struct Pauses {
     looked_at: Millis,
-    suspension: Suspension,
+    suspension: SuspensionDetector,
 }
 
 impl Pauses {
     /// Begins at a time on the node's clock.
     pub(super) fn begin(now: Millis) -> Self {
-        let suspension = Suspension::new(runtime::boot_time(), runtime::steady_time());
+        let suspension = SuspensionDetector::new(runtime::boottime_now(), runtime::monotonic_now());
         Self { looked_at: now, suspension }
     }
 
     /// Looks whether the process stood still since the last look.
     pub(super) fn look(&mut self, node: &Node, now: Millis) {
-        let suspended = self.suspension.look(runtime::boot_time(), runtime::steady_time());
+        let suspended = self.suspension.check(runtime::boottime_now(), runtime::monotonic_now());
         if suspended.is_some() {
-            runtime::wake_sleeps();
+            runtime::wake_sleepers();
         }
         let paused = now.saturating_sub(self.looked_at);
         self.looked_at = now;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -43,7 +43,7 @@
 use super::peers::questions::Questions;
 use super::skipped;
 use super::uploads::Uploads;
-use crate::feeds::Feeds;
+use crate::active_responses::ActiveResponses;
 use crate::http::{Client, StopSignal};
 use crate::metrics::Metrics;
 use crate::port::Platform;
@@ -92,7 +92,7 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Answers on their way to callers.
-    pub feeds: Feeds,
+    pub active_responses: ActiveResponses,
     /// The signal on which the listeners close.
     pub closing: StopSignal,
     /// Datagrams between nodes.
@@ -257,9 +257,9 @@
         let windows_kept = count_kept(due, (bounds.report_window_s * 1_000.0) as Millis);
         let allowance = Allowance {
             ratio: bounds.retry_budget_ratio,
-            least: bounds.budget_min_retries,
+            min_retries: bounds.budget_min_retries,
             window: (bounds.budget_window_s * 1_000.0) as Millis,
-            used: BUDGET_USED,
+            usable_fraction: BUDGET_USED,
         };
         let tolerance = Tolerance {
             window_seconds: bounds.quota_window_s,
@@ -306,7 +306,7 @@
             ),
         };
         let mut metrics = Metrics::default();
-        metrics.register_crossed(link.get_crossed_by_region());
+        metrics.register_cross_region_bytes(link.get_crossed_by_region());
         Arc::new(Self {
             settings,
             platform,
@@ -315,7 +315,7 @@
             incarnation,
             http_client: Client::new(CONNECT_WITHIN),
             metrics,
-            feeds: Feeds::default(),
+            active_responses: ActiveResponses::default(),
             closing,
             link,
             notifications: async_channel::bounded(NOTIFICATION_CAPACITY),
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -25,7 +25,7 @@
 }
 
 /// Starts a task whose result can be awaited; it is cancelled when dropped.
-pub fn task<F, T>(future: F) -> Task<T>
+pub fn spawn_with_handle<F, T>(future: F) -> Task<T>
 where
     F: Future<Output = T> + Send + 'static,
     T: Send + 'static,
@@ -63,10 +63,10 @@
 
 /// Waits for a time, in which a suspension of the machine counts.
 pub async fn sleep(time: Duration) {
-    let until = boot_time() + time;
+    let until = boottime_now() + time;
     loop {
         let resumed = RESUMED.listen();
-        let left = until.saturating_sub(boot_time());
+        let left = until.saturating_sub(boottime_now());
         let timer = async {
             Timer::after(left).await;
             true
@@ -82,7 +82,7 @@
 }
 
 /// Returns the time since the machine's start, in which a suspension counts.
-pub fn boot_time() -> Duration {
+pub fn boottime_now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     // Neither part is negative on this clock.
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
@@ -90,12 +90,12 @@
 
 /// Notices that the machine was suspended.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspension {
+pub struct SuspensionDetector {
     boot: Duration,
     steady: Duration,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// The least difference of the two clocks that is taken for a suspension: both are read one after
     /// the other, on a VM whose processor may be away in between.
     const LEAST: Duration = Duration::from_millis(50);
@@ -106,7 +106,7 @@
     }
 
     /// Returns how long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
+    pub fn check(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
         let counted = boot.saturating_sub(self.boot);
         let suspended = counted.saturating_sub(steady.saturating_sub(self.steady));
         *self = Self { boot, steady };
@@ -115,18 +115,18 @@
 }
 
 /// Returns the time of the system's timers, which leave suspensions out.
-pub fn steady_time() -> Duration {
+pub fn monotonic_now() -> Duration {
     let time = clock_gettime(ClockId::Monotonic);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
 /// Lets all sleeps check how much of their time is left.
-pub fn wake_sleeps() {
+pub fn wake_sleepers() {
     RESUMED.notify(usize::MAX);
 }
 
 /// Waits for a future for a time at most; `None` once the time is over.
-pub async fn within<F: Future>(time: Duration, future: F) -> Option<F::Output> {
+pub async fn timeout<F: Future>(time: Duration, future: F) -> Option<F::Output> {
     let bounded = async {
         sleep(time).await;
         None
@@ -135,7 +135,7 @@
 }
 
 /// Repeats a step for ever, with a pause of `period` after each.
-pub fn every<F, Fut>(period: Duration, mut step: F)
+pub fn spawn_periodic<F, Fut>(period: Duration, mut step: F)
 where
     F: FnMut() -> Fut + Send + 'static,
     Fut: Future<Output = ()> + Send + 'static,
@@ -157,7 +157,7 @@
 impl Clock {
     /// Starts a clock. It starts well above zero, so that spans can be taken off it.
     pub fn new() -> Self {
-        Self { start: boot_time() }
+        Self { start: boottime_now() }
     }
 
     /// Returns what the clock showed at its start.
@@ -167,7 +167,7 @@
 
     /// Returns the milliseconds since the start.
     pub fn now(&self) -> u64 {
-        CLOCK_START_MS + boot_time().saturating_sub(self.start).as_millis() as u64
+        CLOCK_START_MS + boottime_now().saturating_sub(self.start).as_millis() as u64
     }
 }
 
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -6,7 +6,7 @@
 
 use futures_lite::future;
 use keeljunction_core::attempt::End;
-use keeljunction_core::stream::{Cursor, Verdict};
+use keeljunction_core::stream::{Cursor, Disposition};
 
 use super::answer::{Attempt, done};
 use super::{Answer, Node, ending, grant};
@@ -125,17 +125,17 @@
             Err(end) => return end,
         };
         let Piece::Token { attempt: named, offset, text } = piece else {
-            if cursor.is_missing() {
+            if cursor.has_gap() {
                 return broken("tokens are missing");
             }
             ending::finish_model(node, answer, attempt);
             return End::Finished;
         };
         match cursor.take(&named, offset, &text) {
-            Verdict::Accept(tokens) => answer.push(tokens),
-            Verdict::Held => node.metric.count("tokens_held", 1),
-            Verdict::Repeated | Verdict::Foreign => node.metric.count("tokens_dropped", 1),
-            Verdict::Gap(_) => return broken("tokens are missing"),
+            Disposition::Accept(tokens) => answer.push(tokens),
+            Disposition::Buffered => node.metric.count("tokens_held", 1),
+            Disposition::Duplicate | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
+            Disposition::Gap(_) => return broken("tokens are missing"),
         }
         if let Some(grant) = unread.take() {
             grant::first_token(node, grant);
@@ -148,10 +148,10 @@
     let left = answer.request.deadline.saturating_sub(node.now());
     let idle = node.settings.limits.idle_ms;
     let piece = async { Ok(tokens.next().await) };
-    let steered = async { Err(End::Steered(answer.steered().await)) };
+    let steered = async { Err(End::Drained(answer.steered().await)) };
     let late = async {
         runtime::sleep(Duration::from_millis(left.min(idle))).await;
-        Err(if left <= idle { End::Late } else { broken("the engine fell silent") })
+        Err(if left <= idle { End::DeadlineExceeded } else { broken("the engine fell silent") })
     };
     future::or(piece, future::or(steered, late)).await
 }
@@ -170,5 +170,5 @@
 
 fn broken(why: &str) -> End {
     log::info!("a backend server broke a request off: {why}");
-    End::Broken
+    End::Interrupted
 }
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -6,8 +6,8 @@
 
 use event_listener::Event;
 use keeljunction_core::bundle::Service;
-use keeljunction_core::shard::{self, Ask, Grant, Queue, Refusal};
-use keeljunction_core::{Millis, succession};
+use keeljunction_core::shard::{self, Grant, GrantRequest, Queue, Refusal};
+use keeljunction_core::{Millis, rendezvous};
 use tonic::Status;
 use uuid::Uuid;
 
@@ -129,7 +129,7 @@
         }
         _ => {
             if let Some(shard) = find_local(node, &out) {
-                shard.with(|queue, _| queue.first_token(id));
+                shard.with(|queue, _| queue.record_first_token(id));
             }
         }
     }
@@ -137,16 +137,16 @@
 
 /// Notes how a grant's server did.
 pub fn note_end(shard: &Shard, server: &str, is_failed: bool) {
-    shard.with(
-        |queue, now| if is_failed { queue.failed(now, server) } else { queue.succeeded(server) },
-    );
+    shard.with(|queue, now| {
+        if is_failed { queue.record_failure(now, server) } else { queue.record_success(server) }
+    });
 }
 
 /// Finds the node that owns a shard.
 pub fn owner_of(node: &Node, shard: &ShardKey) -> Option<String> {
     let nodes = node.usable_nodes();
     let key = shard::owner_key(&shard.0, shard.1);
-    succession::owner(&key, nodes.iter().map(|(name, _)| name.as_str())).map(str::to_owned)
+    rendezvous::owner(&key, nodes.iter().map(|(name, _)| name.as_str())).map(str::to_owned)
 }
 
 /// Returns the queue of a shard that this node owns, made anew where it is not there yet.
@@ -212,7 +212,7 @@
 fn shard_order(node: &Node, request: &Request) -> Vec<u32> {
     let directory = runtime::lock(&node.directory);
     let names: Vec<&str> =
-        directory.of_service(&request.service.name).map(|server| server.name.as_str()).collect();
+        directory.iter_service(&request.service.name).map(|server| server.name.as_str()).collect();
     let count = shard::shard_count(names.len());
     let mut filled: Vec<u32> = names.iter().map(|name| shard::shard_of(name, count)).collect();
     filled.sort_unstable();
@@ -220,12 +220,12 @@
     let start = request.prompt.prefix.first();
     let key = start.map_or_else(|| request.key.clone(), u64::to_string);
     let labels: Vec<String> = filled.iter().map(u32::to_string).collect();
-    let order = succession::order(&key, labels.iter().map(String::as_str));
+    let order = rendezvous::rank(&key, labels.iter().map(String::as_str));
     order.into_iter().take(2).filter_map(|label| label.parse().ok()).collect()
 }
 
-fn make_ask(node: &Node, request: &Request, want: Want<'_>) -> Ask {
-    Ask {
+fn make_ask(node: &Node, request: &Request, want: Want<'_>) -> GrantRequest {
+    GrantRequest {
         id: Uuid::new_v4().to_string(),
         group: request.group.clone(),
         priority: want.priority,
@@ -238,7 +238,11 @@
     }
 }
 
-async fn acquire_from(node: &Arc<Node>, key: &ShardKey, ask: Ask) -> Result<Grant, Refusal> {
+async fn acquire_from(
+    node: &Arc<Node>,
+    key: &ShardKey,
+    ask: GrantRequest,
+) -> Result<Grant, Refusal> {
     let owner = if node.settings.routing.owners { owner_of(node, key) } else { None };
     let (grant, owner) = match owner {
         Some(owner) if owner != node.get_name() => match ask_owner(node, &owner, key, &ask).await {
@@ -261,7 +265,11 @@
     Ok(grant)
 }
 
-async fn decide_alone(node: &Arc<Node>, key: &ShardKey, ask: Ask) -> Result<Grant, Refusal> {
+async fn decide_alone(
+    node: &Arc<Node>,
+    key: &ShardKey,
+    ask: GrantRequest,
+) -> Result<Grant, Refusal> {
     let nodes = node.usable_nodes().len().max(1) as u32;
     let shard = local_shard(node, &node.book.alone, key, nodes);
     let shard = shard.ok_or(Refusal { retry_after: NO_SERVER_RETRY_MS })?;
@@ -272,7 +280,7 @@
     node: &Node,
     owner: &str,
     key: &ShardKey,
-    ask: &Ask,
+    ask: &GrantRequest,
 ) -> Result<Result<Grant, Refusal>, Status> {
     let address = node.get_peer_address(owner);
     let address = address.ok_or_else(|| Status::not_found("the owner's address is not known"))?;
@@ -358,8 +366,9 @@
 fn sync(node: &Arc<Node>, key: &ShardKey, shard: &Shard) {
     let Some(force) = node.get_force() else { return };
     let directory = runtime::lock(&node.directory);
-    let count = shard::shard_count(directory.of_service(&key.0).count());
-    let servers = directory.of_service(&key.0).filter(|s| shard::shard_of(&s.name, count) == key.1);
+    let count = shard::shard_count(directory.iter_service(&key.0).count());
+    let servers =
+        directory.iter_service(&key.0).filter(|s| shard::shard_of(&s.name, count) == key.1);
     let listed: Vec<(&str, &str, &str, bool)> = servers
         .map(|s| {
             (
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::attempt::{End, Next, Reason, Standing};
+use keeljunction_core::attempt::{Conditions, End, Next, Reason};
 use keeljunction_core::drain::Action;
 use keeljunction_core::outcome::Outcome;
-use keeljunction_core::shard::{GENERATED_COST, Grant, Refusal};
+use keeljunction_core::shard::{GENERATED_TOKEN_COST, Grant, Refusal};
 use keeljunction_core::stream::Cursor;
 use uuid::Uuid;
 
@@ -126,8 +126,8 @@
         };
         let generated = self.cursor.get_next() - before;
         let usage = Usage {
-            cost: Some(grant.uncached_tokens + GENERATED_COST * generated),
-            is_failed: matches!(end, End::NotSent | End::Broken),
+            cost: Some(grant.uncached_tokens + GENERATED_TOKEN_COST * generated),
+            is_failed: matches!(end, End::NotSent | End::Interrupted),
         };
         let end = self.reattach(end, &attempt).await;
         grant::release(&self.node, &grant.id, usage);
@@ -141,7 +141,7 @@
             return end;
         }
         let mut fruitless = 0;
-        while matches!(end, End::Broken) && fruitless < ATTACHES {
+        while matches!(end, End::Interrupted) && fruitless < ATTACHES {
             let before = self.cursor.get_next();
             end = attempt::attach(&self.node, &self.answer, attempt, &mut self.cursor).await;
             if self.cursor.get_next() == before {
@@ -162,29 +162,29 @@
     }
 
     async fn decide(&mut self, end: End, attempt: Attempt) -> Step {
-        let standing = Standing {
+        let standing = Conditions {
             is_repeatable: self.answer.request.class.repeatable,
             is_leaving: self.node.is_leaving(&attempt.server),
         };
-        match keeljunction_core::attempt::next(end, standing, || self.take_retry()) {
-            Next::Stop => Step::Stop,
-            Next::Stay => Box::pin(self.attach(&attempt)).await,
-            Next::Elsewhere => {
+        match keeljunction_core::attempt::decide_next(end, standing, || self.take_retry()) {
+            Next::Done => Step::Stop,
+            Next::KeepReading => Box::pin(self.attach(&attempt)).await,
+            Next::FailOver => {
                 self.avoid.push(attempt.server);
                 Step::Again
             }
-            Next::Leave(action) => {
+            Next::Migrate(action) => {
                 self.node.metric.count("streams_moved", 1);
                 self.avoid = vec![attempt.server.clone()];
                 self.left = Some((attempt, action));
                 Step::Again
             }
             Next::GiveUp(reason) => {
-                if reason == Reason::Late {
+                if reason == Reason::DeadlineExceeded {
                     self.cancel(&attempt).await;
                 }
-                let retry_after = if reason.is_passing() { NO_RETRY_MS } else { 0 };
-                self.give_up(reason.as_str(), reason.as_status(), retry_after)
+                let retry_after = if reason.is_transient() { NO_RETRY_MS } else { 0 };
+                self.give_up(reason.as_str(), reason.get_status(), retry_after)
             }
         }
     }
@@ -250,7 +250,7 @@
     }
 
     fn give_up(&self, why: &str, status: u16, retry_after: u64) -> Step {
-        let ended = match keeljunction_core::attempt::outcome(self.answer.is_sent()) {
+        let ended = match keeljunction_core::attempt::decide_outcome(self.answer.is_sent()) {
             Outcome::Done | Outcome::Unknown => unknown(status, why, retry_after),
             Outcome::NotRun => {
                 if let Some(claimed) = &self.claimed {
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::bundle::Kind;
 use keeljunction_core::directory::{Departure, Server};
 use keeljunction_core::member::{Member, State};
-use keeljunction_core::route::Report;
+use keeljunction_core::route::LoadReport;
 
 use super::grant::{self, ShardKey};
 use super::shard::Shard;
@@ -40,8 +40,8 @@
     match node.platform.notices().await {
         Ok(notices) => {
             for notice in notices {
-                let until = node.now() + notice.left_ms;
-                departure::learn(node, &Departure { server: notice.vm, until });
+                let gone_at = node.now() + notice.left_ms;
+                departure::learn(node, &Departure { server: notice.vm, gone_at });
             }
         }
         Err(fault) => log::debug!("the notices were not read: {fault}"),
@@ -78,9 +78,9 @@
             }
         }
     }
-    runtime::lock(&node.directory).set_listed(now, servers.into_iter());
+    runtime::lock(&node.directory).set_servers(now, servers.into_iter());
     for server in leaving {
-        departure::learn(node, &Departure { server, until: now + UNNOTICED_MS });
+        departure::learn(node, &Departure { server, gone_at: now + UNNOTICED_MS });
     }
     grant::sync_all(node);
 }
@@ -119,11 +119,12 @@
     match engine.load().await {
         Ok(load) => {
             let at = node.now().saturating_sub(load.age_ms);
-            let report = Report { at, requests: load.requests, queued_tokens: load.queued_tokens };
+            let report =
+                LoadReport { at, requests: load.requests, queued_tokens: load.queued_tokens };
             shard.with(|queue, _| queue.report(server, report));
         }
         Err(failure) if failure.is_not_sent() => {
-            return shard.with(|queue, now| queue.unreachable(now, server));
+            return shard.with(|queue, now| queue.record_unreachable(now, server));
         }
         Err(_) => return,
     }
@@ -134,7 +135,7 @@
     for event in events.events {
         shard.set_next_event(server, event.number + 1);
         let is_gapless = shard.with(|queue, _| {
-            queue.cache_event(server, event.number, &event.stored, &event.evicted)
+            queue.apply_cache_event(server, event.number, &event.stored, &event.evicted)
         });
         if !is_gapless {
             node.metric.count("cache_event_gaps", 1);
