--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -15,7 +15,9 @@
 use keeljunction_core::serving::quarantine::{
     Book, Content, Crash, Fingerprint, Run, Standing, Verdict,
 };
-use keeljunction_core::serving::quota::{Limit, Quotas, Reach, Report, Source, Tolerance, Units};
+use keeljunction_core::serving::quota::{
+    Limit, Quotas, Reachability, Report, Source, Tolerance, Units,
+};
 use keeljunction_core::serving::spill::Offer;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::topology::Topology;
@@ -248,7 +250,7 @@
         let is_grouped = members(nodes).is_grouped();
         // In groups a node hears its aggregator only, and an aggregator the others and its group.
         let heard = if is_grouped { (nodes as f64).sqrt().ceil() as usize * 2 } else { nodes };
-        let reach = Reach { heard: nodes, all: nodes, period: 400, is_grouped };
+        let reach = Reachability { heard: nodes, all: nodes, period: 400, is_grouped };
         let mut quotas = Quotas::new(0, Tolerance::default());
         let units = Units { admitted: 1_000, requested_per_second: 100, ..Units::default() };
         let accounts = (0..40).map(|account| (format!("account-{account}"), units)).collect();
--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -5,7 +5,7 @@
 use super::{BackOffs, Decision, Key, Permits, RateLimits, Sighting, Signal};
 use crate::Millis;
 use crate::serving::directory::Server;
-use crate::serving::quota::Reach;
+use crate::serving::quota::Reachability;
 
 /// The most servers that are remembered for headers that cannot be read.
 const MOST_UNREADABLE: usize = 1_024;
@@ -78,7 +78,7 @@
     }
 
     /// Decides about a request to a server, as its owner; `sighting` is what the asking node knows.
-    pub fn decide(&mut self, now: Millis, sighting: &Sighting, reach: Reach) -> Decision {
+    pub fn decide(&mut self, now: Millis, sighting: &Sighting, reach: Reachability) -> Decision {
         self.limits.merge(now, sighting);
         let known = self.limits.get_latest(now, sighting.key).unwrap_or(*sighting);
         match known.rate {
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -7,7 +7,7 @@
 use super::Key;
 use crate::Millis;
 use crate::bucket::Bucket;
-use crate::serving::quota::Reach;
+use crate::serving::quota::Reachability;
 
 /// The lowest rate at which permits are given, in requests a second: only an answer shows that a limit
 /// has ended.
@@ -78,7 +78,7 @@
     /// A node that hears a part of the others only gives that part of the rate: those that it does not
     /// hear may have an owner of their own. A bucket begins empty, because another node may have given
     /// permits until now.
-    pub fn decide(&mut self, now: Millis, key: Key, rate: f64, reach: Reach) -> Decision {
+    pub fn decide(&mut self, now: Millis, key: Key, rate: f64, reach: Reachability) -> Decision {
         let fraction = reach.get_fraction();
         let rate = rate.max(LOWEST_RATE) * fraction;
         let pool = self.get_pool(now, key, -self.draw * (1.0 - fraction));
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -7,7 +7,7 @@
 use super::entry::Entry;
 use super::{GONE_AFTER, Member, Members, Overview, Role};
 use crate::serving::load::short_id;
-use crate::serving::quota::Reach;
+use crate::serving::quota::Reachability;
 use crate::{Millis, succession};
 
 /// The time between two reports. In groups a report passes two aggregators on its way: with 0.4 s a
@@ -57,7 +57,7 @@
     /// read the list yet assumes that many others are there.
     ///
     /// A node that has not computed this for some periods, because it slept, hears nobody.
-    pub fn get_reach(&self, now: Millis) -> Reach {
+    pub fn get_reach(&self, now: Millis) -> Reachability {
         let known = match self.overview {
             Some((_, overview)) if !self.view.is_aggregating => overview.all,
             _ => self.view.nodes + self.count_unknown_seeds(),
@@ -65,7 +65,7 @@
         let known = self.correct_count(now, known);
         let is_unlisted = !self.is_listed && now < self.started_at + UNLISTED_FOR;
         let is_recent = now < self.view.at + self.get_heard_within();
-        Reach {
+        Reachability {
             heard: if is_recent { self.view.heard } else { 1 },
             all: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
             period: self.get_delay().as_millis() as Millis,
--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::limit::{Limit, Reach};
+use super::limit::{Limit, Reachability};
 use super::{LEAST_LEFT, Quotas, get_raised_part};
 use crate::Millis;
 
@@ -59,7 +59,7 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Result<(), Millis> {
         if self.consume_if_filled(now, account, units, limit, reach) {
             return Ok(());
@@ -75,7 +75,7 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> bool {
         if limit.rate_per_second <= 0.0 {
             return true;
@@ -102,7 +102,7 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Decision {
         match reach.is_most_heard() {
             true => self.decide_alone(now, account, units, limit, reach),
@@ -120,7 +120,7 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Decision {
         if reach.is_grouped && self.is_any_overdue(now, reach) {
             return Decision::Undecided;
@@ -157,7 +157,7 @@
     ///
     /// None while all nodes have just started: what they used before is not known then, and they
     /// begin with a part of the tolerance already.
-    pub(super) fn get_headroom(&self, now: Millis, limit: Limit, reach: Reach) -> f64 {
+    pub(super) fn get_headroom(&self, now: Millis, limit: Limit, reach: Reachability) -> f64 {
         if !self.is_window_known(now) {
             return 0.0;
         }
--- a/crates/core/src/serving/quota/limit.rs
+++ b/crates/core/src/serving/quota/limit.rs
@@ -57,7 +57,7 @@
 /// How many nodes there are, how many of them were heard lately (this one included), and how often
 /// they report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// Nodes that were heard lately.
     pub heard: usize,
     /// Nodes that may be serving.
@@ -68,7 +68,7 @@
     pub is_grouped: bool,
 }
 
-impl Reach {
+impl Reachability {
     /// Returns the fraction of all nodes that was heard lately.
     pub(in crate::serving) fn get_fraction(self) -> f64 {
         self.heard.max(1) as f64 / self.all.max(self.heard).max(1) as f64
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -4,7 +4,7 @@
 //! sum up to the whole.
 
 use super::decision::get_wait;
-use super::limit::{Limit, Reach};
+use super::limit::{Limit, Reachability};
 use super::report::Source;
 use super::{LEAST_LEFT, NEW_FOR, Quotas, get_raised_part};
 use crate::Millis;
@@ -54,7 +54,7 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Result<(), Millis> {
         let limit = self.tolerance.raise(limit, get_raised_part(reach));
         let rate = limit.rate_per_second * reach.get_fraction();
@@ -82,7 +82,7 @@
         account: &str,
         left: f64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Share {
         let whole_rate = limit.rate_per_second * reach.get_fraction();
         let beyond = (-left / limit.get_capacity()).max(0.0);
@@ -128,7 +128,7 @@
     ///
     /// While this node is new its peers may be too, and may not have reported yet what is requested
     /// of them: an even share is no node's loss then.
-    fn get_share(&self, now: Millis, account: &str, reach: Reach) -> f64 {
+    fn get_share(&self, now: Millis, account: &str, reach: Reachability) -> f64 {
         let own = self.get_own_requested(now, account);
         let is_new = now < self.started_at + NEW_FOR;
         if own <= 0.0 || is_new {
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -27,7 +27,7 @@
 use std::collections::BTreeMap;
 
 pub use self::decision::Decision;
-pub use self::limit::{Limit, Reach, Tolerance};
+pub use self::limit::{Limit, Reachability, Tolerance};
 pub use self::report::{Report, Source, Units};
 
 use self::report::{RATE_VALID_FOR, Rates};
@@ -133,7 +133,7 @@
 
     /// Keeps the bucket of a client account also where none of its requests came to this node, so
     /// that its level can be reported to others.
-    pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reach) {
+    pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reachability) {
         if limit.rate_per_second > 0.0 && !self.whole.contains_key(account) {
             let limit = self.tolerance.raise(limit, get_raised_part(reach));
             self.refill_whole(now, account, limit, reach);
@@ -349,7 +349,13 @@
     }
 
     /// Refills the whole client account's bucket and returns what is left of it by now.
-    fn refill_whole(&mut self, now: Millis, account: &str, limit: Limit, reach: Reach) -> f64 {
+    fn refill_whole(
+        &mut self,
+        now: Millis,
+        account: &str,
+        limit: Limit,
+        reach: Reachability,
+    ) -> f64 {
         let fraction = reach.get_fraction();
         let rate = limit.rate_per_second * fraction;
         let capacity = limit.get_capacity();
@@ -408,7 +414,7 @@
     /// badly to admit more than a share of the rate.
     ///
     /// Reports that cross between regions may come less often.
-    fn is_any_overdue(&self, now: Millis, reach: Reach) -> bool {
+    fn is_any_overdue(&self, now: Millis, reach: Reachability) -> bool {
         let overdue = OVERDUE.start.max(reach.period * OVERDUE_SIXTHS / 6)..OVERDUE.end;
         let groups = self.peers.iter().filter(|((source, _, _), _)| *source != Source::Member);
         let mut ages = groups.map(|(_, rates)| now.saturating_sub(rates.reported_at));
@@ -417,7 +423,7 @@
 
     /// Returns the level that counts as low: what the client account may use before peers report
     /// it.
-    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reach) -> f64 {
+    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reachability) -> f64 {
         if reach.all == 1 {
             return LEAST_LEFT;
         }
@@ -448,7 +454,7 @@
     }
 }
 
-fn get_raised_part(reach: Reach) -> f64 {
+fn get_raised_part(reach: Reachability) -> f64 {
     if reach.is_grouped { RAISED_PART_GROUPED } else { RAISED_PART }
 }
 
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::quota::{
-    Decision, Limit, Quotas, Reach, Report, Source, Tolerance,
+    Decision, Limit, Quotas, Reachability, Report, Source, Tolerance,
 };
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
@@ -71,7 +71,7 @@
     }
 
     /// Returns which nodes are in reach: of an aggregator those that it hears, with their groups.
-    fn get_reach(&self, now: u64) -> Reach {
+    fn get_reach(&self, now: u64) -> Reachability {
         let is_heard = |at: &u64| now < at + HEARD_WITHIN;
         let weight = |number: &usize| if *number < GROUPS { MEMBERS + 1 } else { 1 };
         let heard = match self.is_aggregator() {
@@ -82,7 +82,7 @@
             false if is_heard(&self.heard_at) => self.heard_elsewhere,
             false => 1,
         };
-        Reach { heard: heard.min(NODES), all: NODES, period: PERIOD * 3, is_grouped: true }
+        Reachability { heard: heard.min(NODES), all: NODES, period: PERIOD * 3, is_grouped: true }
     }
 
     fn is_aggregator(&self) -> bool {
@@ -476,7 +476,7 @@
 /// did not, and how many were requested, after the start.
 fn count_lost(scenario: &Scenario) -> (f64, f64) {
     let mut alone = Quotas::new(0, Tolerance::default());
-    let reach = Reach { heard: 1, all: 1, period: PERIOD, is_grouped: true };
+    let reach = Reachability { heard: 1, all: 1, period: PERIOD, is_grouped: true };
     let mut lost = 0.0;
     let mut requested = 0.0;
     for (at, size, is_admitted) in scenario.play().requested {
--- a/crates/core/tests/serving/owner.rs
+++ b/crates/core/tests/serving/owner.rs
@@ -1,6 +1,6 @@
 //! What a node does with the decision of a client account's owner.
 
-use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reach};
+use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reachability};
 
 /// Follows the owner's decision about a request of "acme", or decides by the local share; returns
 /// `true` if the request is admitted.
@@ -10,7 +10,7 @@
     now: u64,
     units: u64,
     limit: Limit,
-    reach: Reach,
+    reach: Reachability,
 ) -> bool {
     if decision == Decision::Undecided {
         return quotas.consume_local_share(now, "acme", units, limit, reach).is_ok();
--- a/crates/core/tests/serving/quota_cluster.rs
+++ b/crates/core/tests/serving/quota_cluster.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reach, Source, Tolerance};
+use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reachability, Source, Tolerance};
 use proptest::prelude::*;
 
 use crate::owner::follow;
@@ -60,9 +60,9 @@
         self.heard.get(&peer).is_some_and(|at| now < at + HEARD_WITHIN)
     }
 
-    fn get_reach(&self, now: u64, all: usize) -> Reach {
+    fn get_reach(&self, now: u64, all: usize) -> Reachability {
         let heard = 1 + (0..all).filter(|peer| self.is_heard(now, *peer)).count();
-        Reach { heard, all, period: PERIOD, is_grouped: false }
+        Reachability { heard, all, period: PERIOD, is_grouped: false }
     }
 
     /// Returns which node this one, given by its number, takes for the owner: the first that it
