--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -57,7 +57,7 @@
     /// read the list yet assumes that many others are there.
     ///
     /// A node that has not computed this for some periods, because it slept, hears nobody.
-    pub fn get_reach(&self, now: Millis) -> Reachability {
+    pub fn get_reachability(&self, now: Millis) -> Reachability {
         let known = match self.overview {
             Some((_, overview)) if !self.view.is_aggregating => overview.all,
             _ => self.view.nodes + self.count_unknown_seeds(),
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns which nodes are in reach: of an aggregator those that it hears, with their groups.
-    fn get_reach(&self, now: u64) -> Reachability {
+    fn get_reachability(&self, now: u64) -> Reachability {
         let is_heard = |at: &u64| now < at + HEARD_WITHIN;
         let weight = |number: &usize| if *number < GROUPS { MEMBERS + 1 } else { 1 };
         let heard = match self.is_aggregator() {
@@ -179,7 +179,7 @@
         random: &mut fastrand::Rng,
     ) -> bool {
         let node = &mut nodes[number];
-        let reach = node.get_reach(now);
+        let reach = node.get_reachability(now);
         if !self.is_owner_asked {
             return node.quotas.consume(now, "acme", size, self.limit, reach).is_ok();
         }
@@ -191,7 +191,7 @@
         let is_answered_in_vain = owner != number && random.f64() < self.lost;
         let mut decision = Decision::Undecided;
         if !is_lost && !self.is_away(owner, now) && self.get_owner(owner, now) == owner {
-            let reach = nodes[owner].get_reach(now);
+            let reach = nodes[owner].get_reachability(now);
             decision = nodes[owner].quotas.decide(now, "acme", size, self.limit, reach);
         }
         if is_answered_in_vain {
@@ -306,7 +306,7 @@
         return vec![(node.aggregator, report)];
     }
     let (own, _) = node.report(now);
-    let reach = node.get_reach(now);
+    let reach = node.get_reachability(now);
     node.quotas.track(now, "acme", LIMIT, reach);
     let group = node.quotas.add_group(now, &own);
     let total = node.quotas.add_others(now, &group);
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -112,18 +112,18 @@
 #[test]
 fn a_node_that_has_not_read_the_list_takes_many_to_be_there_for_a_while() {
     let mut members = Members::new(0, entry("own", 10, 1), &[]);
-    assert_eq!((members.get_reach(100).heard, members.get_reach(100).all), (1, 100));
+    assert_eq!((members.get_reachability(100).heard, members.get_reachability(100).all), (1, 100));
     members.refresh(3_000);
-    assert_eq!(members.get_reach(3_000).all, 1);
+    assert_eq!(members.get_reachability(3_000).all, 1);
     members.take_list(100, vec![entry("own", 10, 1), entry("other", 10, 2)], true);
-    assert_eq!(members.get_reach(100).all, 2);
+    assert_eq!(members.get_reachability(100).all, 2);
 }
 
 #[test]
 fn a_node_that_slept_hears_nobody_until_it_has_looked_again() {
     let members = members_of("own", 10, 5);
-    assert_eq!(members.get_reach(1_500).heard, 6);
-    assert_eq!(members.get_reach(9_000).heard, 1);
+    assert_eq!(members.get_reachability(1_500).heard, 6);
+    assert_eq!(members.get_reachability(9_000).heard, 1);
 }
 
 #[test]
@@ -133,7 +133,7 @@
         members.hear(now, &heard(&entry("node-0", 10, 100)));
         members.refresh(now);
     }
-    assert_eq!(members.get_reach(3_600).heard, 2);
+    assert_eq!(members.get_reachability(3_600).heard, 2);
     assert_eq!(members.list_exchange(3_600).len(), 3);
     assert_eq!(members.list_silent(), [short_id("node-1"), short_id("node-2")]);
     members.hear(3_700, &heard(&entry("node-2", 10, 102)));
@@ -234,7 +234,10 @@
     let overview = Overview { heard: 50, all: 60 };
     members.take_overview(1_000, &aggregator.name, overview, &[]);
     members.refresh(1_000);
-    assert_eq!((members.get_reach(1_000).heard, members.get_reach(1_000).all), (50, 60));
+    assert_eq!(
+        (members.get_reachability(1_000).heard, members.get_reachability(1_000).all),
+        (50, 60)
+    );
     members.refresh(2_500);
     assert_eq!(members.get_own_aggregator(), Some(&aggregator));
     // Four periods of 400 ms.
@@ -243,7 +246,7 @@
     assert_ne!(next, aggregator);
     assert_eq!(next.data_centre, aggregator.data_centre);
     members.refresh(2_700);
-    assert_eq!(members.get_reach(2_700).heard, 1);
+    assert_eq!(members.get_reachability(2_700).heard, 1);
     for now in (2_700..13_100).step_by(400) {
         members.take_overview(now, &next.name, overview, &[]);
         members.refresh(now);
@@ -281,7 +284,7 @@
     members.take_overview(400, "another", overview, &[short_id(&aggregator.name)]);
     members.refresh(400);
     assert_eq!(members.get_own_aggregator(), Some(&aggregator));
-    assert_eq!(members.get_reach(400).heard, 1);
+    assert_eq!(members.get_reachability(400).heard, 1);
 }
 
 #[test]
@@ -315,7 +318,7 @@
     members.take_group(400, "node-1", vec![short_id("node-4"), short_id("node-7")], 300);
     members.refresh(400);
     // Itself, three of its group, another aggregator and two of that one's group.
-    assert_eq!((members.get_reach(400).heard, members.get_reach(400).all), (7, 60));
+    assert_eq!((members.get_reachability(400).heard, members.get_reachability(400).all), (7, 60));
     assert_eq!(
         members.get_group(500),
         (vec![short_id("node-3"), short_id("node-6"), short_id("node-9")], 100)
@@ -344,7 +347,7 @@
     let mut other = member_of_sixty(1);
     other.take_entries(21_000, &[fresh]);
     other.refresh(21_000);
-    assert_eq!(other.get_reach(21_000).all, 61);
+    assert_eq!(other.get_reachability(21_000).all, 61);
 }
 
 #[test]
--- a/crates/core/tests/serving/quota_cluster.rs
+++ b/crates/core/tests/serving/quota_cluster.rs
@@ -60,7 +60,7 @@
         self.heard.get(&peer).is_some_and(|at| now < at + HEARD_WITHIN)
     }
 
-    fn get_reach(&self, now: u64, all: usize) -> Reachability {
+    fn get_reachability(&self, now: u64, all: usize) -> Reachability {
         let heard = 1 + (0..all).filter(|peer| self.is_heard(now, *peer)).count();
         Reachability { heard, all, period: PERIOD, is_grouped: false }
     }
@@ -126,7 +126,7 @@
         random: &mut fastrand::Rng,
     ) -> bool {
         let node = &mut nodes[number];
-        let reach = node.get_reach(now, self.nodes);
+        let reach = node.get_reachability(now, self.nodes);
         if !self.is_owner_asked {
             return node.quotas.consume(now, "acme", size, self.limit, reach).is_ok();
         }
@@ -141,7 +141,7 @@
         let is_reached = !is_cut && !is_lost && now >= asked.started_at;
         let mut decision = Decision::Undecided;
         if is_reached && asked.get_owner(now, owner) == owner {
-            let reach = asked.get_reach(now, self.nodes);
+            let reach = asked.get_reachability(now, self.nodes);
             decision = asked.quotas.decide(now, "acme", size, self.limit, reach);
         }
         if is_answered_in_vain {
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -314,7 +314,7 @@
         if is_region_overdue {
             self.quotas.note_overdue_region(now);
         }
-        let reach = self.members.get_reach(now);
+        let reach = self.members.get_reachability(now);
         self.quotas.track(now, "acme", self.limit, reach);
         let report = self.quotas.add_group(now, &own);
         let total = self.quotas.add_others(now, &report);
@@ -427,7 +427,7 @@
         for region in 0..self.regions {
             let is_last = |node: &&Node| node.region == region && node.members.is_aggregator();
             let node = nodes.iter().rfind(is_last);
-            let reach = node.expect("an aggregator").members.get_reach(self.end + 6_000);
+            let reach = node.expect("an aggregator").members.get_reachability(self.end + 6_000);
             outcome.reach.push((reach.heard, reach.all));
             let readers = nodes.iter().filter(|node| node.members.is_reader(self.end + 6_000));
             outcome.readers.push(readers.filter(|node| node.region == region).count());
@@ -487,7 +487,7 @@
     /// Decides about a request that comes to a node.
     fn is_admitted(&self, nodes: &mut [Node], number: usize, now: u64, size: u64) -> bool {
         let node = &mut nodes[number];
-        let reach = node.members.get_reach(now);
+        let reach = node.members.get_reachability(now);
         if node.quotas.consume_if_filled(now, "acme", size, self.limit, reach) {
             return true;
         }
@@ -497,7 +497,7 @@
         let is_there = !is_cut && now >= nodes[owner].away_until;
         let mut decision = Decision::Undecided;
         if is_there && nodes[owner].members.is_owner(short_id("acme")) {
-            let reach = nodes[owner].members.get_reach(now);
+            let reach = nodes[owner].members.get_reachability(now);
             let Node { members, quotas, .. } = &mut nodes[owner];
             decision = match members.is_region_alone() {
                 true => quotas.decide_alone(now, "acme", size, self.limit, reach),
@@ -513,7 +513,7 @@
         let there = || nodes.iter().filter(|node| now >= node.away_until);
         let aggregators = || there().filter(|node| node.members.is_aggregator());
         if now >= 4_000 {
-            let known = aggregators().map(|node| node.members.get_reach(now).all).min();
+            let known = aggregators().map(|node| node.members.get_reachability(now).all).min();
             self.least_known = self.least_known.min(known.unwrap_or(0));
         }
         if now < scenario.end {
@@ -757,5 +757,5 @@
     }
     new.refresh(20_000);
     // Itself, and the thirty of the other region.
-    assert_eq!(new.get_reach(24_000).all, 31);
+    assert_eq!(new.get_reachability(24_000).all, 31);
 }
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -53,10 +53,10 @@
             members.hear(SLEEPS_AT, &heard);
         }
         members.refresh(SLEEPS_AT);
-        prop_assert_eq!(members.get_reach(SLEEPS_AT).heard, 6);
-        prop_assert_eq!(members.get_reach(SLEEPS_AT + slept).heard, 1);
+        prop_assert_eq!(members.get_reachability(SLEEPS_AT).heard, 6);
+        prop_assert_eq!(members.get_reachability(SLEEPS_AT + slept).heard, 1);
         members.refresh(SLEEPS_AT + slept);
-        prop_assert_eq!(members.get_reach(SLEEPS_AT + slept).heard, 1);
+        prop_assert_eq!(members.get_reachability(SLEEPS_AT + slept).heard, 1);
     }
 
     #[test]
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -187,7 +187,7 @@
                     self.region_round_trip.get_or_create(&labels).set(round_trip);
                 }
             }
-            let reach = state.members.get_reach(now);
+            let reach = state.members.get_reachability(now);
             self.nodes_heard.set(reach.heard as i64);
             self.nodes.set(reach.all as i64);
             let Some(configuration) = state.configuration.clone() else { return };
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -117,7 +117,7 @@
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     state.backpressure.decide(now, sighting, reach)
 }
 
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -32,7 +32,7 @@
     let name = &account.name;
     let limit = get_limit(account);
     let is_filled = node.with(|state| {
-        let reach = state.members.get_reach(now);
+        let reach = state.members.get_reachability(now);
         state.quotas.consume_if_filled(now, name, units, limit, reach)
     });
     if is_filled {
@@ -45,7 +45,7 @@
     let now = node.now();
     node.with(|state| match decision {
         Decision::Undecided => {
-            let reach = state.members.get_reach(now);
+            let reach = state.members.get_reachability(now);
             state.quotas.consume_local_share(now, name, units, limit, reach)
         }
         Decision::Admitted => {
@@ -89,7 +89,7 @@
     if !state.members.is_owner(short_id(&account.name)) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     let limit = get_limit(account);
     match state.members.is_region_alone() {
         true => state.quotas.decide_alone(now, &account.name, units, limit, reach),
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -121,7 +121,7 @@
 /// Returns `true` if this node hears no other.
 fn is_alone(node: &Node) -> bool {
     let now = node.now();
-    node.with(|state| state.members.get_reach(now).heard <= 1)
+    node.with(|state| state.members.get_reachability(now).heard <= 1)
 }
 
 /// Lists this node, again after each failure and ever more seldom, until it is listed.
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -88,7 +88,7 @@
         Audience::Aggregator(name) => Some(name.as_str()),
         Audience::Aggregators => None,
     };
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     event::emit(&Event::AggregatorChanged {
         aggregator,
         nodes_heard: reach.heard,
@@ -233,7 +233,7 @@
         return;
     }
     let Some(configuration) = state.configuration.clone() else { return };
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     for account in configuration.accounts.iter().flatten() {
         let limit = Limit { rate_per_second: account.rate_per_second, burst: account.burst };
         state.quotas.track(now, &account.name, limit, reach);
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -67,7 +67,7 @@
 
 /// Returns `true` if a node that knows no configuration reads it again.
 fn is_read_due(node: &Node, now: Millis, read_at: Option<Millis>) -> bool {
-    let is_alone = node.with(|state| state.members.get_reach(now).heard <= 1);
+    let is_alone = node.with(|state| state.members.get_reachability(now).heard <= 1);
     let pause = if is_alone { UNCONFIGURED_PAUSE_ALONE } else { UNCONFIGURED_PAUSE };
     read_at.is_none_or(|at| now >= at + pause)
 }
