--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -16,7 +16,7 @@
     Book, Content, Crash, Fingerprint, Run, Standing, Verdict,
 };
 use keeljunction_core::serving::quota::{
-    Limit, Quotas, Reachability, Report, Source, Tolerance, Units,
+    AccountUsage, Limit, Quotas, Reachability, Report, Source, Tolerance,
 };
 use keeljunction_core::serving::spill::Offer;
 use keeljunction_core::serving::table_version::TableVersion;
@@ -252,7 +252,8 @@
         let heard = if is_grouped { (nodes as f64).sqrt().ceil() as usize * 2 } else { nodes };
         let reach = Reachability { heard: nodes, all: nodes, period: 400, is_grouped };
         let mut quotas = Quotas::new(0, Tolerance::default());
-        let units = Units { admitted: 1_000, requested_per_second: 100, ..Units::default() };
+        let units =
+            AccountUsage { admitted: 1_000, requested_per_second: 100, ..AccountUsage::default() };
         let accounts = (0..40).map(|account| (format!("account-{account}"), units)).collect();
         let report = Report { accounts, ..Report::default() };
         for peer in 0..heard {
--- a/crates/core/src/serving/handover.rs
+++ b/crates/core/src/serving/handover.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::quota::Units;
+use super::quota::AccountUsage;
 use super::usage::{Counts, Incarnation, WindowNumber};
 use crate::Millis;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// What client accounts used.
-    pub quota: BTreeMap<String, Units>,
+    pub quota: BTreeMap<String, AccountUsage>,
     /// Requests that began, by window of the wall clock.
     pub usage: BTreeMap<WindowNumber, Counts>,
 }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -28,7 +28,7 @@
 
 pub use self::decision::Decision;
 pub use self::limit::{Limit, Reachability, Tolerance};
-pub use self::report::{Report, Source, Units};
+pub use self::report::{AccountUsage, Report, Source};
 
 use self::report::{RATE_VALID_FOR, Rates};
 use crate::Millis;
@@ -199,7 +199,7 @@
     }
 
     /// Stops to report units that have arrived where this node reported until now.
-    pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, Units>) {
+    pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, AccountUsage>) {
         self.counted_since = now;
         // What the group used has been reported too; its nodes count anew.
         self.group.clear();
@@ -219,7 +219,7 @@
         now: Millis,
         from: (&str, u64),
         total: &Report,
-        arrived: &BTreeMap<String, Units>,
+        arrived: &BTreeMap<String, AccountUsage>,
     ) {
         let mut others = total.clone();
         for (account, units) in &mut others.accounts {
--- a/crates/core/src/serving/quota/report.rs
+++ b/crates/core/src/serving/quota/report.rs
@@ -8,7 +8,7 @@
 
 /// The units of one client account at one incarnation of a node, since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Units {
+pub struct AccountUsage {
     /// Units of all requests, those that were refused too.
     pub requested: u64,
     /// Units of the requests that were admitted. Those of all others, seen from one node, may be
@@ -21,7 +21,7 @@
     pub level: Option<i64>,
 }
 
-impl Units {
+impl AccountUsage {
     /// Adds what was used elsewhere.
     pub(super) fn add(&mut self, admitted: i64, requested_per_second: u64) {
         self.admitted += admitted;
@@ -48,7 +48,7 @@
     /// Milliseconds since the units began to be counted from none.
     pub counted_for: Millis,
     /// The units, by client account.
-    pub accounts: BTreeMap<String, Units>,
+    pub accounts: BTreeMap<String, AccountUsage>,
 }
 
 /// How long a rate is assumed to go on after it was reported.
@@ -68,7 +68,7 @@
     pub is_older: bool,
     /// When its process started, on this node's clock.
     pub started_at: Millis,
-    last: BTreeMap<String, Units>,
+    last: BTreeMap<String, AccountUsage>,
     admitted: BTreeMap<String, f64>,
     /// The same, smoothed over the latest reports.
     usually_admitted: BTreeMap<String, f64>,
@@ -104,7 +104,7 @@
     }
 
     /// Computes the smoothed units requested a second, from new totals.
-    pub fn measure_requested(&self, now: Millis, account: &str, units: &Units) -> u64 {
+    pub fn measure_requested(&self, now: Millis, account: &str, units: &AccountUsage) -> u64 {
         let since = now.saturating_sub(self.reported_at).max(1) as f64;
         let before = self.last.get(account).copied().unwrap_or_default();
         let newest = units.requested.saturating_sub(before.requested) as f64 / since * 1_000.0;
@@ -150,7 +150,7 @@
     }
 
     /// Takes off what this node need no longer report.
-    pub fn take_off(&mut self, units: &BTreeMap<String, Units>) {
+    pub fn take_off(&mut self, units: &BTreeMap<String, AccountUsage>) {
         for (account, arrived) in units {
             if let Some(last) = self.last.get_mut(account) {
                 last.requested = last.requested.saturating_sub(arrived.requested);
@@ -165,7 +165,7 @@
     }
 
     /// Returns the units of a client account that were last reported.
-    pub fn get_last(&self, account: &str) -> Option<&Units> {
+    pub fn get_last(&self, account: &str) -> Option<&AccountUsage> {
         self.last.get(account)
     }
 
--- a/crates/core/tests/serving/quota.rs
+++ b/crates/core/tests/serving/quota.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use keeljunction_core::serving::quota::{
-    Limit, Quotas, Reachability, Report, Source, Tolerance, Units,
+    AccountUsage, Limit, Quotas, Reachability, Report, Source, Tolerance,
 };
 use proptest::prelude::*;
 
@@ -44,13 +44,13 @@
 }
 
 fn reported_at_rate(requested: u64, admitted: i64, requested_per_second: u64) -> Report {
-    let units = Units { requested, admitted, requested_per_second, level: Some(0) };
+    let units = AccountUsage { requested, admitted, requested_per_second, level: Some(0) };
     Report { accounts: BTreeMap::from([("acme".to_owned(), units)]), ..Report::default() }
 }
 
 /// A report of a peer that has run for a minute, and knows what is left.
 fn reported_by_older(admitted: i64, level: i64) -> Report {
-    let units = Units { admitted, level: Some(level), ..Units::default() };
+    let units = AccountUsage { admitted, level: Some(level), ..AccountUsage::default() };
     let accounts = BTreeMap::from([("acme".to_owned(), units)]);
     Report { age: 60_000, counted_for: 60_000, accounts }
 }
@@ -99,7 +99,8 @@
     quotas.refund("acme", 300);
     assert_eq!(quotas.consume(11_000, "acme", 200, LIMIT, ALONE), Ok(()));
     // 500 units requested for in 11 seconds, of which the first figure counts half.
-    let units = Units { requested: 500, admitted: 200, requested_per_second: 22, level: Some(0) };
+    let units =
+        AccountUsage { requested: 500, admitted: 200, requested_per_second: 22, level: Some(0) };
     let accounts = BTreeMap::from([("acme".to_owned(), units)]);
     assert_eq!(quotas.report(11_000), Report { age: 11_000, counted_for: 11_000, accounts });
 }
