--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -105,7 +105,7 @@
         reach: Reachability,
     ) -> Decision {
         match reach.is_most_heard() {
-            true => self.decide_alone(now, account, units, limit, reach),
+            true => self.decide_for_isolated_region(now, account, units, limit, reach),
             false => Decision::Undecided,
         }
     }
@@ -114,7 +114,7 @@
     /// that hears no other one.
     ///
     /// Each region then has an owner and a fraction of the rate of its own: no node is in two regions.
-    pub fn decide_alone(
+    pub fn decide_for_isolated_region(
         &mut self,
         now: Millis,
         account: &str,
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -500,7 +500,7 @@
             let reach = nodes[owner].members.get_reachability(now);
             let Node { members, quotas, .. } = &mut nodes[owner];
             decision = match members.is_region_alone() {
-                true => quotas.decide_alone(now, "acme", size, self.limit, reach),
+                true => quotas.decide_for_isolated_region(now, "acme", size, self.limit, reach),
                 false => quotas.decide(now, "acme", size, self.limit, reach),
             };
         }
