--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -68,7 +68,7 @@
 
 /// What a node says of itself in a message.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard<'a> {
+pub struct Heartbeat<'a> {
     /// What it says of itself.
     pub entry: &'a Entry,
     /// Its incarnation: another one counts anew.
@@ -270,7 +270,7 @@
     }
 
     /// Takes over what a node says of itself; returns its former incarnation where it has changed.
-    pub fn hear(&mut self, now: Millis, heard: &Heard<'_>) -> Option<u64> {
+    pub fn hear(&mut self, now: Millis, heard: &Heartbeat<'_>) -> Option<u64> {
         let name = &heard.entry.name;
         if *name == self.own.name {
             return None;
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::serving::load::short_id;
 use keeljunction_core::serving::members::sample::{estimate_count, make_key};
-use keeljunction_core::serving::members::{Entry, Heard, Members, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Role};
 
 const PERIOD: u64 = 200;
 const DATA_CENTRES: usize = 6;
@@ -80,7 +80,7 @@
     fn hear(&mut self, to: usize, from: usize, role: Role) {
         let entry = entry(from);
         let heard =
-            Heard { entry: &entry, incarnation: 1, is_stopping: false, role, holder_age: None };
+            Heartbeat { entry: &entry, incarnation: 1, is_stopping: false, role, holder_age: None };
         self.nodes[to].hear(self.now, &heard);
     }
 
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::members::{Entry, Heard, Members, Overview, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Overview, Role};
 
 fn address(number: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], number))
@@ -16,9 +16,9 @@
     entry_in("z1", name, link_mbps, number)
 }
 
-fn heard(entry: &Entry) -> Heard<'_> {
+fn heard(entry: &Entry) -> Heartbeat<'_> {
     let role = Role::Aggregator;
-    Heard { entry, incarnation: 1, is_stopping: false, role, holder_age: None }
+    Heartbeat { entry, incarnation: 1, is_stopping: false, role, holder_age: None }
 }
 
 /// A node that hears `count` others at 1,000 ms, whose links carry 10 Mbit/s.
@@ -103,7 +103,7 @@
     let mut members = members_of("own", 10, 2);
     members.hear(2_000, &heard(&entry("node-0", 10, 100)));
     let stopping = entry("node-1", 10, 101);
-    members.hear(2_000, &Heard { is_stopping: true, ..heard(&stopping) });
+    members.hear(2_000, &Heartbeat { is_stopping: true, ..heard(&stopping) });
     assert!(!members.is_any_unheard_since(9_000, 1_500));
     assert!(members.is_any_unheard_since(9_000, 8_000));
     assert!(!members.is_any_unheard_since(62_001, 61_000));
@@ -310,7 +310,7 @@
 fn nodes_of_all_groups_are_in_reach_and_are_not_missing() {
     let all = sixty();
     let mut members = member_of_sixty(0);
-    let member = |number: usize| Heard { role: Role::Member, ..heard(&all[number]) };
+    let member = |number: usize| Heartbeat { role: Role::Member, ..heard(&all[number]) };
     for number in [3, 6, 9] {
         members.hear(400, &member(number));
     }
@@ -341,7 +341,7 @@
 fn a_new_node_is_passed_on_for_a_while() {
     let mut members = member_of_sixty(0);
     let fresh = entry_in("z1", "fresh", 10, 900);
-    members.hear(20_000, &Heard { role: Role::Member, ..heard(&fresh) });
+    members.hear(20_000, &Heartbeat { role: Role::Member, ..heard(&fresh) });
     assert_eq!(members.list_joined(29_999, 7), std::slice::from_ref(&fresh));
     assert!(members.list_joined(30_000, 7).is_empty());
     let mut other = member_of_sixty(1);
@@ -379,7 +379,7 @@
 fn the_age_at_which_a_holder_was_heard_adds_up() {
     let mut members = member_of_sixty(0);
     let other = entry("node-1", 200, 101);
-    members.hear(5_000, &Heard { holder_age: Some(700), ..heard(&other) });
+    members.hear(5_000, &Heartbeat { holder_age: Some(700), ..heard(&other) });
     assert_eq!(members.get_holder_age(5_100), Some(800));
     assert!(members.is_holder_heard(5_100, 801));
     assert!(!members.is_holder_heard(5_100, 800));
@@ -390,7 +390,7 @@
     let (mut members, aggregator) = ordinary();
     let all = sixty();
     let other = all.iter().find(|entry| entry.name != aggregator.name).expect("others");
-    members.hear(400, &Heard { role: Role::Member, ..heard(other) });
+    members.hear(400, &Heartbeat { role: Role::Member, ..heard(other) });
     members.refresh(400);
     assert!(members.is_aggregator());
     assert_eq!(members.get_own_aggregator(), None);
@@ -411,7 +411,7 @@
     }
     assert!(members.is_whole(1_500, 500));
     let started = entry("node-1", 10, 101);
-    members.hear(2_100, &Heard { incarnation: 2, ..heard(&started) });
+    members.hear(2_100, &Heartbeat { incarnation: 2, ..heard(&started) });
     assert!(!members.is_whole(1_500, 500));
     assert!(members.is_whole(1_500, 2_200));
 }
@@ -428,7 +428,7 @@
     members.refresh(1_050);
     assert!(members.is_grouped() && !members.is_aggregator());
     wide.iter().for_each(|entry| {
-        members.hear(1_400, &Heard { is_stopping: true, ..heard(entry) });
+        members.hear(1_400, &Heartbeat { is_stopping: true, ..heard(entry) });
     });
     members.refresh(1_450);
     assert!(members.is_grouped() && members.is_aggregator());
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -8,7 +8,7 @@
 use keeljunction_core::serving::crossing::Crossing;
 use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::members::{Entry, Heard, Members, Overview, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Overview, Role};
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Report, Source, Tolerance};
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
@@ -202,7 +202,7 @@
     }
 
     fn hear(&mut self, now: u64, entry: &Entry, incarnation: u64, role: Role) {
-        let heard = Heard { entry, incarnation, is_stopping: false, role, holder_age: None };
+        let heard = Heartbeat { entry, incarnation, is_stopping: false, role, holder_age: None };
         if let Some(former) = self.members.hear(now, &heard) {
             self.quotas.forget(&entry.name, former);
             if self.audience.as_ref() == Some(&entry.name) {
@@ -742,8 +742,13 @@
     for now in (PERIOD..20_000).step_by(PERIOD as usize) {
         for other in &near {
             let role = Role::Aggregator;
-            let heard =
-                Heard { entry: other, incarnation: 1, is_stopping: false, role, holder_age: None };
+            let heard = Heartbeat {
+                entry: other,
+                incarnation: 1,
+                is_stopping: false,
+                role,
+                holder_age: None,
+            };
             old.hear(now, &heard);
         }
         old.refresh(now);
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::health::Health;
-use keeljunction_core::serving::members::{Entry, Heard, Members, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Role};
 use keeljunction_core::serving::quarantine::{Book, Fingerprint, Standing, Verdict};
 use proptest::prelude::*;
 
@@ -49,7 +49,7 @@
             let other = entry(&format!("n-{number}"), 10 + number);
             let role = Role::Aggregator;
             let heard =
-                Heard { entry: &other, incarnation: 1, is_stopping: false, role, holder_age: None };
+                Heartbeat { entry: &other, incarnation: 1, is_stopping: false, role, holder_age: None };
             members.hear(SLEEPS_AT, &heard);
         }
         members.refresh(SLEEPS_AT);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -10,7 +10,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::handover::Snapshot;
-use keeljunction_core::serving::members::{Heard, Role};
+use keeljunction_core::serving::members::{Heartbeat, Role};
 use keeljunction_core::serving::quota::{Limit, Source};
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
@@ -371,7 +371,7 @@
     for announcement in &sender.rollouts {
         rollouts::merge(state, now, announcement);
     }
-    let heard = Heard {
+    let heard = Heartbeat {
         entry: &sender.entry,
         incarnation: sender.incarnation,
         is_stopping: sender.is_stopping,
