--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -270,7 +270,7 @@
     }
 
     /// Takes over what a node says of itself; returns its former incarnation where it has changed.
-    pub fn hear(&mut self, now: Millis, heard: &Heartbeat<'_>) -> Option<u64> {
+    pub fn record_heartbeat(&mut self, now: Millis, heard: &Heartbeat<'_>) -> Option<u64> {
         let name = &heard.entry.name;
         if *name == self.own.name {
             return None;
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -81,7 +81,7 @@
         let entry = entry(from);
         let heard =
             Heartbeat { entry: &entry, incarnation: 1, is_stopping: false, role, holder_age: None };
-        self.nodes[to].hear(self.now, &heard);
+        self.nodes[to].record_heartbeat(self.now, &heard);
     }
 
     /// Lets a node get what another one's list holds and its own lacks.
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -26,7 +26,8 @@
     let mut members = Members::new(0, entry(own_name, own_link_mbps, 1), &[]);
     members.take_list(0, Vec::new(), true);
     for number in 0..count {
-        members.hear(1_000, &heard(&entry(&format!("node-{number}"), 10, 100 + number)));
+        members
+            .record_heartbeat(1_000, &heard(&entry(&format!("node-{number}"), 10, 100 + number)));
     }
     members.refresh(1_000);
     members
@@ -51,7 +52,8 @@
         let mut members = Members::new(0, entry(&format!("node-{own}"), 10, 100 + own), &[]);
         members.take_list(0, Vec::new(), true);
         for other in (0..20).filter(|other| other != own) {
-            members.hear(1_000, &heard(&entry(&format!("node-{other}"), 10, 100 + other)));
+            members
+                .record_heartbeat(1_000, &heard(&entry(&format!("node-{other}"), 10, 100 + other)));
         }
         members.refresh(1_050);
         members.is_reader(1_100)
@@ -63,7 +65,8 @@
 fn nodes_with_wide_links_read_first() {
     let mut members = members_of("own", 10, 30);
     for number in 0..3 {
-        members.hear(1_000, &heard(&entry(&format!("wide-{number}"), 200, 900 + number)));
+        members
+            .record_heartbeat(1_000, &heard(&entry(&format!("wide-{number}"), 200, 900 + number)));
     }
     members.refresh(1_100);
     let mut readers = members.get_readers();
@@ -77,12 +80,12 @@
     let mut members = members_of("own", 200, 2);
     let wide = |number: u16| entry(&format!("wide-{number}"), 1_000, 900 + number);
     for number in 0..3 {
-        members.hear(1_000, &heard(&wide(number)));
+        members.record_heartbeat(1_000, &heard(&wide(number)));
     }
     members.refresh(1_100);
     assert!(!members.is_reader(1_100));
     for number in 0..2 {
-        members.hear(2_500, &heard(&wide(number)));
+        members.record_heartbeat(2_500, &heard(&wide(number)));
     }
     members.refresh(2_600);
     assert!(members.is_reader(2_600));
@@ -92,18 +95,18 @@
 fn a_node_that_was_not_heard_since_a_window_ended_is_missing() {
     let mut members = members_of("own", 10, 2);
     assert!(!members.is_any_unheard_since(1_500, 900));
-    members.hear(2_000, &heard(&entry("node-0", 10, 100)));
+    members.record_heartbeat(2_000, &heard(&entry("node-0", 10, 100)));
     assert!(members.is_any_unheard_since(2_100, 1_500));
-    members.hear(2_200, &heard(&entry("node-1", 10, 101)));
+    members.record_heartbeat(2_200, &heard(&entry("node-1", 10, 101)));
     assert!(!members.is_any_unheard_since(2_300, 1_500));
 }
 
 #[test]
 fn a_node_that_stops_or_is_gone_for_long_is_not_waited_for() {
     let mut members = members_of("own", 10, 2);
-    members.hear(2_000, &heard(&entry("node-0", 10, 100)));
+    members.record_heartbeat(2_000, &heard(&entry("node-0", 10, 100)));
     let stopping = entry("node-1", 10, 101);
-    members.hear(2_000, &Heartbeat { is_stopping: true, ..heard(&stopping) });
+    members.record_heartbeat(2_000, &Heartbeat { is_stopping: true, ..heard(&stopping) });
     assert!(!members.is_any_unheard_since(9_000, 1_500));
     assert!(members.is_any_unheard_since(9_000, 8_000));
     assert!(!members.is_any_unheard_since(62_001, 61_000));
@@ -130,13 +133,13 @@
 fn a_node_that_is_silent_is_still_sent_to_so_that_a_cut_can_end() {
     let mut members = members_of("own", 10, 3);
     for now in [1_200, 2_400, 3_600] {
-        members.hear(now, &heard(&entry("node-0", 10, 100)));
+        members.record_heartbeat(now, &heard(&entry("node-0", 10, 100)));
         members.refresh(now);
     }
     assert_eq!(members.get_reachability(3_600).heard, 2);
     assert_eq!(members.list_exchange(3_600).len(), 3);
     assert_eq!(members.list_silent(), [short_id("node-1"), short_id("node-2")]);
-    members.hear(3_700, &heard(&entry("node-2", 10, 102)));
+    members.record_heartbeat(3_700, &heard(&entry("node-2", 10, 102)));
     members.refresh(3_800);
     assert_eq!(members.list_silent(), [short_id("node-1")]);
 }
@@ -261,7 +264,7 @@
         members.refresh(1);
         if members.is_aggregator() {
             assert_eq!(members.list_silent(), [short_id(&gone.name)]);
-            members.hear(2, &heard(&gone));
+            members.record_heartbeat(2, &heard(&gone));
             members.refresh(2);
             assert!(members.list_silent().is_empty() && !members.is_aggregator());
         }
@@ -295,7 +298,7 @@
     let silent = others.iter().find(|other| other.port() == 101).copied();
     for now in (0..=2_400).step_by(400) {
         for other in others.iter().filter(|other| Some(**other) != silent) {
-            members.hear(now, &heard(&all[usize::from(other.port()) - 100]));
+            members.record_heartbeat(now, &heard(&all[usize::from(other.port()) - 100]));
         }
         members.refresh(now);
     }
@@ -312,9 +315,9 @@
     let mut members = member_of_sixty(0);
     let member = |number: usize| Heartbeat { role: Role::Member, ..heard(&all[number]) };
     for number in [3, 6, 9] {
-        members.hear(400, &member(number));
+        members.record_heartbeat(400, &member(number));
     }
-    members.hear(400, &heard(&all[1]));
+    members.record_heartbeat(400, &heard(&all[1]));
     members.take_group(400, "node-1", vec![short_id("node-4"), short_id("node-7")], 300);
     members.refresh(400);
     // Itself, three of its group, another aggregator and two of that one's group.
@@ -328,10 +331,10 @@
     assert!(members.is_any_unheard_since(500, 101));
     // One that turned to the other aggregator is not missing here.
     for now in [2_000, 2_400] {
-        members.hear(now, &heard(&all[1]));
+        members.record_heartbeat(now, &heard(&all[1]));
         members.take_group(now, "node-1", vec![short_id("node-4"), short_id("node-3")], 0);
-        members.hear(now, &member(6));
-        members.hear(now, &member(9));
+        members.record_heartbeat(now, &member(6));
+        members.record_heartbeat(now, &member(9));
         members.refresh(now);
     }
     assert!(!members.is_any_unheard_since(2_400, 2_000));
@@ -341,7 +344,7 @@
 fn a_new_node_is_passed_on_for_a_while() {
     let mut members = member_of_sixty(0);
     let fresh = entry_in("z1", "fresh", 10, 900);
-    members.hear(20_000, &Heartbeat { role: Role::Member, ..heard(&fresh) });
+    members.record_heartbeat(20_000, &Heartbeat { role: Role::Member, ..heard(&fresh) });
     assert_eq!(members.list_joined(29_999, 7), std::slice::from_ref(&fresh));
     assert!(members.list_joined(30_000, 7).is_empty());
     let mut other = member_of_sixty(1);
@@ -364,7 +367,7 @@
 fn a_node_that_missed_the_news_of_another_learns_of_it_later() {
     let mut members = member_of_sixty(0);
     for node in sixty() {
-        members.hear(59_000, &heard(&node));
+        members.record_heartbeat(59_000, &heard(&node));
     }
     let passed = (0..300).flat_map(|turn| members.list_joined(60_000, turn));
     let names: std::collections::BTreeSet<String> = passed.map(|entry| entry.name).collect();
@@ -379,7 +382,7 @@
 fn the_age_at_which_a_holder_was_heard_adds_up() {
     let mut members = member_of_sixty(0);
     let other = entry("node-1", 200, 101);
-    members.hear(5_000, &Heartbeat { holder_age: Some(700), ..heard(&other) });
+    members.record_heartbeat(5_000, &Heartbeat { holder_age: Some(700), ..heard(&other) });
     assert_eq!(members.get_holder_age(5_100), Some(800));
     assert!(members.is_holder_heard(5_100, 801));
     assert!(!members.is_holder_heard(5_100, 800));
@@ -390,7 +393,7 @@
     let (mut members, aggregator) = ordinary();
     let all = sixty();
     let other = all.iter().find(|entry| entry.name != aggregator.name).expect("others");
-    members.hear(400, &Heartbeat { role: Role::Member, ..heard(other) });
+    members.record_heartbeat(400, &Heartbeat { role: Role::Member, ..heard(other) });
     members.refresh(400);
     assert!(members.is_aggregator());
     assert_eq!(members.get_own_aggregator(), None);
@@ -404,14 +407,15 @@
     let mut members = members_of("own", 10, 3);
     assert!(members.is_whole(1_000, 500));
     // The others said nothing since.
-    members.hear(2_000, &heard(&entry("node-0", 10, 100)));
+    members.record_heartbeat(2_000, &heard(&entry("node-0", 10, 100)));
     assert!(!members.is_whole(1_500, 500));
     for number in 1..3 {
-        members.hear(2_000, &heard(&entry(&format!("node-{number}"), 10, 100 + number)));
+        members
+            .record_heartbeat(2_000, &heard(&entry(&format!("node-{number}"), 10, 100 + number)));
     }
     assert!(members.is_whole(1_500, 500));
     let started = entry("node-1", 10, 101);
-    members.hear(2_100, &Heartbeat { incarnation: 2, ..heard(&started) });
+    members.record_heartbeat(2_100, &Heartbeat { incarnation: 2, ..heard(&started) });
     assert!(!members.is_whole(1_500, 500));
     assert!(members.is_whole(1_500, 2_200));
 }
@@ -423,12 +427,12 @@
     let wide: Vec<Entry> =
         (0..20).map(|number| entry(&format!("wide-{number}"), 1_000, 900 + number)).collect();
     wide.iter().for_each(|entry| {
-        members.hear(1_000, &heard(entry));
+        members.record_heartbeat(1_000, &heard(entry));
     });
     members.refresh(1_050);
     assert!(members.is_grouped() && !members.is_aggregator());
     wide.iter().for_each(|entry| {
-        members.hear(1_400, &Heartbeat { is_stopping: true, ..heard(entry) });
+        members.record_heartbeat(1_400, &Heartbeat { is_stopping: true, ..heard(entry) });
     });
     members.refresh(1_450);
     assert!(members.is_grouped() && members.is_aggregator());
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -203,7 +203,7 @@
 
     fn hear(&mut self, now: u64, entry: &Entry, incarnation: u64, role: Role) {
         let heard = Heartbeat { entry, incarnation, is_stopping: false, role, holder_age: None };
-        if let Some(former) = self.members.hear(now, &heard) {
+        if let Some(former) = self.members.record_heartbeat(now, &heard) {
             self.quotas.forget(&entry.name, former);
             if self.audience.as_ref() == Some(&entry.name) {
                 self.begin(now, false);
@@ -749,7 +749,7 @@
                 role,
                 holder_age: None,
             };
-            old.hear(now, &heard);
+            old.record_heartbeat(now, &heard);
         }
         old.refresh(now);
     }
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -50,7 +50,7 @@
             let role = Role::Aggregator;
             let heard =
                 Heartbeat { entry: &other, incarnation: 1, is_stopping: false, role, holder_age: None };
-            members.hear(SLEEPS_AT, &heard);
+            members.record_heartbeat(SLEEPS_AT, &heard);
         }
         members.refresh(SLEEPS_AT);
         prop_assert_eq!(members.get_reachability(SLEEPS_AT).heard, 6);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -378,7 +378,7 @@
         role,
         holder_age: sender.holder_age,
     };
-    if let Some(former) = state.members.hear(now, &heard) {
+    if let Some(former) = state.members.record_heartbeat(now, &heard) {
         state.quotas.forget(name, former);
         state.demand.forget(name, former);
         state.rollouts.forget(name, former);
