--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -21,7 +21,7 @@
 
 /// Stands for the list of nodes that a node knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roster {
+pub struct RosterSummary {
     /// How many entries were added or have changed, since the start of the process.
     pub additions: u64,
     /// The same for equal lists.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Copied {
     /// The list as the node described it last.
-    pub described: Roster,
+    pub described: RosterSummary,
     /// The additions that this node has got.
     pub taken: u64,
     /// When this node last asked for more.
@@ -59,12 +59,12 @@
 
 impl Members {
     /// Describes the list of this node.
-    pub fn get_roster(&self) -> Roster {
-        Roster { additions: self.additions, digest: self.view.digest }
+    pub fn get_roster(&self) -> RosterSummary {
+        RosterSummary { additions: self.additions, digest: self.view.digest }
     }
 
     /// Takes over how another node describes its list.
-    pub fn take_roster(&mut self, from: &str, roster: Roster) {
+    pub fn take_roster(&mut self, from: &str, roster: RosterSummary) {
         let Some(member) = self.known.get_mut(from) else { return };
         if roster.additions < member.copied.taken {
             // The node has started again, and counts anew.
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
 use keeljunction_core::serving::load::{Load, Work};
-use keeljunction_core::serving::members::{Entry, Overview as Reach, Roster};
+use keeljunction_core::serving::members::{Entry, Overview as Reach, RosterSummary};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
 use keeljunction_core::serving::rollout::{self, Announcement};
@@ -177,7 +177,7 @@
     /// Regions from which nothing arrives at it.
     pub unheard_regions: Vec<String>,
     /// Its list of nodes.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Nodes that are new to it.
     pub joined: Vec<Entry>,
     /// Some of the requests that it knows to crash servers, or not to.
@@ -214,7 +214,7 @@
     /// The aggregators that it ranks, by short name.
     pub aggregators: Vec<u64>,
     /// Its list of nodes.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
