--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -59,7 +59,7 @@
 
 impl Members {
     /// Describes the list of this node.
-    pub fn get_roster(&self) -> RosterSummary {
+    pub fn get_roster_summary(&self) -> RosterSummary {
         RosterSummary { additions: self.additions, digest: self.view.digest }
     }
 
