--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes over how another node describes its list.
-    pub fn take_roster(&mut self, from: &str, roster: RosterSummary) {
+    pub fn record_roster_summary(&mut self, from: &str, roster: RosterSummary) {
         let Some(member) = self.known.get_mut(from) else { return };
         if roster.additions < member.copied.taken {
             // The node has started again, and counts anew.
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -120,14 +120,14 @@
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
                 self.nodes[to].take_entries(now, &joined);
-                self.nodes[to].take_roster(&name, roster);
+                self.nodes[to].record_roster_summary(&name, roster);
                 self.nodes[to].take_group(now, &name, group.clone(), group_age);
             }
         }
         for to in members.iter().map(|address| number_of(*address)) {
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
-                self.nodes[to].take_roster(&name, roster);
+                self.nodes[to].record_roster_summary(&name, roster);
                 self.nodes[to].take_overview(now, &name, overview, &silent);
                 self.nodes[to].follow_aggregators(&name, ranked.clone());
             }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -287,7 +287,7 @@
         hear(state, now, &sender, Role::Aggregator, asked_at);
         state.members.take_entries(now, &joined);
         let name = sender.entry.name.as_str();
-        state.members.take_roster(name, roster);
+        state.members.record_roster_summary(name, roster);
         state.members.take_group(now, name, group, group_age);
         let from = (name, sender.incarnation);
         state.quotas.merge(now, Source::Peer, from, &totals.quota);
@@ -336,7 +336,7 @@
     node.with(|state| {
         let arrived = hear(state, now, &sender, Role::Aggregator, asked_at);
         let name = sender.entry.name.as_str();
-        state.members.take_roster(name, roster);
+        state.members.record_roster_summary(name, roster);
         state.members.take_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
         state.members.take_lost_regions(name, lost_regions);
