--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -39,7 +39,7 @@
 
 /// What was added to a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Additions {
+pub struct RosterDelta {
     /// The list's count of additions with these.
     pub additions: u64,
     /// The added entries.
@@ -101,21 +101,21 @@
     }
 
     /// Lists what was added to this node's list after a count of additions.
-    pub fn list_additions(&self, now: Millis, after: u64) -> Additions {
+    pub fn list_additions(&self, now: Millis, after: u64) -> RosterDelta {
         let added = self.known.values().filter(|member| member.added_in > after);
         let known = added.map(|member| Known {
             entry: member.entry.clone(),
             age: now.saturating_sub(member.known_at),
         });
         let live = known.filter(|known| known.age < LIVE_FOR || self.is_lost(&known.entry));
-        Additions { additions: self.additions, entries: live.collect() }
+        RosterDelta { additions: self.additions, entries: live.collect() }
     }
 
     /// Takes over what was added to the list of a node at an address.
     ///
     /// A node is known since the time at which the other one heard of it: one that is gone is not kept by
     /// nodes that go on to pass it on to each other.
-    pub fn take_additions(&mut self, now: Millis, from: SocketAddr, additions: &Additions) {
+    pub fn take_additions(&mut self, now: Millis, from: SocketAddr, additions: &RosterDelta) {
         let source = self.known.values_mut().find(|member| member.entry.address == from);
         if let Some(source) = source {
             source.copied.taken = additions.additions;
