--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -101,7 +101,7 @@
     }
 
     /// Lists what was added to this node's list after a count of additions.
-    pub fn list_additions(&self, now: Millis, after: u64) -> RosterDelta {
+    pub fn get_roster_delta(&self, now: Millis, after: u64) -> RosterDelta {
         let added = self.known.values().filter(|member| member.added_in > after);
         let known = added.map(|member| Known {
             entry: member.entry.clone(),
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -90,7 +90,7 @@
         let Some((from, after)) = self.nodes[number].pick_roster_source(now) else { return };
         let source = number_of(from);
         if !self.is_lost(source) {
-            let additions = self.nodes[source].list_additions(now, after);
+            let additions = self.nodes[source].get_roster_delta(now, after);
             sent.called += additions.entries.len();
             self.nodes[number].take_additions(now, from, &additions);
         }
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -72,7 +72,7 @@
 /// Encodes what a peer lacks of the list of nodes.
 fn list_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
-    let additions = node.with(|state| state.members.list_additions(now, after.unwrap_or(0)));
+    let additions = node.with(|state| state.members.get_roster_delta(now, after.unwrap_or(0)));
     let encoded = postcard::to_stdvec(&additions);
     encoded
         .inspect_err(|error| log::error!("the nodes cannot be encoded: {error}"))
