--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -115,7 +115,7 @@
     ///
     /// A node is known since the time at which the other one heard of it: one that is gone is not kept by
     /// nodes that go on to pass it on to each other.
-    pub fn take_additions(&mut self, now: Millis, from: SocketAddr, additions: &RosterDelta) {
+    pub fn apply_roster_delta(&mut self, now: Millis, from: SocketAddr, additions: &RosterDelta) {
         let source = self.known.values_mut().find(|member| member.entry.address == from);
         if let Some(source) = source {
             source.copied.taken = additions.additions;
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -92,7 +92,7 @@
         if !self.is_lost(source) {
             let additions = self.nodes[source].get_roster_delta(now, after);
             sent.called += additions.entries.len();
-            self.nodes[number].take_additions(now, from, &additions);
+            self.nodes[number].apply_roster_delta(now, from, &additions);
         }
     }
 
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -86,7 +86,7 @@
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
-        Ok(additions) => node.with(|state| state.members.take_additions(now, from, &additions)),
+        Ok(additions) => node.with(|state| state.members.apply_roster_delta(now, from, &additions)),
         Err(error) => log::warn!("the list of nodes of {from} cannot be read: {error}"),
     }
 }
