--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -49,7 +49,7 @@
 
 pub use self::entry::Entry;
 pub use self::owner::LoadOwner;
-pub use self::roster::{Known, RosterDelta, RosterSummary};
+pub use self::roster::{RosterDelta, RosterEntry, RosterSummary};
 
 use self::roster::Copied;
 use self::view::View;
--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -30,7 +30,7 @@
 
 /// An entry of another node's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct RosterEntry {
     /// What the node says of itself.
     pub entry: Entry,
     /// Milliseconds since it was last heard, heard of or listed.
@@ -43,7 +43,7 @@
     /// The list's count of additions with these.
     pub additions: u64,
     /// The added entries.
-    pub entries: Vec<Known>,
+    pub entries: Vec<RosterEntry>,
 }
 
 /// Another node's list, and how much of it this node has got.
@@ -103,7 +103,7 @@
     /// Lists what was added to this node's list after a count of additions.
     pub fn get_roster_delta(&self, now: Millis, after: u64) -> RosterDelta {
         let added = self.known.values().filter(|member| member.added_in > after);
-        let known = added.map(|member| Known {
+        let known = added.map(|member| RosterEntry {
             entry: member.entry.clone(),
             age: now.saturating_sub(member.known_at),
         });
@@ -120,7 +120,7 @@
         if let Some(source) = source {
             source.copied.taken = additions.additions;
         }
-        for Known { entry, age } in &additions.entries {
+        for RosterEntry { entry, age } in &additions.entries {
             let known_at = now.saturating_sub(*age);
             let before = self.known.get(&entry.name).map(|member| member.known_at);
             self.add(now, entry);
