--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -66,7 +66,7 @@
 fn members(count: usize) -> Members {
     let all = entries(count);
     let mut members = Members::new(0, all[count - 1].clone(), &[]);
-    members.take_list(0, all, true);
+    members.merge_list(0, all, true);
     members
 }
 
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -228,7 +228,7 @@
 
     /// Takes over the list of all nodes; `is_whole` where those that started together with this one
     /// had the time to add themselves.
-    pub fn take_list(&mut self, now: Millis, entries: Vec<Entry>, is_whole: bool) {
+    pub fn merge_list(&mut self, now: Millis, entries: Vec<Entry>, is_whole: bool) {
         self.is_listed = true;
         self.is_list_whole |= is_whole;
         for entry in entries {
--- a/crates/core/src/serving/members/sample.rs
+++ b/crates/core/src/serving/members/sample.rs
@@ -31,7 +31,7 @@
     /// that started together with this one had the time to add themselves.
     pub fn take_sample(&mut self, now: Millis, entries: Vec<Entry>, count: usize, is_whole: bool) {
         self.estimated = Some((now, count));
-        self.take_list(now, entries, is_whole);
+        self.merge_list(now, entries, is_whole);
     }
 
     /// Returns how many nodes there are where `known` of them are known: as many as a sample showed
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -51,7 +51,7 @@
         let nodes = (0..size).map(|number| {
             let mut members = Members::new(0, entry(number), &[]);
             let listed = (0..64).map(|_| entry(random.usize(..size))).collect();
-            members.take_list(0, listed, true);
+            members.merge_list(0, listed, true);
             members
         });
         let nodes = nodes.collect();
--- a/crates/core/tests/serving/load_owner.rs
+++ b/crates/core/tests/serving/load_owner.rs
@@ -36,7 +36,7 @@
     let own = all[number].clone();
     let topology = get_topology(&own.data_centre);
     let mut members = Members::new(0, own, &[]).with_topology(topology);
-    members.take_list(0, all.to_vec(), true);
+    members.merge_list(0, all.to_vec(), true);
     members
 }
 
@@ -116,7 +116,7 @@
     let all = entries(&["a", "b"]);
     let own = all[0].clone();
     let mut members = Members::new(0, own, &[]);
-    members.take_list(0, all.clone(), true);
+    members.merge_list(0, all.clone(), true);
     for server in 0..40 {
         let owner = members.find_load_owner(server, "b-1").map(|owner| owner.address);
         assert_eq!(owner, members.find_owner(server));
@@ -128,7 +128,7 @@
     let all = entries(&["a", "b"]);
     assert_eq!(node(&all, 0).count_own_region(), 30);
     let mut alone = Members::new(0, all[0].clone(), &[]);
-    alone.take_list(0, all, true);
+    alone.merge_list(0, all, true);
     assert_eq!(alone.count_own_region(), 60);
 }
 
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -24,7 +24,7 @@
 /// A node that hears `count` others at 1,000 ms, whose links carry 10 Mbit/s.
 fn members_of(own_name: &str, own_link_mbps: u32, count: u16) -> Members {
     let mut members = Members::new(0, entry(own_name, own_link_mbps, 1), &[]);
-    members.take_list(0, Vec::new(), true);
+    members.merge_list(0, Vec::new(), true);
     for number in 0..count {
         members
             .record_heartbeat(1_000, &heard(&entry(&format!("node-{number}"), 10, 100 + number)));
@@ -40,9 +40,9 @@
     assert!(!members.is_reader(3_999));
     assert!(members.is_reader(4_000));
     let mut members = Members::new(0, entry("a", 10, 1), &[]);
-    members.take_list(0, vec![entry("a", 10, 1)], false);
+    members.merge_list(0, vec![entry("a", 10, 1)], false);
     assert!(!members.is_reader(3_999));
-    members.take_list(2_000, vec![entry("a", 10, 1)], true);
+    members.merge_list(2_000, vec![entry("a", 10, 1)], true);
     assert!(members.is_reader(2_000));
 }
 
@@ -50,7 +50,7 @@
 fn three_of_many_nodes_read_for_all() {
     let readers = (0..20u16).filter(|own| {
         let mut members = Members::new(0, entry(&format!("node-{own}"), 10, 100 + own), &[]);
-        members.take_list(0, Vec::new(), true);
+        members.merge_list(0, Vec::new(), true);
         for other in (0..20).filter(|other| other != own) {
             members
                 .record_heartbeat(1_000, &heard(&entry(&format!("node-{other}"), 10, 100 + other)));
@@ -118,7 +118,7 @@
     assert_eq!((members.get_reachability(100).heard, members.get_reachability(100).all), (1, 100));
     members.refresh(3_000);
     assert_eq!(members.get_reachability(3_000).all, 1);
-    members.take_list(100, vec![entry("own", 10, 1), entry("other", 10, 2)], true);
+    members.merge_list(100, vec![entry("own", 10, 1), entry("other", 10, 2)], true);
     assert_eq!(members.get_reachability(100).all, 2);
 }
 
@@ -156,7 +156,7 @@
 fn member_of_sixty(number: usize) -> Members {
     let all = sixty();
     let mut members = Members::new(0, all[number].clone(), &[]);
-    members.take_list(0, all, true);
+    members.merge_list(0, all, true);
     members
 }
 
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -180,7 +180,7 @@
         let region = number % scenario.regions;
         let topology = topology_of(scenario.regions, region);
         let mut members = Members::new(now, own.clone(), &[]).with_topology(topology);
-        members.take_list(now, all, true);
+        members.merge_list(now, all, true);
         let incarnation = Incarnation { node: own.name.clone(), number: u64::from(run) };
         Self {
             audience: members.get_own_aggregator().map(|entry| entry.name.clone()),
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -44,7 +44,7 @@
     #[test]
     fn a_node_hears_nobody_until_it_has_looked_again(slept in 2_000_u64..60_000) {
         let mut members = Members::new(0, entry("a", 1), &[]);
-        members.take_list(0, Vec::new(), true);
+        members.merge_list(0, Vec::new(), true);
         for number in 0..5 {
             let other = entry(&format!("n-{number}"), 10 + number);
             let role = Role::Aggregator;
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -155,7 +155,7 @@
     let entries: Vec<Entry> = rows.iter().filter_map(decode).collect();
     let is_listed = entries.contains(&node.get_entry());
     let now = node.now();
-    node.with(|state| state.members.take_list(now, entries, true));
+    node.with(|state| state.members.merge_list(now, entries, true));
     Ok(is_listed)
 }
 
