--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -206,7 +206,7 @@
                     link_mbps: 20 + (number % 2) as u32,
                     ..newcomers[nodes].clone()
                 };
-                members.take_entries(0, &[newcomer]);
+                members.merge_entries(0, &[newcomer]);
                 members.refresh(black_box(0));
             });
         });
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// Takes over entries that another node passed on.
-    pub fn take_entries(&mut self, now: Millis, entries: &[Entry]) {
+    pub fn merge_entries(&mut self, now: Millis, entries: &[Entry]) {
         for entry in entries {
             self.add(now, entry);
         }
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -119,7 +119,7 @@
         for to in exchange.iter().map(|address| number_of(*address)) {
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
-                self.nodes[to].take_entries(now, &joined);
+                self.nodes[to].merge_entries(now, &joined);
                 self.nodes[to].record_roster_summary(&name, roster);
                 self.nodes[to].take_group(now, &name, group.clone(), group_age);
             }
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -348,7 +348,7 @@
     assert_eq!(members.list_joined(29_999, 7), std::slice::from_ref(&fresh));
     assert!(members.list_joined(30_000, 7).is_empty());
     let mut other = member_of_sixty(1);
-    other.take_entries(21_000, &[fresh]);
+    other.merge_entries(21_000, &[fresh]);
     other.refresh(21_000);
     assert_eq!(other.get_reachability(21_000).all, 61);
 }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -285,7 +285,7 @@
     }
     node.with(|state| {
         hear(state, now, &sender, Role::Aggregator, asked_at);
-        state.members.take_entries(now, &joined);
+        state.members.merge_entries(now, &joined);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
         state.members.take_group(now, name, group, group_age);
