--- a/crates/core/src/serving/members/sample.rs
+++ b/crates/core/src/serving/members/sample.rs
@@ -29,7 +29,7 @@
 impl Members {
     /// Takes over a sample of the list of all nodes, of which there are about `count`; `is_whole` where those
     /// that started together with this one had the time to add themselves.
-    pub fn take_sample(&mut self, now: Millis, entries: Vec<Entry>, count: usize, is_whole: bool) {
+    pub fn merge_sample(&mut self, now: Millis, entries: Vec<Entry>, count: usize, is_whole: bool) {
         self.estimated = Some((now, count));
         self.merge_list(now, entries, is_whole);
     }
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -177,7 +177,7 @@
     let now = node.now();
     // A node that is listed already has run before, and so have the others.
     let is_whole = is_settled || is_listed;
-    node.with(|state| state.members.take_sample(now, entries, count, is_whole));
+    node.with(|state| state.members.merge_sample(now, entries, count, is_whole));
     Ok(is_listed)
 }
 
