--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -307,7 +307,7 @@
 
     /// Takes over which nodes another aggregator hears of its group, and how long ago it heard the
     /// one that has been silent for longest.
-    pub fn take_group(&mut self, now: Millis, name: &str, group: Vec<u64>, group_age: Millis) {
+    pub fn record_group(&mut self, now: Millis, name: &str, group: Vec<u64>, group_age: Millis) {
         for short in &group {
             let known = self.names.get(short).and_then(|name| self.known.get_mut(name));
             if let Some(known) = known {
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -121,7 +121,7 @@
                 self.hear(to, number, Role::Aggregator);
                 self.nodes[to].merge_entries(now, &joined);
                 self.nodes[to].record_roster_summary(&name, roster);
-                self.nodes[to].take_group(now, &name, group.clone(), group_age);
+                self.nodes[to].record_group(now, &name, group.clone(), group_age);
             }
         }
         for to in members.iter().map(|address| number_of(*address)) {
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -318,7 +318,7 @@
         members.record_heartbeat(400, &member(number));
     }
     members.record_heartbeat(400, &heard(&all[1]));
-    members.take_group(400, "node-1", vec![short_id("node-4"), short_id("node-7")], 300);
+    members.record_group(400, "node-1", vec![short_id("node-4"), short_id("node-7")], 300);
     members.refresh(400);
     // Itself, three of its group, another aggregator and two of that one's group.
     assert_eq!((members.get_reachability(400).heard, members.get_reachability(400).all), (7, 60));
@@ -332,7 +332,7 @@
     // One that turned to the other aggregator is not missing here.
     for now in [2_000, 2_400] {
         members.record_heartbeat(now, &heard(&all[1]));
-        members.take_group(now, "node-1", vec![short_id("node-4"), short_id("node-3")], 0);
+        members.record_group(now, "node-1", vec![short_id("node-4"), short_id("node-3")], 0);
         members.record_heartbeat(now, &member(6));
         members.record_heartbeat(now, &member(9));
         members.refresh(now);
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -234,7 +234,7 @@
     fn take_summary(&mut self, now: u64, summary: Summary) {
         self.hear(now, &summary.entry, summary.incarnation, Role::Aggregator);
         let name = &summary.entry.name;
-        self.members.take_group(now, name, summary.group, summary.group_age);
+        self.members.record_group(now, name, summary.group, summary.group_age);
         self.quotas.merge(now, Source::Peer, (name, summary.incarnation), &summary.report);
         let incarnation = Incarnation { node: name.clone(), number: summary.incarnation };
         self.ledger.merge(WINDOW, &incarnation, &summary.counts);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -288,7 +288,7 @@
         state.members.merge_entries(now, &joined);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
-        state.members.take_group(now, name, group, group_age);
+        state.members.record_group(now, name, group, group_age);
         let from = (name, sender.incarnation);
         state.quotas.merge(now, Source::Peer, from, &totals.quota);
         let incarnation = Incarnation { node: name.to_owned(), number: sender.incarnation };
