--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -327,7 +327,7 @@
     /// Takes over what this node's aggregator says of the whole, and which nodes are silent.
     ///
     /// Overviews of other nodes are ignored: this node may have picked another one since.
-    pub fn take_overview(&mut self, now: Millis, from: &str, overview: Overview, silent: &[u64]) {
+    pub fn apply_overview(&mut self, now: Millis, from: &str, overview: Overview, silent: &[u64]) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
             self.overview = Some((now, overview));
             self.silent_elsewhere = silent.iter().copied().collect();
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -128,7 +128,7 @@
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
                 self.nodes[to].record_roster_summary(&name, roster);
-                self.nodes[to].take_overview(now, &name, overview, &silent);
+                self.nodes[to].apply_overview(now, &name, overview, &silent);
                 self.nodes[to].follow_aggregators(&name, ranked.clone());
             }
         }
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -202,7 +202,7 @@
 /// One of them that is not the next to aggregate.
 fn ordinary() -> (Members, Entry) {
     let is_next = |members: &mut Members, aggregator: &Entry| {
-        members.take_overview(
+        members.apply_overview(
             1,
             &aggregator.name,
             Overview::default(),
@@ -224,7 +224,7 @@
     let group = all_ordinary().into_iter().filter(|(_, aggregator)| *aggregator == gone);
     let promoted =
         group.filter(|(_, aggregator)| *aggregator == gone).filter_map(|(mut members, _)| {
-            members.take_overview(1, &gone.name, Overview::default(), &[short_id(&gone.name)]);
+            members.apply_overview(1, &gone.name, Overview::default(), &[short_id(&gone.name)]);
             members.refresh(1);
             members.is_aggregator().then_some(())
         });
@@ -235,7 +235,7 @@
 fn a_node_whose_aggregator_falls_silent_picks_another_and_returns_later() {
     let (mut members, aggregator) = ordinary();
     let overview = Overview { heard: 50, all: 60 };
-    members.take_overview(1_000, &aggregator.name, overview, &[]);
+    members.apply_overview(1_000, &aggregator.name, overview, &[]);
     members.refresh(1_000);
     assert_eq!(
         (members.get_reachability(1_000).heard, members.get_reachability(1_000).all),
@@ -251,7 +251,7 @@
     members.refresh(2_700);
     assert_eq!(members.get_reachability(2_700).heard, 1);
     for now in (2_700..13_100).step_by(400) {
-        members.take_overview(now, &next.name, overview, &[]);
+        members.apply_overview(now, &next.name, overview, &[]);
         members.refresh(now);
     }
     assert_eq!(members.get_own_aggregator(), Some(&aggregator));
@@ -260,7 +260,7 @@
 #[test]
 fn a_node_that_takes_the_place_of_a_silent_aggregator_says_so_to_its_group() {
     for (mut members, gone) in all_ordinary() {
-        members.take_overview(1, &gone.name, Overview::default(), &[short_id(&gone.name)]);
+        members.apply_overview(1, &gone.name, Overview::default(), &[short_id(&gone.name)]);
         members.refresh(1);
         if members.is_aggregator() {
             assert_eq!(members.list_silent(), [short_id(&gone.name)]);
@@ -275,7 +275,7 @@
 fn a_node_passes_over_an_aggregator_that_the_others_do_not_hear() {
     let (mut members, aggregator) = ordinary();
     let overview = Overview { heard: 60, all: 60 };
-    members.take_overview(400, &aggregator.name, overview, &[short_id(&aggregator.name)]);
+    members.apply_overview(400, &aggregator.name, overview, &[short_id(&aggregator.name)]);
     members.refresh(400);
     assert_ne!(members.get_own_aggregator(), Some(&aggregator));
 }
@@ -284,7 +284,7 @@
 fn an_overview_of_another_node_than_the_own_aggregator_is_ignored() {
     let (mut members, aggregator) = ordinary();
     let overview = Overview { heard: 60, all: 60 };
-    members.take_overview(400, "another", overview, &[short_id(&aggregator.name)]);
+    members.apply_overview(400, "another", overview, &[short_id(&aggregator.name)]);
     members.refresh(400);
     assert_eq!(members.get_own_aggregator(), Some(&aggregator));
     assert_eq!(members.get_reachability(400).heard, 1);
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -284,7 +284,7 @@
     fn take_told(&mut self, now: u64, told: Told) {
         self.hear(now, &told.entry, told.incarnation, Role::Aggregator);
         let name = &told.entry.name;
-        self.members.take_overview(now, name, told.overview, &told.silent);
+        self.members.apply_overview(now, name, told.overview, &told.silent);
         self.members.take_lost_regions(name, told.lost_regions);
         if self.audience.as_ref() != Some(name) {
             return;
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -337,7 +337,7 @@
         let arrived = hear(state, now, &sender, Role::Aggregator, asked_at);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
-        state.members.take_overview(now, name, reach, &silent);
+        state.members.apply_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
         state.members.take_lost_regions(name, lost_regions);
         let is_own = state.audience == Audience::Aggregator(name.to_owned());
