--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -140,7 +140,7 @@
     }
 
     /// Takes over which regions this node's aggregator does not hear.
-    pub fn take_lost_regions(&mut self, from: &str, lost: Vec<String>) {
+    pub fn set_unreachable_regions(&mut self, from: &str, lost: Vec<String>) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
             self.lost_regions = lost.into_iter().collect();
         }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -285,7 +285,7 @@
         self.hear(now, &told.entry, told.incarnation, Role::Aggregator);
         let name = &told.entry.name;
         self.members.apply_overview(now, name, told.overview, &told.silent);
-        self.members.take_lost_regions(name, told.lost_regions);
+        self.members.set_unreachable_regions(name, told.lost_regions);
         if self.audience.as_ref() != Some(name) {
             return;
         }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -339,7 +339,7 @@
         state.members.record_roster_summary(name, roster);
         state.members.apply_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
-        state.members.take_lost_regions(name, lost_regions);
+        state.members.set_unreachable_regions(name, lost_regions);
         let is_own = state.audience == Audience::Aggregator(name.to_owned());
         if is_own && is_region_overdue {
             state.quotas.note_overdue_region(now);
