--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -98,7 +98,7 @@
     ///
     /// Summaries that cross name these, so that a region learns that only its own way is cut.
     pub fn list_unheard_regions(&self, now: Millis) -> Vec<String> {
-        let Some(since) = self.aggregating_since else { return self.list_lost_regions() };
+        let Some(since) = self.aggregating_since else { return self.list_unreachable_regions() };
         let within = self.get_heard_within();
         let is_arriving = |member: &Member| member.crossed_at.is_some_and(|at| now < at + within);
         self.find_silent_regions(now, since, is_arriving).into_iter().collect()
@@ -135,7 +135,7 @@
     }
 
     /// Lists the regions of which nobody is heard.
-    pub fn list_lost_regions(&self) -> Vec<String> {
+    pub fn list_unreachable_regions(&self) -> Vec<String> {
         self.lost_regions.iter().cloned().collect()
     }
 
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -345,7 +345,7 @@
                 total: total.clone(),
                 overview: self.members.get_overview(),
                 silent: self.members.list_silent(),
-                lost_regions: self.members.list_lost_regions(),
+                lost_regions: self.members.list_unreachable_regions(),
                 is_region_overdue,
                 answers: self.newest.get(&member.name).copied(),
             };
@@ -753,7 +753,7 @@
         }
         old.refresh(now);
     }
-    assert_eq!(old.list_lost_regions(), ["region-1"]);
+    assert_eq!(old.list_unreachable_regions(), ["region-1"]);
     let own = entry(2, 2);
     let mut new = Members::new(20_000, own, &[]).with_topology(topology_of(2, 0));
     // Turns in which no known entry of the own region is repeated.
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -370,7 +370,7 @@
 /// Lists the regions of which no node is heard and whose servers accept requests: their callers are
 /// still served there. Where no server is left, the demand moves to other regions.
 fn list_unheard(node: &Node, inventories: &Inventories) -> BTreeSet<String> {
-    let lost = node.with(|state| state.members.list_lost_regions()).into_iter();
+    let lost = node.with(|state| state.members.list_unreachable_regions()).into_iter();
     let is_serving = |region: &String| {
         let held = inventories.get(region).into_iter().flat_map(BTreeMap::values);
         held.map(|held| held.on_demand + held.spot).sum::<u32>() > 0
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -43,7 +43,7 @@
 }
 
 fn log_lost(state: &mut State) {
-    let lost: BTreeSet<String> = state.members.list_lost_regions().into_iter().collect();
+    let lost: BTreeSet<String> = state.members.list_unreachable_regions().into_iter().collect();
     for region in lost.symmetric_difference(&state.carrying.lost) {
         event::emit(&Event::RegionReached { region, is_reached: !lost.contains(region) });
     }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -185,7 +185,7 @@
             throughputs: take_passed_on(state, &throughputs),
             reach: state.members.get_overview(),
             silent: state.members.list_silent(),
-            lost_regions: state.members.list_lost_regions(),
+            lost_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
             aggregators: state.members.list_ranked(),
             roster: state.members.get_roster_summary(),
