--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -130,7 +130,7 @@
     /// Lists the nodes with which this aggregator exchanges sums: the others, and those that say
     /// that they are aggregators; all addresses of the settings that are not known yet, too. Where
     /// groups stand in several regions, only those of its own region.
-    pub fn list_exchange(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn list_exchange_peers(&self, now: Millis) -> Vec<SocketAddr> {
         let says_so = self
             .known
             .iter()
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -113,7 +113,7 @@
         let (group, group_age) = node.get_group(now);
         let joined = node.list_joined(now, self.turn);
         let (overview, silent) = (node.get_overview(), node.list_silent());
-        let exchange = node.list_exchange(now);
+        let exchange = node.list_exchange_peers(now);
         let members = node.get_group_addresses(now);
         let (roster, ranked) = (node.get_roster_summary(), node.list_ranked());
         for to in exchange.iter().map(|address| number_of(*address)) {
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -137,7 +137,7 @@
         members.refresh(now);
     }
     assert_eq!(members.get_reachability(3_600).heard, 2);
-    assert_eq!(members.list_exchange(3_600).len(), 3);
+    assert_eq!(members.list_exchange_peers(3_600).len(), 3);
     assert_eq!(members.list_silent(), [short_id("node-1"), short_id("node-2")]);
     members.record_heartbeat(3_700, &heard(&entry("node-2", 10, 102)));
     members.refresh(3_800);
@@ -173,7 +173,7 @@
         assert!(aggregators.contains(&(usize::from(own.address.port()) - 100)));
     }
     // What an aggregator sends to does not grow with the nodes.
-    assert_eq!(member_of_sixty(0).list_exchange(0).len(), 8);
+    assert_eq!(member_of_sixty(0).list_exchange_peers(0).len(), 8);
 }
 
 #[test]
@@ -294,7 +294,7 @@
 fn an_aggregator_that_falls_silent_is_replaced_by_the_next_of_its_data_centre() {
     let all = sixty();
     let mut members = member_of_sixty(0);
-    let others: Vec<SocketAddr> = members.list_exchange(0);
+    let others: Vec<SocketAddr> = members.list_exchange_peers(0);
     let silent = others.iter().find(|other| other.port() == 101).copied();
     for now in (0..=2_400).step_by(400) {
         for other in others.iter().filter(|other| Some(**other) != silent) {
@@ -303,7 +303,7 @@
         members.refresh(now);
     }
     assert_eq!(members.list_silent(), [short_id("node-1")]);
-    let now_others = members.list_exchange(2_400);
+    let now_others = members.list_exchange_peers(2_400);
     let new: Vec<&SocketAddr> = now_others.iter().filter(|other| !others.contains(other)).collect();
     assert_eq!(new.len(), 1);
     assert_eq!(all[usize::from(new[0].port()) - 100].data_centre, "z1");
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -335,7 +335,7 @@
             unheard_regions,
         };
         let mut sent: Vec<(SocketAddr, Datagram)> = Vec::new();
-        for to in self.pick_carriers(now).into_iter().chain(self.members.list_exchange(now)) {
+        for to in self.pick_carriers(now).into_iter().chain(self.members.list_exchange_peers(now)) {
             sent.push((to, Datagram::Summary(summary.clone())));
         }
         for member in self.members.iter_group(now) {
@@ -411,7 +411,7 @@
                     continue;
                 }
                 let Some(carried) = nodes[to].take(now, datagram) else { continue };
-                for beside in nodes[to].members.list_exchange(now) {
+                for beside in nodes[to].members.list_exchange_peers(now) {
                     let datagrams = on_the_way.entry(now + NEAR_WAY).or_default();
                     datagrams.push((number_of(beside), Datagram::Carried(carried.clone())));
                 }
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -136,7 +136,7 @@
 /// Passes a summary on to the other aggregators of this region.
 async fn pass_on(node: Arc<Node>, (run, sent_at): (u32, Millis), summary: Summary) {
     let now = node.now();
-    let to = node.with(|state| state.members.list_exchange(now));
+    let to = node.with(|state| state.members.list_exchange_peers(now));
     let message = Message::Carried { run, sent_at, summary: Box::new(summary) };
     node.link.send_to_all(now, to, &message).await;
 }
--- a/crates/gateway/src/node/peers/news.rs
+++ b/crates/gateway/src/node/peers/news.rs
@@ -56,7 +56,7 @@
 
 /// Lists the other aggregators of this region, and the carriers of the others.
 fn list_others(state: &State, now: Millis) -> Vec<SocketAddr> {
-    let mut to = state.members.list_exchange(now);
+    let mut to = state.members.list_exchange_peers(now);
     to.extend(state.members.list_carriers(now, 0).concat());
     to
 }
@@ -180,7 +180,7 @@
         if to.contains(&from) {
             to.extend(list_others(state, now));
         } else if is_far {
-            to.extend(state.members.list_exchange(now));
+            to.extend(state.members.list_exchange_peers(now));
         }
         to.retain(|address| *address != from);
         to
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -217,7 +217,7 @@
             frozen_windows: state.frozen.get_names(),
             frozen: state.frozen.list_due(),
         };
-        let aggregators = state.members.list_exchange(now);
+        let aggregators = state.members.list_exchange_peers(now);
         (summary, overview, aggregators, state.members.get_group_addresses(now))
     });
     let summary = carry::send(node, now, summary).await;
