--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -155,7 +155,7 @@
     /// Lists the entries to pass on: those that were new to this node lately, and those of regions out
     /// of reach, of which a node that starts meanwhile may hear nowhere else. Each turn gives the next
     /// ones, because one message may not hold all. Once in a second any known entry is among them.
-    pub fn list_joined(&self, now: Millis, turn: usize) -> Vec<Entry> {
+    pub fn list_gossip_entries(&self, now: Millis, turn: usize) -> Vec<Entry> {
         let mut joined = self.list_recent(now, turn);
         if joined.len() < MOST_PASSED_ON {
             joined.extend(self.repeat_known(now, turn));
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -111,7 +111,7 @@
         }
         let node = &self.nodes[number];
         let (group, group_age) = node.get_group(now);
-        let joined = node.list_joined(now, self.turn);
+        let joined = node.list_gossip_entries(now, self.turn);
         let (overview, silent) = (node.get_overview(), node.list_silent());
         let exchange = node.list_exchange_peers(now);
         let members = node.get_group_addresses(now);
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -345,8 +345,8 @@
     let mut members = member_of_sixty(0);
     let fresh = entry_in("z1", "fresh", 10, 900);
     members.record_heartbeat(20_000, &Heartbeat { role: Role::Member, ..heard(&fresh) });
-    assert_eq!(members.list_joined(29_999, 7), std::slice::from_ref(&fresh));
-    assert!(members.list_joined(30_000, 7).is_empty());
+    assert_eq!(members.list_gossip_entries(29_999, 7), std::slice::from_ref(&fresh));
+    assert!(members.list_gossip_entries(30_000, 7).is_empty());
     let mut other = member_of_sixty(1);
     other.merge_entries(21_000, &[fresh]);
     other.refresh(21_000);
@@ -356,7 +356,8 @@
 #[test]
 fn many_new_nodes_are_all_passed_on_one_after_the_other() {
     let members = member_of_sixty(0);
-    let passed: Vec<Vec<Entry>> = (5..8).map(|turn| members.list_joined(1_000, turn)).collect();
+    let passed: Vec<Vec<Entry>> =
+        (5..8).map(|turn| members.list_gossip_entries(1_000, turn)).collect();
     assert!(passed.iter().all(|entries| entries.len() == 24));
     let names: std::collections::BTreeSet<&str> =
         passed.iter().flatten().map(|entry| entry.name.as_str()).collect();
@@ -369,13 +370,13 @@
     for node in sixty() {
         members.record_heartbeat(59_000, &heard(&node));
     }
-    let passed = (0..300).flat_map(|turn| members.list_joined(60_000, turn));
+    let passed = (0..300).flat_map(|turn| members.list_gossip_entries(60_000, turn));
     let names: std::collections::BTreeSet<String> = passed.map(|entry| entry.name).collect();
     assert_eq!(names.len(), 59, "all others, long after they joined");
-    let most = (0..300).map(|turn| members.list_joined(60_000, turn).len()).max();
+    let most = (0..300).map(|turn| members.list_gossip_entries(60_000, turn).len()).max();
     assert_eq!(most, Some(1));
     // Those that were not heard for some time are not repeated.
-    assert!((0..300).all(|turn| members.list_joined(90_000, turn).is_empty()));
+    assert!((0..300).all(|turn| members.list_gossip_entries(90_000, turn).is_empty()));
 }
 
 #[test]
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -758,7 +758,7 @@
     let mut new = Members::new(20_000, own, &[]).with_topology(topology_of(2, 0));
     // Turns in which no known entry of the own region is repeated.
     for turn in [1, 2, 3, 4, 6] {
-        new.merge_entries(20_000, &old.list_joined(20_000, turn));
+        new.merge_entries(20_000, &old.list_gossip_entries(20_000, turn));
     }
     new.refresh(20_000);
     // Itself, and the thirty of the other region.
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -177,7 +177,7 @@
             false => state.outgoing_usage.select(turn, sums),
         };
         let (group, group_age) = state.members.get_group(now);
-        let joined = state.members.list_joined(now, turn as usize);
+        let joined = state.members.list_gossip_entries(now, turn as usize);
         let throughputs = take_samples(state);
         let overview = Overview {
             sender: sender.clone(),
