--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -249,7 +249,7 @@
     }
 
     /// Lists the addresses of the nodes that were heard lately.
-    pub fn get_heard(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn list_reachable(&self, now: Millis) -> Vec<SocketAddr> {
         let heard = self.known.values().filter(|member| self.is_heard(now, member));
         heard.map(|member| member.entry.address).collect()
     }
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -64,7 +64,7 @@
             None => state.members.get_readers(),
         };
         if is_old {
-            let heard = state.members.get_heard(now);
+            let heard = state.members.list_reachable(now);
             targets.extend(fastrand::choice(heard));
             targets.extend(fastrand::choice(state.members.get_readers()));
         }
