--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -70,7 +70,7 @@
     }
 
     /// Lists the nodes of other regions, by address, with their regions.
-    pub fn list_far(&self) -> BTreeMap<SocketAddr, String> {
+    pub fn list_remote_nodes(&self) -> BTreeMap<SocketAddr, String> {
         let far = self.known.values().filter_map(|member| {
             let region = self.get_far_region(&member.entry)?;
             Some((member.entry.address, region.to_owned()))
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -35,7 +35,7 @@
         let period = state.carrying.pace.get_period();
         state.members.set_transit(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
-        turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_far())
+        turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_remote_nodes())
     });
     if let Some(far) = far {
         node.link.set_far(far);
