--- a/crates/core/src/serving/members/owner.rs
+++ b/crates/core/src/serving/members/owner.rs
@@ -14,7 +14,7 @@
     /// Where it listens for other nodes.
     pub address: SocketAddr,
     /// Its region, where that is not the asking node's own.
-    pub far_region: Option<&'a str>,
+    pub remote_region: Option<&'a str>,
 }
 
 impl Members {
@@ -26,13 +26,13 @@
     pub fn find_load_owner(&self, server: u64, data_centre: &str) -> Option<LoadOwner<'_>> {
         if !self.topology.is_multi_region() {
             let address = self.find_owner(server)?;
-            return Some(LoadOwner { address, far_region: None });
+            return Some(LoadOwner { address, remote_region: None });
         }
         let own = self.topology.get_own();
         let region = self.topology.get_region(data_centre).unwrap_or(own);
         let owner = self.find_owner_in(server, region).or_else(|| self.find_owner_in(server, own));
         let entry = &self.known.get(owner?)?.entry;
-        Some(LoadOwner { address: entry.address, far_region: self.get_far_region(entry) })
+        Some(LoadOwner { address: entry.address, remote_region: self.get_far_region(entry) })
     }
 
     /// Returns `true` if this node keeps the load of a server.
--- a/crates/core/tests/serving/load_owner.rs
+++ b/crates/core/tests/serving/load_owner.rs
@@ -78,11 +78,11 @@
     let members = node(&all, 0);
     let far: Vec<Option<&str>> = (0..40)
         .filter_map(|server| members.find_load_owner(server, "b-1"))
-        .map(|owner| owner.far_region)
+        .map(|owner| owner.remote_region)
         .collect();
     assert_eq!(far, [Some("b"); 40]);
     let near = (0..40).filter_map(|server| members.find_load_owner(server, "a-1"));
-    assert!(near.into_iter().all(|owner| owner.far_region.is_none()));
+    assert!(near.into_iter().all(|owner| owner.remote_region.is_none()));
 }
 
 #[test]
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -92,7 +92,7 @@
         let Some(owner) = members.find_load_owner(server, data_centre) else { continue };
         let kept = by_owner.entry(owner.address).or_default();
         kept.servers.push(server);
-        kept.far_region = owner.far_region.map(str::to_owned);
+        kept.far_region = owner.remote_region.map(str::to_owned);
     }
     by_owner
 }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -60,7 +60,7 @@
 async fn take_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.far_region.map(str::to_owned);
+        let far_region = found.remote_region.map(str::to_owned);
         Some(Owner { address: found.address, far_region })
     });
     let now = node.now();
