--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns how many aggregators of this node's region there are, this one included.
-    pub fn count_near_aggregators(&self) -> usize {
+    pub fn count_local_aggregators(&self) -> usize {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
         1 + others.filter(|member| self.topology.is_near(&member.entry.data_centre)).count()
     }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -356,7 +356,7 @@
 
     /// Lists the carriers that this aggregator's summary crosses to now.
     fn pick_carriers(&mut self, now: u64) -> Vec<SocketAddr> {
-        let senders = self.members.count_near_aggregators();
+        let senders = self.members.count_local_aggregators();
         if !self.pace.is_due(now, self.crossed, senders) {
             return Vec::new();
         }
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -61,7 +61,7 @@
         for (service, samples) in own.iter().cloned() {
             audience::pass_on(&mut state.carrying.samples, service, samples);
         }
-        let senders = state.members.count_near_aggregators();
+        let senders = state.members.count_local_aggregators();
         if !state.carrying.pace.is_due(now, crossed, senders) {
             return Vec::new();
         }
