--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -83,7 +83,13 @@
     ///
     /// A summary may come through several carriers. It is newer if its sender's process has started
     /// anew, so that `run` differs, or if `sent_at`, on the sender's clock, is later.
-    pub fn note_crossed(&mut self, now: Millis, entry: &Entry, run: u32, sent_at: Millis) -> bool {
+    pub fn record_remote_summary(
+        &mut self,
+        now: Millis,
+        entry: &Entry,
+        run: u32,
+        sent_at: Millis,
+    ) -> bool {
         self.add(now, entry);
         let Some(member) = self.known.get_mut(&entry.name) else { return false };
         let is_known = member.newest.is_some_and(|(known, at)| known == run && sent_at <= at);
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -278,7 +278,7 @@
     }
 
     fn note(&mut self, now: u64, summary: &Summary) -> bool {
-        self.members.note_crossed(now, &summary.entry, summary.run, summary.sent_at)
+        self.members.record_remote_summary(now, &summary.entry, summary.run, summary.sent_at)
     }
 
     fn take_told(&mut self, now: u64, told: Told) {
@@ -582,12 +582,12 @@
     let scenario = Scenario::default();
     let mut node = Node::start(&scenario, 0, 0, 1);
     let far = entry(2, 1);
-    assert!(node.members.note_crossed(100, &far, 7, 1_000));
-    assert!(!node.members.note_crossed(110, &far, 7, 1_000));
-    assert!(!node.members.note_crossed(120, &far, 7, 800));
-    assert!(node.members.note_crossed(130, &far, 7, 1_200));
+    assert!(node.members.record_remote_summary(100, &far, 7, 1_000));
+    assert!(!node.members.record_remote_summary(110, &far, 7, 1_000));
+    assert!(!node.members.record_remote_summary(120, &far, 7, 800));
+    assert!(node.members.record_remote_summary(130, &far, 7, 1_200));
     // Another run of the process has another clock.
-    assert!(node.members.note_crossed(140, &far, 8, 50));
+    assert!(node.members.record_remote_summary(140, &far, 8, 50));
 }
 
 #[test]
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -130,7 +130,7 @@
         // The list is brought up to date only from time to time: an answer may come before that.
         node.link.note_far(entry.address, region);
     }
-    node.with(|state| state.members.note_crossed(now, entry, run, sent_at))
+    node.with(|state| state.members.record_remote_summary(now, entry, run, sent_at))
 }
 
 /// Passes a summary on to the other aggregators of this region.
