--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -141,7 +141,7 @@
         let others = says_so.chain(silent).map(|(name, _)| name).chain(far);
         let names: BTreeSet<&String> = self.view.ranking.aggregators.iter().chain(others).collect();
         let known = names.into_iter().filter_map(|name| self.known.get(name));
-        let is_crossing = self.is_crossing();
+        let is_crossing = self.is_using_carriers();
         let known = known.filter(|m| !is_crossing || self.topology.is_near(&m.entry.data_centre));
         let mut addresses: Vec<SocketAddr> = known.map(|member| member.entry.address).collect();
         for seed in &self.seeds {
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -29,7 +29,7 @@
 
     /// Returns `true` if what passes between regions goes through carriers: nodes report in groups,
     /// and these stand in several regions.
-    pub fn is_crossing(&self) -> bool {
+    pub fn is_using_carriers(&self) -> bool {
         self.view.is_grouped && self.topology.is_multi_region()
     }
 
@@ -37,7 +37,7 @@
     /// aggregators there that are heard. Where none is heard, any may be back: each turn gives the
     /// next two.
     pub fn list_carriers(&self, now: Millis, turn: usize) -> Vec<Vec<SocketAddr>> {
-        if !self.is_crossing() {
+        if !self.is_using_carriers() {
             return Vec::new();
         }
         let regions = self.view.ranking.far.values();
@@ -118,7 +118,7 @@
     /// Returns `true` if some region is overdue: nothing came from it for some periods, and not all
     /// nodes count it as out of reach yet.
     pub fn is_region_overdue(&self, now: Millis) -> bool {
-        if !self.is_crossing() {
+        if !self.is_using_carriers() {
             return false;
         }
         let mut heard_at: BTreeMap<&str, Millis> = BTreeMap::new();
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -55,7 +55,7 @@
     let own = summary.totals.throughputs.clone();
     let crossed = node.link.get_crossed();
     let carriers: Vec<SocketAddr> = node.with(|state| {
-        if !state.members.is_crossing() {
+        if !state.members.is_using_carriers() {
             return Vec::new();
         }
         for (service, samples) in own.iter().cloned() {
@@ -97,7 +97,7 @@
         return versions::take(node, from, asked_at, &reported);
     }
     if note_crossed(node, sent, &summary) {
-        if node.with(|state| state.members.is_crossing()) {
+        if node.with(|state| state.members.is_using_carriers()) {
             runtime::spawn(pass_on(node.clone(), sent, summary.clone()));
         }
         take_over(node, asked_at, summary);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -172,7 +172,7 @@
         state.handover.record(now, snapshot);
         let sums = state.usage.sum_group(state.handover.get_incarnation(), WINDOWS_REPORTED);
         // What crosses between regions is sent at a pace of its own, and holds all windows each time.
-        let usage = match state.members.is_crossing() {
+        let usage = match state.members.is_using_carriers() {
             true => sums,
             false => state.outgoing_usage.select(turn, sums),
         };
