--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -134,7 +134,7 @@
     }
 
     /// Returns `true` if all other regions are out of reach, and most nodes of this one are heard.
-    pub fn is_region_alone(&self) -> bool {
+    pub fn is_region_isolated(&self) -> bool {
         let is_any_other = !self.view.ranking.far.is_empty();
         let is_each_lost = self.view.ranking.far.keys().all(|r| self.lost_regions.contains(r));
         is_any_other && is_each_lost && 2 * self.view.heard > self.view.near_nodes
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -499,7 +499,7 @@
         if is_there && nodes[owner].members.is_owner(short_id("acme")) {
             let reach = nodes[owner].members.get_reachability(now);
             let Node { members, quotas, .. } = &mut nodes[owner];
-            decision = match members.is_region_alone() {
+            decision = match members.is_region_isolated() {
                 true => quotas.decide_for_isolated_region(now, "acme", size, self.limit, reach),
                 false => quotas.decide(now, "acme", size, self.limit, reach),
             };
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -91,7 +91,7 @@
     }
     let reach = state.members.get_reachability(now);
     let limit = get_limit(account);
-    match state.members.is_region_alone() {
+    match state.members.is_region_isolated() {
         true => state.quotas.decide_for_isolated_region(now, &account.name, units, limit, reach),
         false => state.quotas.decide(now, &account.name, units, limit, reach),
     }
