--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -194,7 +194,7 @@
 
     /// Returns `true` if a node that may be serving, and that reported to this one, was not heard
     /// since a time: neither by this node nor by another aggregator.
-    pub fn is_any_unheard_since(&self, now: Millis, since: Millis) -> bool {
+    pub fn is_any_node_missing_since(&self, now: Millis, since: Millis) -> bool {
         let serving = self.known.values().filter(|member| !member.is_stopping);
         let mut reporting = serving.filter_map(|member| Some((member, member.heard_at?)));
         reporting.any(|(member, heard_at)| {
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -94,11 +94,11 @@
 #[test]
 fn a_node_that_was_not_heard_since_a_window_ended_is_missing() {
     let mut members = members_of("own", 10, 2);
-    assert!(!members.is_any_unheard_since(1_500, 900));
+    assert!(!members.is_any_node_missing_since(1_500, 900));
     members.record_heartbeat(2_000, &heard(&entry("node-0", 10, 100)));
-    assert!(members.is_any_unheard_since(2_100, 1_500));
+    assert!(members.is_any_node_missing_since(2_100, 1_500));
     members.record_heartbeat(2_200, &heard(&entry("node-1", 10, 101)));
-    assert!(!members.is_any_unheard_since(2_300, 1_500));
+    assert!(!members.is_any_node_missing_since(2_300, 1_500));
 }
 
 #[test]
@@ -107,9 +107,9 @@
     members.record_heartbeat(2_000, &heard(&entry("node-0", 10, 100)));
     let stopping = entry("node-1", 10, 101);
     members.record_heartbeat(2_000, &Heartbeat { is_stopping: true, ..heard(&stopping) });
-    assert!(!members.is_any_unheard_since(9_000, 1_500));
-    assert!(members.is_any_unheard_since(9_000, 8_000));
-    assert!(!members.is_any_unheard_since(62_001, 61_000));
+    assert!(!members.is_any_node_missing_since(9_000, 1_500));
+    assert!(members.is_any_node_missing_since(9_000, 8_000));
+    assert!(!members.is_any_node_missing_since(62_001, 61_000));
 }
 
 #[test]
@@ -327,8 +327,8 @@
         (vec![short_id("node-3"), short_id("node-6"), short_id("node-9")], 100)
     );
     // One of the other group was last heard 300 ms before its aggregator said so.
-    assert!(!members.is_any_unheard_since(500, 100));
-    assert!(members.is_any_unheard_since(500, 101));
+    assert!(!members.is_any_node_missing_since(500, 100));
+    assert!(members.is_any_node_missing_since(500, 101));
     // One that turned to the other aggregator is not missing here.
     for now in [2_000, 2_400] {
         members.record_heartbeat(now, &heard(&all[1]));
@@ -337,7 +337,7 @@
         members.record_heartbeat(now, &member(9));
         members.refresh(now);
     }
-    assert!(!members.is_any_unheard_since(2_400, 2_000));
+    assert!(!members.is_any_node_missing_since(2_400, 2_000));
 }
 
 #[test]
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -295,8 +295,8 @@
     let age = now.saturating_sub((window + 1) * length);
     let steady = node.now();
     let ended_at = steady.saturating_sub(age);
-    let is_node_missing =
-        node.with(|state| state.members.is_any_unheard_since(steady, ended_at + ARRIVED_AFTER));
+    let is_node_missing = node
+        .with(|state| state.members.is_any_node_missing_since(steady, ended_at + ARRIVED_AFTER));
     is_settled(age, due, is_node_missing)
 }
 
