--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -207,7 +207,7 @@
     /// Returns `true` if every node that this one hears by itself was heard after a time, and none has started
     /// again since another one. In groups these are the aggregators and the nodes of the own group, and this node must
     /// have aggregated since then: those it did not hear before may be gone unnoticed.
-    pub fn is_whole(&self, heard_since: Millis, running_since: Millis) -> bool {
+    pub fn is_every_node_heard(&self, heard_since: Millis, running_since: Millis) -> bool {
         let is_none_replaced = self.replaced_at.is_none_or(|at| at < running_since);
         let is_grouped = self.is_grouped();
         let is_hearing_all =
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -406,19 +406,19 @@
 #[test]
 fn a_group_is_whole_where_each_node_was_heard_lately_and_none_has_started_again() {
     let mut members = members_of("own", 10, 3);
-    assert!(members.is_whole(1_000, 500));
+    assert!(members.is_every_node_heard(1_000, 500));
     // The others said nothing since.
     members.record_heartbeat(2_000, &heard(&entry("node-0", 10, 100)));
-    assert!(!members.is_whole(1_500, 500));
+    assert!(!members.is_every_node_heard(1_500, 500));
     for number in 1..3 {
         members
             .record_heartbeat(2_000, &heard(&entry(&format!("node-{number}"), 10, 100 + number)));
     }
-    assert!(members.is_whole(1_500, 500));
+    assert!(members.is_every_node_heard(1_500, 500));
     let started = entry("node-1", 10, 101);
     members.record_heartbeat(2_100, &Heartbeat { incarnation: 2, ..heard(&started) });
-    assert!(!members.is_whole(1_500, 500));
-    assert!(members.is_whole(1_500, 2_200));
+    assert!(!members.is_every_node_heard(1_500, 500));
+    assert!(members.is_every_node_heard(1_500, 2_200));
 }
 
 // Guards against the same in groups: a node that becomes an aggregator did not hear all others before.
@@ -437,6 +437,6 @@
     });
     members.refresh(1_450);
     assert!(members.is_grouped() && members.is_aggregator());
-    assert!(!members.is_whole(1_000, 1_400));
-    assert!(members.is_whole(1_000, 1_500));
+    assert!(!members.is_every_node_heard(1_000, 1_400));
+    assert!(members.is_every_node_heard(1_000, 1_500));
 }
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -325,6 +325,7 @@
         let Some(era_age) = state.eras.get_age(now) else { return false };
         // A holder of the era before acts until its lease ends.
         let released_at = now.saturating_sub(era_age) + state.lease.get_length();
-        node.clock.get_start() < began_at && state.members.is_whole(released_at, began_at)
+        node.clock.get_start() < began_at
+            && state.members.is_every_node_heard(released_at, began_at)
     })
 }
