--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -53,7 +53,7 @@
 
 /// What the word of a server did that it leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Departed {
+pub struct DepartureOutcome {
     /// Whether it was not known, and is to be passed on.
     pub is_news: bool,
     /// What it did to the list.
@@ -260,9 +260,9 @@
     }
 
     /// Notes that an incarnation of a server said in an answer that it leaves.
-    pub fn note_departure(&mut self, now: Millis, id: &str, incarnation: u64) -> Departed {
+    pub fn note_departure(&mut self, now: Millis, id: &str, incarnation: u64) -> DepartureOutcome {
         let is_news = self.departures.note(now, id, incarnation);
-        Departed { is_news, change: self.note_leaving(id, incarnation) }
+        DepartureOutcome { is_news, change: self.note_leaving(id, incarnation) }
     }
 
     /// Notes that an answer showed another server in the place of an incarnation of a server.
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{
-    Batch, Change, Departed, Departure, Entry, Server, Update,
+    Batch, Change, Departure, DepartureOutcome, Entry, Server, Update,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
@@ -162,7 +162,7 @@
 pub(crate) fn take_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
-    let Departed { is_news, change } =
+    let DepartureOutcome { is_news, change } =
         node.with(|state| state.directory.note_departure(now, server, *incarnation));
     apply(node, change.into_iter().collect());
     is_news
