--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -208,7 +208,7 @@
     }
 
     /// Notes that the table service did not answer.
-    pub fn note_away(&mut self) {
+    pub fn note_table_unavailable(&mut self) {
         self.is_away = true;
     }
 
