--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -216,7 +216,7 @@
     ///
     /// Entries have time to come back only where the table service was away: a list may also grow
     /// old while servers leave, and those must get nothing more.
-    pub fn note_return(&mut self, now: Millis) {
+    pub fn note_table_recovered(&mut self, now: Millis) {
         if std::mem::take(&mut self.is_away) {
             self.lapsing_until = Some(now + LAPSED_FOR);
         }
