--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -224,7 +224,7 @@
 
     /// Notes that the table service came back from an older copy, which may lack the entries of servers that
     /// live: they have time to write them again.
-    pub fn note_era(&mut self, now: Millis) {
+    pub fn note_table_restored(&mut self, now: Millis) {
         self.returned_at = now;
         self.lapsing_until = Some(now + LAPSED_FOR);
     }
