--- a/crates/core/src/serving/directory/batch.rs
+++ b/crates/core/src/serving/directory/batch.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update<'a> {
     /// The changes since.
-    Changes(Batch),
+    Delta(Batch),
     /// The whole list.
     Whole {
         /// Its version.
@@ -47,7 +47,7 @@
     /// Returns the version of the list with what is given.
     pub fn get_version(&self) -> TableVersion {
         match self {
-            Self::Changes(batch) => batch.version,
+            Self::Delta(batch) => batch.version,
             Self::Whole { version, .. } => *version,
         }
     }
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -162,13 +162,13 @@
         let removed = self.removals.iter_after(after);
         let removed = removed.map(|(id, version)| Entry { id: id.clone(), version, server: None });
         let entries = changed.chain(removed).collect();
-        Update::Changes(Batch { after, version: self.version, entries })
+        Update::Delta(Batch { after, version: self.version, entries })
     }
 
     /// Takes over what a peer gave for a version; `None` where changes before it are missing.
     pub fn take(&mut self, update: Update<'_>) -> Option<Vec<Change>> {
         match update {
-            Update::Changes(batch) => {
+            Update::Delta(batch) => {
                 let version = batch.version;
                 let changes = self.update(batch)?;
                 // The peer's version rises with changes only, also with those that had no effect there.
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -227,11 +227,11 @@
             leaving.is_leaving = true;
             directory.update(listed(3 + 2 * number, leaving));
         }
-        let Update::Changes(all) = directory.get_update(Some(at(1))) else {
+        let Update::Delta(all) = directory.get_update(Some(at(1))) else {
             panic!("the whole list")
         };
         assert_eq!((all.after, all.version, all.entries.len()), (at(1), at(61), 60));
-        let Update::Changes(last) = directory.get_update(Some(at(59))) else {
+        let Update::Delta(last) = directory.get_update(Some(at(59))) else {
             panic!("the whole list")
         };
         assert_eq!(last.entries.len(), 2);
@@ -460,7 +460,7 @@
     assert_eq!(peer.get("a"), known.get("a"));
     assert_eq!(
         known.get_update(Some(returned(5))),
-        Update::Changes(Batch { after: returned(5), version: returned(5), entries: Vec::new() })
+        Update::Delta(Batch { after: returned(5), version: returned(5), entries: Vec::new() })
     );
 }
 
