--- a/crates/core/src/serving/directory/batch.rs
+++ b/crates/core/src/serving/directory/batch.rs
@@ -35,7 +35,7 @@
     /// The changes since.
     Delta(Batch),
     /// The whole list.
-    Whole {
+    Full {
         /// Its version.
         version: TableVersion,
         /// All servers.
@@ -48,7 +48,7 @@
     pub fn get_version(&self) -> TableVersion {
         match self {
             Self::Delta(batch) => batch.version,
-            Self::Whole { version, .. } => *version,
+            Self::Full { version, .. } => *version,
         }
     }
 }
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -151,7 +151,7 @@
         let known = after.filter(|after| self.removals.is_complete_after(*after));
         let Some(after) = known else {
             let servers = self.iter().map(Cow::Borrowed).collect();
-            return Update::Whole { version: self.version, servers };
+            return Update::Full { version: self.version, servers };
         };
         let changed = self.iter_listed().filter(|listed| listed.version > after);
         let changed = changed.map(|listed| Entry {
@@ -175,7 +175,7 @@
                 self.version = self.version.max(version);
                 Some(changes)
             }
-            Update::Whole { version, servers } => {
+            Update::Full { version, servers } => {
                 let servers = servers.into_iter().map(Cow::into_owned).collect();
                 Some(self.replace(version, servers))
             }
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -243,7 +243,7 @@
     let mut directory = Directory::default();
     directory.replace(at(7), vec![server("a", "z1")]);
     for after in [None, Some(6)] {
-        let Update::Whole { version, servers } = directory.get_update(after.map(at)) else {
+        let Update::Full { version, servers } = directory.get_update(after.map(at)) else {
             panic!("changes after {after:?}")
         };
         assert_eq!((version, servers.len()), (at(7), 1));
@@ -455,7 +455,7 @@
     let mut peer = Directory::default();
     peer.replace(at(900), vec![started(10)]);
     let update = known.get_update(Some(peer.get_version()));
-    assert!(matches!(update, Update::Whole { .. }), "{update:?}");
+    assert!(matches!(update, Update::Full { .. }), "{update:?}");
     peer.take(update);
     assert_eq!(peer.get("a"), known.get("a"));
     assert_eq!(
