--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// Takes over what a peer gave for a version; `None` where changes before it are missing.
-    pub fn take(&mut self, update: Update<'_>) -> Option<Vec<Change>> {
+    pub fn apply_update(&mut self, update: Update<'_>) -> Option<Vec<Change>> {
         match update {
             Update::Delta(batch) => {
                 let version = batch.version;
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -262,7 +262,7 @@
             false => known.update(listed(version, server(&id, "z1"))),
         };
         if random.u8(..40) == 0 {
-            peer.take(known.get_update(Some(peer.get_version()))).expect("no gap");
+            peer.apply_update(known.get_update(Some(peer.get_version()))).expect("no gap");
             assert!(known.iter().eq(peer.iter()), "at {version}");
         }
     }
@@ -276,7 +276,7 @@
         known.update(removed(2 + 2 * number, &format!("s{number}")));
         known.update(listed(3 + 2 * number, server(&format!("s{}", number + 1_000), "z1")));
     }
-    peer.take(known.get_update(Some(at(1)))).expect("no gap");
+    peer.apply_update(known.get_update(Some(at(1)))).expect("no gap");
     assert!(known.iter().eq(peer.iter()));
 }
 
@@ -318,7 +318,7 @@
     known.update(removed(2, "never-listed"));
     known.update(listed(3, server("s1", "z1")));
     assert_eq!(known.get_version(), at(3));
-    peer.take(known.get_update(Some(peer.get_version()))).expect("no gap");
+    peer.apply_update(known.get_update(Some(peer.get_version()))).expect("no gap");
     assert_eq!(peer.get_version(), at(3));
 }
 
@@ -359,7 +359,7 @@
     directory.replace(at(1), vec![started(10)]);
     assert!(ready(&directory).is_empty());
     let mut peer = Directory::default();
-    peer.take(directory.get_update(None));
+    peer.apply_update(directory.get_update(None));
     assert!(ready(&peer).is_empty());
 }
 
@@ -434,7 +434,7 @@
     assert_eq!(directory.update(removed(901, "a")), Some(Vec::new()));
     let mut peer = Directory::default();
     peer.replace(at(900), Vec::new());
-    directory.take(peer.get_update(None));
+    directory.apply_update(peer.get_update(None));
     assert_eq!(ready(&directory), ["a"]);
     assert_eq!(directory.get_version(), returned(5));
 }
@@ -456,7 +456,7 @@
     peer.replace(at(900), vec![started(10)]);
     let update = known.get_update(Some(peer.get_version()));
     assert!(matches!(update, Update::Full { .. }), "{update:?}");
-    peer.take(update);
+    peer.apply_update(update);
     assert_eq!(peer.get("a"), known.get("a"));
     assert_eq!(
         known.get_update(Some(returned(5))),
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -124,7 +124,7 @@
 pub(in crate::node) fn take_update(node: &Node, update: Update<'_>) {
     table::note_era(node, update.get_version().era);
     note_servers_known(node);
-    let changes = node.with(|state| state.directory.take(update));
+    let changes = node.with(|state| state.directory.apply_update(update));
     apply(node, changes.unwrap_or_default());
 }
 
