--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -186,7 +186,7 @@
                 let id = format!("i-{:010x}", version % 7);
                 let (after, version) = (at(version - 1), at(version));
                 let entry = Entry { id, version, server: None };
-                directory.update(Batch { after, version, entries: vec![entry] });
+                directory.apply_batch(Batch { after, version, entries: vec![entry] });
                 black_box(directory.get_update(Some(after)));
             });
         });
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -170,7 +170,7 @@
         match update {
             Update::Delta(batch) => {
                 let version = batch.version;
-                let changes = self.update(batch)?;
+                let changes = self.apply_batch(batch)?;
                 // The peer's version rises with changes only, also with those that had no effect there.
                 self.version = self.version.max(version);
                 Some(changes)
@@ -188,7 +188,7 @@
     /// that are not newer than the list are passed over, so that batches may overlap. A batch
     /// without entries changes nothing, the version included: it rises with changes only, so that
     /// nodes with equal lists find them equal.
-    pub fn update(&mut self, batch: Batch) -> Option<Vec<Change>> {
+    pub fn apply_batch(&mut self, batch: Batch) -> Option<Vec<Change>> {
         if !self.is_known || batch.after > self.version {
             return None;
         }
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -35,10 +35,10 @@
     directory.replace(at(1), vec![server("a", "z1")]);
     let mut leaving = server("a", "z1");
     leaving.is_leaving = true;
-    let changes = directory.update(listed(2, leaving.clone()));
+    let changes = directory.apply_batch(listed(2, leaving.clone()));
     assert_eq!(changes, Some(vec![Change::Leaving(leaving)]));
     assert!(ready(&directory).is_empty());
-    directory.update(listed(3, server("a", "z1")));
+    directory.apply_batch(listed(3, server("a", "z1")));
     assert!(ready(&directory).is_empty());
 }
 
@@ -46,9 +46,9 @@
 fn a_removed_server_is_gone() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
-    let changes = directory.update(removed(2, "a"));
+    let changes = directory.apply_batch(removed(2, "a"));
     assert_eq!(changes, Some(vec![Change::Gone(server("a", "z1"))]));
-    assert_eq!(directory.update(removed(3, "a")), Some(Vec::new()));
+    assert_eq!(directory.apply_batch(removed(3, "a")), Some(Vec::new()));
 }
 
 #[test]
@@ -64,7 +64,7 @@
 fn a_batch_after_a_gap_is_not_taken() {
     let mut directory = Directory::default();
     directory.replace(at(7), Vec::new());
-    assert_eq!(directory.update(listed(9, server("a", "z1"))), None);
+    assert_eq!(directory.apply_batch(listed(9, server("a", "z1"))), None);
     assert_eq!(directory.get_version(), at(7));
 }
 
@@ -72,10 +72,10 @@
 fn batches_of_several_sources_may_overlap() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
-    directory.update(removed(2, "a"));
+    directory.apply_batch(removed(2, "a"));
     let mut late = listed(1, server("a", "z1"));
     late.after = at(0);
-    assert_eq!(directory.update(late), Some(Vec::new()));
+    assert_eq!(directory.apply_batch(late), Some(Vec::new()));
     assert!(ready(&directory).is_empty());
     assert_eq!(directory.get_version(), at(2));
 }
@@ -93,7 +93,7 @@
     let mut directory = Directory::default();
     directory.replace(at(7), vec![server("a", "z1")]);
     let nothing = Batch { after: at(7), version: at(900), entries: Vec::new() };
-    assert_eq!(directory.update(nothing), Some(Vec::new()));
+    assert_eq!(directory.apply_batch(nothing), Some(Vec::new()));
     assert_eq!(directory.get_version(), at(7));
 }
 
@@ -105,7 +105,7 @@
     directory.note_table_recovered(10_000);
     assert!(directory.replace(at(5), vec![server("c", "z1")]).is_empty());
     assert_eq!(ready(&directory), ["c", "a", "b"]);
-    assert!(directory.update(listed(6, server("a", "z1"))).expect("no gap").is_empty());
+    assert!(directory.apply_batch(listed(6, server("a", "z1"))).expect("no gap").is_empty());
     assert!(directory.expire_lapsed(11_999).is_empty());
     assert_eq!(directory.expire_lapsed(12_000), [Change::Gone(server("b", "z1"))]);
     assert_eq!(ready(&directory), ["a", "c"]);
@@ -117,7 +117,7 @@
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.note_table_unavailable();
     directory.note_table_recovered(10_000);
-    directory.update(removed(2, "a"));
+    directory.apply_batch(removed(2, "a"));
     assert_eq!(ready(&directory), ["a"]);
     assert_eq!(directory.iter().count(), 0);
 }
@@ -129,7 +129,7 @@
     directory.replace(at(1), vec![leaving.clone()]);
     directory.note_table_unavailable();
     directory.note_table_recovered(10_000);
-    assert_eq!(directory.update(removed(2, "a")), Some(vec![Change::Gone(leaving)]));
+    assert_eq!(directory.apply_batch(removed(2, "a")), Some(vec![Change::Gone(leaving)]));
 }
 
 #[test]
@@ -138,7 +138,7 @@
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.note_table_unavailable();
     directory.note_table_recovered(10_000);
-    directory.update(removed(2, "a"));
+    directory.apply_batch(removed(2, "a"));
     assert_eq!(directory.note_leaving("a", 0), Some(Change::Gone(server("a", "z1"))));
     assert!(ready(&directory).is_empty());
 }
@@ -204,7 +204,7 @@
         let mut directory = Directory::default();
         directory.replace(at(1), vec![]);
         let entries = vec![entry(2, started(first)), entry(3, started(second))];
-        directory.update(Batch { after: at(1), version: at(3), entries });
+        directory.apply_batch(Batch { after: at(1), version: at(3), entries });
         assert_eq!(directory.get("a").map(|server| server.incarnation), Some(20));
     }
 }
@@ -222,10 +222,10 @@
     for count in [1_000, 10_000, 20_000] {
         let mut directory = of_size(count);
         for number in 0..30 {
-            directory.update(removed(2 + 2 * number, &format!("s{number}")));
+            directory.apply_batch(removed(2 + 2 * number, &format!("s{number}")));
             let mut leaving = server(&format!("s{}", number + 100), "z1");
             leaving.is_leaving = true;
-            directory.update(listed(3 + 2 * number, leaving));
+            directory.apply_batch(listed(3 + 2 * number, leaving));
         }
         let Update::Delta(all) = directory.get_update(Some(at(1))) else {
             panic!("the whole list")
@@ -258,8 +258,8 @@
     for version in 2..600 {
         let id = format!("s{}", random.usize(..500));
         match random.bool() {
-            true => known.update(removed(version, &id)),
-            false => known.update(listed(version, server(&id, "z1"))),
+            true => known.apply_batch(removed(version, &id)),
+            false => known.apply_batch(listed(version, server(&id, "z1"))),
         };
         if random.u8(..40) == 0 {
             peer.apply_update(known.get_update(Some(peer.get_version()))).expect("no gap");
@@ -273,8 +273,8 @@
     let mut known = of_size(1_000);
     let mut peer = of_size(1_000);
     for number in 0..2_000 {
-        known.update(removed(2 + 2 * number, &format!("s{number}")));
-        known.update(listed(3 + 2 * number, server(&format!("s{}", number + 1_000), "z1")));
+        known.apply_batch(removed(2 + 2 * number, &format!("s{number}")));
+        known.apply_batch(listed(3 + 2 * number, server(&format!("s{}", number + 1_000), "z1")));
     }
     peer.apply_update(known.get_update(Some(at(1)))).expect("no gap");
     assert!(known.iter().eq(peer.iter()));
@@ -296,7 +296,7 @@
     assert!(parts.windows(2).all(|pair| pair[0].version == pair[1].after));
     let mut directory = of_size(10_000);
     for part in parts {
-        directory.update(part).expect("no gap");
+        directory.apply_batch(part).expect("no gap");
     }
     assert_eq!((directory.count(), directory.get_version()), (0, at(5_000)));
 }
@@ -305,7 +305,7 @@
 fn a_service_with_few_servers_is_listed_without_the_others() {
     let mut directory = of_size(10_000);
     let other = Server { service: "api".to_owned(), ..server("x", "z1") };
-    directory.update(listed(2, other));
+    directory.apply_batch(listed(2, other));
     assert_eq!(directory.iter_ready("api").count(), 1);
     assert_eq!(directory.iter_ready("llm").count(), 10_000);
 }
@@ -315,8 +315,8 @@
 fn a_change_without_effect_brings_a_peer_up_to_date_too() {
     let mut known = of_size(10);
     let mut peer = of_size(10);
-    known.update(removed(2, "never-listed"));
-    known.update(listed(3, server("s1", "z1")));
+    known.apply_batch(removed(2, "never-listed"));
+    known.apply_batch(listed(3, server("s1", "z1")));
     assert_eq!(known.get_version(), at(3));
     peer.apply_update(known.get_update(Some(peer.get_version()))).expect("no gap");
     assert_eq!(peer.get_version(), at(3));
@@ -332,10 +332,10 @@
     assert!(departed.is_news && departed.change.is_some());
     assert!(!directory.note_departure(1_100, "a", 10).is_news);
     // Its entry is written again, is missing from a whole list, and comes back.
-    directory.update(listed(2, started(10)));
+    directory.apply_batch(listed(2, started(10)));
     assert!(ready(&directory).is_empty());
     directory.replace(at(3), Vec::new());
-    directory.update(listed(4, started(10)));
+    directory.apply_batch(listed(4, started(10)));
     assert!(ready(&directory).is_empty());
     // It lapses while the table service is away.
     directory.note_table_unavailable();
@@ -345,7 +345,7 @@
     directory.replace(at(6), vec![started(10)]);
     assert!(ready(&directory).is_empty());
     // Its next start is another server.
-    directory.update(listed(7, started(11)));
+    directory.apply_batch(listed(7, started(11)));
     assert_eq!(ready(&directory), ["a"]);
     // A late answer of the start before changes nothing.
     assert!(!directory.note_departure(3_000, "a", 10).is_news);
@@ -420,7 +420,7 @@
     directory.note_table_restored(1_000);
     directory.replace(returned(700), vec![started(10)]);
     let leaving = Server { is_leaving: true, ..started(10) };
-    let changes = directory.update(changed(returned(701), leaving.clone()));
+    let changes = directory.apply_batch(changed(returned(701), leaving.clone()));
     assert_eq!(changes, Some(vec![Change::Leaving(leaving)]));
     assert_eq!(directory.get_version(), returned(701));
 }
@@ -431,7 +431,7 @@
     let mut directory = Directory::default();
     directory.replace(returned(5), vec![started(10)]);
     assert_eq!(directory.replace(at(900), Vec::new()), []);
-    assert_eq!(directory.update(removed(901, "a")), Some(Vec::new()));
+    assert_eq!(directory.apply_batch(removed(901, "a")), Some(Vec::new()));
     let mut peer = Directory::default();
     peer.replace(at(900), Vec::new());
     directory.apply_update(peer.get_update(None));
@@ -443,7 +443,7 @@
 fn changes_of_a_later_era_are_not_taken_without_its_whole_list() {
     let mut directory = Directory::default();
     directory.replace(at(900), vec![started(10)]);
-    assert_eq!(directory.update(changed(returned(6), started(20))), None);
+    assert_eq!(directory.apply_batch(changed(returned(6), started(20))), None);
     assert_eq!(directory.get_version(), at(900));
 }
 
@@ -472,7 +472,7 @@
     directory.note_table_restored(1_000);
     assert_eq!(directory.replace(returned(700), vec![server("a", "z1")]), []);
     assert_eq!(ready(&directory), ["a", "b"]);
-    directory.update(changed(returned(701), server("b", "z1")));
+    directory.apply_batch(changed(returned(701), server("b", "z1")));
     assert_eq!(directory.expire_lapsed(3_000), []);
     assert_eq!(ready(&directory), ["a", "b"]);
 }
@@ -484,9 +484,9 @@
     for is_removed in [false, true] {
         let mut directory = Directory::default();
         directory.replace(at(1), vec![started(10)]);
-        directory.update(listed(2, leaving.clone()));
+        directory.apply_batch(listed(2, leaving.clone()));
         if is_removed {
-            directory.update(removed(3, "a"));
+            directory.apply_batch(removed(3, "a"));
         }
         for (now, era) in [(1_000, 2), (1_500, 3)] {
             directory.note_table_restored(now);
@@ -494,7 +494,7 @@
             assert_eq!(ready(&directory), Vec::<&str>::new(), "era {era}, removed {is_removed}");
         }
         let again = TableVersion::new(Era::named(3), 2);
-        directory.update(changed(again, started(20)));
+        directory.apply_batch(changed(again, started(20)));
         assert_eq!(ready(&directory), ["a"]);
     }
 }
@@ -504,11 +504,11 @@
 fn a_server_that_was_removed_before_a_return_is_ready_once_it_writes_again() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
-    directory.update(removed(2, "a"));
+    directory.apply_batch(removed(2, "a"));
     directory.note_table_restored(1_000);
     directory.replace(returned(1), vec![started(10)]);
     assert_eq!(ready(&directory), Vec::<&str>::new());
-    directory.update(changed(returned(2), started(10)));
+    directory.apply_batch(changed(returned(2), started(10)));
     assert_eq!(ready(&directory), ["a"]);
 }
 
@@ -523,10 +523,10 @@
     let servers = || ["a", "b", "c", "d"].map(|id| server(id, "z1")).to_vec();
     directory.replace(at(1), servers());
     for (version, id) in [(2, "a"), (3, "b")] {
-        directory.update(listed(version, Server { is_leaving: true, ..server(id, "z1") }));
+        directory.apply_batch(listed(version, Server { is_leaving: true, ..server(id, "z1") }));
     }
-    directory.update(removed(4, "b"));
-    directory.update(removed(5, "c"));
+    directory.apply_batch(removed(4, "b"));
+    directory.apply_batch(removed(5, "c"));
     assert_eq!(departed(&directory, 900), Vec::<String>::new());
     for (now, era) in [(1_000, 2), (60_000, 3)] {
         directory.note_table_restored(now);
@@ -534,6 +534,6 @@
         assert_eq!(departed(&directory, now), ["a", "b"], "era {era}");
     }
     // One that had not begun to leave may live.
-    directory.update(changed(TableVersion::new(Era::named(3), 2), server("c", "z1")));
+    directory.apply_batch(changed(TableVersion::new(Era::named(3), 2), server("c", "z1")));
     assert_eq!(ready(&directory), ["c", "d"]);
 }
--- a/crates/gateway/src/node/peers/news.rs
+++ b/crates/gateway/src/node/peers/news.rs
@@ -125,7 +125,7 @@
     let news = News::ServersChanged(batch.clone());
     let (changes, is_new) = node.with(|state| {
         let before = state.directory.get_version();
-        let changes = state.directory.update(batch);
+        let changes = state.directory.apply_batch(batch);
         (changes, state.directory.get_version() > before)
     });
     match changes {
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -176,7 +176,7 @@
         let parts = batch.clone().split(MOST_IN_DATAGRAM);
         parts.into_iter().for_each(|part| node.push(News::ServersChanged(part)));
     }
-    let changes = node.with(|state| state.directory.update(batch));
+    let changes = node.with(|state| state.directory.apply_batch(batch));
     apply(node, changes.unwrap_or_default());
     node.with(|state| state.servers_freshness.confirm(asked_at));
 }
