--- a/crates/core/src/serving/capacity/found.rs
+++ b/crates/core/src/serving/capacity/found.rs
@@ -11,12 +11,12 @@
 /// Before the first request the number found is the best estimate of the need. Taken from a part of
 /// the list, it would give up the other servers (`docs/design/starts.md`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct InitialCount {
     count: u32,
     grown_at: Option<Millis>,
 }
 
-impl Found {
+impl InitialCount {
     /// Notes the servers that are listed now; returns the most that were listed.
     ///
     /// `is_idle` is `true` if the service had no request yet: until it has one, servers that list
--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -30,7 +30,7 @@
 
 use super::configuration::Scaling;
 
-pub use self::found::Found;
+pub use self::found::InitialCount;
 pub use self::need::{Demand, Needs, PeakWindow, count_crossing, needs};
 pub use self::order::Order;
 
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -1,8 +1,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use keeljunction_core::serving::capacity::{
-    Demand, Found, Inventory, Needs, Order, PeakWindow, Plan, Policy, Snapshot, count_crossing,
-    needs, plan, plan_regions,
+    Demand, InitialCount, Inventory, Needs, Order, PeakWindow, Plan, Policy, Snapshot,
+    count_crossing, needs, plan, plan_regions,
 };
 use keeljunction_core::serving::configuration::Scaling;
 use proptest::prelude::*;
@@ -359,7 +359,7 @@
 
 #[test]
 fn a_list_is_complete_when_it_was_confirmed_a_while_after_its_last_server() {
-    let mut found = Found::default();
+    let mut found = InitialCount::default();
     assert_eq!(found.follow(1_000, 10, true, Some(900)), 10);
     // Silent for long, but nobody confirmed that the list is the newest.
     assert!(!found.is_complete(Some(1_200)));
@@ -372,7 +372,7 @@
 
 #[test]
 fn servers_that_list_themselves_late_count_until_the_first_request() {
-    let mut found = Found::default();
+    let mut found = InitialCount::default();
     found.follow(1_000, 10, true, Some(1_000));
     assert_eq!(found.follow(3_000, 12, true, Some(2_900)), 12);
     assert!(!found.is_complete(Some(2_900)));
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::capacity::{
-    Demand, Found, Inventory, Needs, Order, Plan, Policy, Snapshot, count_crossing, needs,
+    Demand, InitialCount, Inventory, Needs, Order, Plan, Policy, Snapshot, count_crossing, needs,
     plan_regions,
 };
 use keeljunction_core::serving::configuration::{Scaling, Service};
@@ -48,7 +48,7 @@
     /// Since when this holder has known the demand, by service.
     demand_known_since: BTreeMap<String, Millis>,
     /// On-demand servers as they were found, by service and region.
-    found: BTreeMap<(String, String), Found>,
+    found: BTreeMap<(String, String), InitialCount>,
     /// When spot servers may be ordered next while the list of servers grows.
     next_list_order: BTreeMap<String, Millis>,
 }
