--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -18,10 +18,10 @@
 //! | this one | plans |
 //! | `need` | computes how many servers the demand needs, and follows its peaks |
 //! | `placement` | spreads servers over data centres |
-//! | `found` | counts the servers that a new holder of the duties finds |
+//! | `initial_count` | counts the servers that a new holder of the duties finds |
 //! | `order` | follows an order until its servers accept requests |
 
-mod found;
+mod initial_count;
 mod need;
 mod order;
 mod placement;
@@ -30,7 +30,7 @@
 
 use super::configuration::Scaling;
 
-pub use self::found::InitialCount;
+pub use self::initial_count::InitialCount;
 pub use self::need::{Demand, Needs, PeakWindow, count_crossing, needs};
 pub use self::order::Order;
 
