--- a/crates/core/src/serving/capacity/initial_count.rs
+++ b/crates/core/src/serving/capacity/initial_count.rs
@@ -21,7 +21,7 @@
     ///
     /// `is_idle` is `true` if the service had no request yet: until it has one, servers that list
     /// themselves late count too. `known_at` is when the list was last known to be the newest.
-    pub fn follow(
+    pub fn record(
         &mut self,
         now: Millis,
         listed: u32,
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -360,24 +360,24 @@
 #[test]
 fn a_list_is_complete_when_it_was_confirmed_a_while_after_its_last_server() {
     let mut found = InitialCount::default();
-    assert_eq!(found.follow(1_000, 10, true, Some(900)), 10);
+    assert_eq!(found.record(1_000, 10, true, Some(900)), 10);
     // Silent for long, but nobody confirmed that the list is the newest.
     assert!(!found.is_complete(Some(1_200)));
     assert!(!found.is_complete(None));
     assert!(!found.is_complete(Some(2_499)));
     assert!(found.is_complete(Some(2_500)));
-    assert_eq!(found.follow(4_000, 60, true, Some(1_200)), 60);
+    assert_eq!(found.record(4_000, 60, true, Some(1_200)), 60);
     assert!(!found.is_complete(Some(2_500)));
 }
 
 #[test]
 fn servers_that_list_themselves_late_count_until_the_first_request() {
     let mut found = InitialCount::default();
-    found.follow(1_000, 10, true, Some(1_000));
-    assert_eq!(found.follow(3_000, 12, true, Some(2_900)), 12);
+    found.record(1_000, 10, true, Some(1_000));
+    assert_eq!(found.record(3_000, 12, true, Some(2_900)), 12);
     assert!(!found.is_complete(Some(2_900)));
-    assert_eq!(found.follow(6_000, 40, false, Some(5_900)), 12);
-    assert_eq!(found.follow(6_200, 5, true, Some(5_900)), 12);
+    assert_eq!(found.record(6_000, 40, false, Some(5_900)), 12);
+    assert_eq!(found.record(6_200, 5, true, Some(5_900)), 12);
 }
 
 proptest! {
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -207,7 +207,7 @@
         let follow = |(region, inventory): (&String, &BTreeMap<String, Inventory>)| {
             let listed = inventory.values().map(|held| held.on_demand).sum();
             let found = self.found.entry((name.to_owned(), region.clone())).or_default();
-            let count = found.follow(now, listed, is_idle, known_at);
+            let count = found.record(now, listed, is_idle, known_at);
             is_complete &= found.is_complete(known_at);
             (region.clone(), count)
         };
