--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -60,7 +60,7 @@
 
 impl PeakWindow {
     /// Notes a value and returns the largest within `span`.
-    pub fn follow(&mut self, now: Millis, value: u32, span: Millis) -> u32 {
+    pub fn record(&mut self, now: Millis, value: u32, span: Millis) -> u32 {
         self.values.push((now, value));
         self.values.retain(|(at, _)| at + span >= now);
         self.get_largest().unwrap_or(value)
@@ -99,7 +99,7 @@
     ) -> BTreeMap<String, u32> {
         let heard = needs.iter().filter(|(region, _)| !unheard.contains(region.as_str()));
         for (region, need) in heard {
-            self.by_region.entry(region.clone()).or_default().follow(now, *need, span);
+            self.by_region.entry(region.clone()).or_default().record(now, *need, span);
         }
         for region in unheard {
             if let Some(window) = self.by_region.get_mut(*region) {
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -306,10 +306,10 @@
 #[test]
 fn a_need_rises_at_once_and_falls_slowly() {
     let mut slow = PeakWindow::default();
-    assert_eq!(slow.follow(1_000, 3, 5_000), 3);
-    assert_eq!(slow.follow(2_000, 7, 5_000), 7);
-    assert_eq!(slow.follow(7_000, 2, 5_000), 7);
-    assert_eq!(slow.follow(7_001, 2, 5_000), 2);
+    assert_eq!(slow.record(1_000, 3, 5_000), 3);
+    assert_eq!(slow.record(2_000, 7, 5_000), 7);
+    assert_eq!(slow.record(7_000, 2, 5_000), 7);
+    assert_eq!(slow.record(7_001, 2, 5_000), 2);
 }
 
 fn by_region<const N: usize>(needs: [(&str, u32); N]) -> BTreeMap<String, u32> {
