--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -90,7 +90,7 @@
     ///
     /// The need of regions that are not heard stays as it was: requests go on there, and nobody
     /// reports them. Without this, the servers of a region that serves on its own would be given up.
-    pub fn follow(
+    pub fn record(
         &mut self,
         now: Millis,
         needs: &BTreeMap<String, u32>,
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -321,23 +321,23 @@
     let mut needs = Needs::default();
     let all = BTreeSet::new();
     let told = by_region([("a", 10), ("b", 12)]);
-    assert_eq!(needs.follow(1_000, &told, &all, 8_000), told);
+    assert_eq!(needs.record(1_000, &told, &all, 8_000), told);
     // Requests go on there, but no report of them comes.
     let silent = by_region([("a", 10), ("b", 1)]);
     let unheard = BTreeSet::from(["b"]);
     for second in 2..60 {
-        assert_eq!(needs.follow(second * 1_000, &silent, &unheard, 8_000), told);
+        assert_eq!(needs.record(second * 1_000, &silent, &unheard, 8_000), told);
     }
     // Heard again, its need falls as slowly as any.
-    assert_eq!(needs.follow(60_000, &silent, &all, 8_000), told);
-    assert_eq!(needs.follow(68_000, &silent, &all, 8_000), silent);
+    assert_eq!(needs.record(60_000, &silent, &all, 8_000), told);
+    assert_eq!(needs.record(68_000, &silent, &all, 8_000), silent);
 }
 
 #[test]
 fn a_region_of_which_nothing_was_ever_heard_has_no_known_need() {
     let mut needs = Needs::default();
     let told = by_region([("a", 10), ("b", 1)]);
-    let followed = needs.follow(1_000, &told, &BTreeSet::from(["b", "c"]), 8_000);
+    let followed = needs.record(1_000, &told, &BTreeSet::from(["b", "c"]), 8_000);
     assert_eq!(followed, by_region([("a", 10)]));
 }
 
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -92,7 +92,7 @@
                 let latest = needs(&policy, demands);
                 let unheard = unheard.iter().map(String::as_str).collect();
                 let followed = self.needs.entry(name.to_owned()).or_default();
-                (followed.follow(now, &latest, &unheard, FALL_SPAN), policy)
+                (followed.record(now, &latest, &unheard, FALL_SPAN), policy)
             }
             // A holder that does not know the demand yet leaves an earlier holder's mix as it is.
             None if is_mixed && !self.has_ordered(name) => return,
