--- a/crates/core/src/serving/capacity/order.rs
+++ b/crates/core/src/serving/capacity/order.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes how many accept requests now; returns how many are still starting.
-    pub fn follow(&mut self, now: Millis, present: u32, boot: Millis) -> u32 {
+    pub fn update(&mut self, now: Millis, present: u32, boot: Millis) -> u32 {
         self.most_seen = self.most_seen.max(present);
         let is_booting = now < self.at + boot + BOOT_SLACK;
         if is_booting { self.count.saturating_sub(self.most_seen) } else { 0 }
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -344,17 +344,17 @@
 #[test]
 fn servers_that_were_ordered_boot_until_they_are_seen_or_late() {
     let mut order = Order::new(1_000, 34, 0);
-    assert_eq!(order.follow(2_000, 0, 4_000), 34);
-    assert_eq!(order.follow(5_000, 30, 4_000), 4);
+    assert_eq!(order.update(2_000, 0, 4_000), 34);
+    assert_eq!(order.update(5_000, 30, 4_000), 4);
     // Taken away since: they do not boot.
-    assert_eq!(order.follow(6_000, 0, 4_000), 4);
-    assert_eq!(order.follow(8_000, 0, 4_000), 0);
+    assert_eq!(order.update(6_000, 0, 4_000), 4);
+    assert_eq!(order.update(8_000, 0, 4_000), 0);
 }
 
 #[test]
 fn a_wave_right_after_an_order_for_one_more_shows_at_once() {
     let mut order = Order::new(1_000, 34, 33);
-    assert_eq!(order.follow(1_200, 0, 4_000), 1);
+    assert_eq!(order.update(1_200, 0, 4_000), 1);
 }
 
 #[test]
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -251,7 +251,7 @@
         for (data_centre, held) in &mut inventory {
             let place = (name.to_owned(), data_centre.clone(), true);
             let Some(ordered) = self.ordered.get_mut(&place) else { continue };
-            held.spot_booting = ordered.follow(now, held.spot, scaling.boot);
+            held.spot_booting = ordered.update(now, held.spot, scaling.boot);
         }
         inventory
     }
