--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -22,7 +22,7 @@
 ///
 /// The room for bursts follows the load of all regions together, split by their loads: what is too
 /// much for one region may go to another.
-pub fn needs(policy: &Policy, demands: &BTreeMap<String, Demand>) -> BTreeMap<String, u32> {
+pub fn compute_needs(policy: &Policy, demands: &BTreeMap<String, Demand>) -> BTreeMap<String, u32> {
     let reading = |demand: &Demand| demand.tokens_per_second / demand.server_tokens_per_second;
     let filled = |demand: &Demand| demand.in_flight / demand.slots.max(1.0);
     let all_reading: f64 = demands.values().map(reading).sum();
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -2,7 +2,7 @@
 
 use keeljunction_core::serving::capacity::{
     Demand, InitialCount, Inventory, Needs, Order, PeakWindow, Plan, Policy, Snapshot,
-    count_crossing, needs, plan, plan_regions,
+    compute_needs, count_crossing, plan, plan_regions,
 };
 use keeljunction_core::serving::configuration::Scaling;
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
 
 /// Where all requests arrive in one region.
 fn need(policy: &Policy, demand: &Demand) -> u32 {
-    needs(policy, &BTreeMap::from([(String::new(), *demand)]))[""]
+    compute_needs(policy, &BTreeMap::from([(String::new(), *demand)]))[""]
 }
 
 fn scaling(spot_price: Option<f64>) -> Scaling {
@@ -91,7 +91,7 @@
     let by_region = |demands: &[(&str, f64)]| -> Vec<u32> {
         let demands =
             demands.iter().map(|(region, servers)| (region.to_string(), demand(*servers)));
-        needs(&policy, &demands.collect()).into_values().collect()
+        compute_needs(&policy, &demands.collect()).into_values().collect()
     };
     assert_eq!(by_region(&[("", 25.0)]), [55]);
     // 50 and 5 for bursts together; alone, they would hold 4.48 and 2.24 of them.
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -5,8 +5,8 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::capacity::{
-    Demand, InitialCount, Inventory, Needs, Order, Plan, Policy, Snapshot, count_crossing, needs,
-    plan_regions,
+    Demand, InitialCount, Inventory, Needs, Order, Plan, Policy, Snapshot, compute_needs,
+    count_crossing, plan_regions,
 };
 use keeljunction_core::serving::configuration::{Scaling, Service};
 use keeljunction_core::serving::demand::DemandTotals;
@@ -89,7 +89,7 @@
         let unheard = list_unheard(node, &inventories);
         let (needs, policy) = match &demands {
             Some(demands) => {
-                let latest = needs(&policy, demands);
+                let latest = compute_needs(&policy, demands);
                 let unheard = unheard.iter().map(String::as_str).collect();
                 let followed = self.needs.entry(name.to_owned()).or_default();
                 (followed.record(now, &latest, &unheard, FALL_SPAN), policy)
