--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -80,11 +80,11 @@
 
 /// The needs of a service by region, which rise at once and fall slowly.
 #[derive(Clone, Debug, Default)]
-pub struct Needs {
+pub struct PeakNeeds {
     by_region: BTreeMap<String, PeakWindow>,
 }
 
-impl Needs {
+impl PeakNeeds {
     /// Notes what the demand needs now and returns the largest need within `span`, of all regions
     /// whose need is known.
     ///
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use keeljunction_core::serving::capacity::{
-    Demand, InitialCount, Inventory, Needs, Order, PeakWindow, Plan, Policy, Snapshot,
+    Demand, InitialCount, Inventory, Order, PeakNeeds, PeakWindow, Plan, Policy, Snapshot,
     compute_needs, count_crossing, plan, plan_regions,
 };
 use keeljunction_core::serving::configuration::Scaling;
@@ -318,7 +318,7 @@
 
 #[test]
 fn the_need_of_a_region_that_is_not_heard_stays() {
-    let mut needs = Needs::default();
+    let mut needs = PeakNeeds::default();
     let all = BTreeSet::new();
     let told = by_region([("a", 10), ("b", 12)]);
     assert_eq!(needs.record(1_000, &told, &all, 8_000), told);
@@ -335,7 +335,7 @@
 
 #[test]
 fn a_region_of_which_nothing_was_ever_heard_has_no_known_need() {
-    let mut needs = Needs::default();
+    let mut needs = PeakNeeds::default();
     let told = by_region([("a", 10), ("b", 1)]);
     let followed = needs.record(1_000, &told, &BTreeSet::from(["b", "c"]), 8_000);
     assert_eq!(followed, by_region([("a", 10)]));
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::capacity::{
-    Demand, InitialCount, Inventory, Needs, Order, Plan, Policy, Snapshot, compute_needs,
+    Demand, InitialCount, Inventory, Order, PeakNeeds, Plan, Policy, Snapshot, compute_needs,
     count_crossing, plan_regions,
 };
 use keeljunction_core::serving::configuration::{Scaling, Service};
@@ -44,7 +44,7 @@
     ordered: BTreeMap<Place, Order>,
     paused_until: BTreeMap<Place, Millis>,
     /// The largest needs of late, by service.
-    needs: BTreeMap<String, Needs>,
+    needs: BTreeMap<String, PeakNeeds>,
     /// Since when this holder has known the demand, by service.
     demand_known_since: BTreeMap<String, Millis>,
     /// On-demand servers as they were found, by service and region.
