--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -31,7 +31,7 @@
 use super::configuration::Scaling;
 
 pub use self::initial_count::InitialCount;
-pub use self::need::{Demand, PeakNeeds, PeakWindow, compute_needs, count_crossing};
+pub use self::need::{Demand, PeakNeeds, PeakWindow, compute_needs, count_spillable};
 pub use self::order::Order;
 
 use self::placement::{by_price, fill, spread};
--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -46,7 +46,7 @@
 const BITS_PER_MEGABIT: f64 = 1e6;
 
 /// Counts the servers of a region's need whose work may go to other regions at `spill_mbps`.
-pub fn count_crossing(need: u32, tokens_per_second: f64, spill_mbps: f64) -> u32 {
+pub fn count_spillable(need: u32, tokens_per_second: f64, spill_mbps: f64) -> u32 {
     let mbps = tokens_per_second * BITS_PER_TOKEN / BITS_PER_MEGABIT;
     let part = if mbps > spill_mbps { spill_mbps / mbps } else { 1.0 };
     (f64::from(need) * part) as u32
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -2,7 +2,7 @@
 
 use keeljunction_core::serving::capacity::{
     Demand, InitialCount, Inventory, Order, PeakNeeds, PeakWindow, Plan, Policy, Snapshot,
-    compute_needs, count_crossing, plan, plan_regions,
+    compute_needs, count_spillable, plan, plan_regions,
 };
 use keeljunction_core::serving::configuration::Scaling;
 use proptest::prelude::*;
@@ -184,10 +184,10 @@
 #[test]
 fn as_much_work_crosses_as_the_bandwidth_allows() {
     // 1,000,000 tokens a second are 32 Mbit/s.
-    assert_eq!(count_crossing(20, 1e6, 64.0), 20);
-    assert_eq!(count_crossing(20, 1e6, 8.0), 5);
-    assert_eq!(count_crossing(20, 1e6, 0.0), 0);
-    assert_eq!(count_crossing(20, 0.0, 0.0), 20);
+    assert_eq!(count_spillable(20, 1e6, 64.0), 20);
+    assert_eq!(count_spillable(20, 1e6, 8.0), 5);
+    assert_eq!(count_spillable(20, 1e6, 0.0), 0);
+    assert_eq!(count_spillable(20, 0.0, 0.0), 20);
 }
 
 #[test]
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::capacity::{
     Demand, InitialCount, Inventory, Order, PeakNeeds, Plan, Policy, Snapshot, compute_needs,
-    count_crossing, plan_regions,
+    count_spillable, plan_regions,
 };
 use keeljunction_core::serving::configuration::{Scaling, Service};
 use keeljunction_core::serving::demand::DemandTotals;
@@ -155,7 +155,7 @@
                 need,
                 is_spot_exhausted: self.is_spot_exhausted(name, inventory, now),
                 on_demand_held: self.count_on_demand(name, inventory),
-                crossing: count_crossing(
+                crossing: count_spillable(
                     need,
                     get_tokens_per_second(demands, region),
                     node.settings.regions.spill_mbps,
