--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -91,7 +91,7 @@
     /// On-demand servers that were ordered, or are there, in all its data centres.
     pub on_demand_held: u32,
     /// How many servers of its need may stand in other regions: the work of more cannot cross.
-    pub crossing: u32,
+    pub spillable: u32,
 }
 
 impl Snapshot<'_> {
@@ -153,7 +153,7 @@
         _ => scaling.max * snapshot.inventory.len() as u32,
     };
     for (from, lacking) in snapshots {
-        let mut left = lacking.need.saturating_sub(count_places(lacking)).min(lacking.crossing);
+        let mut left = lacking.need.saturating_sub(count_places(lacking)).min(lacking.spillable);
         for (to, snapshot) in snapshots.iter().filter(|(to, _)| *to != from) {
             let taken = moved.entry(to).or_default();
             let room = count_places(snapshot).saturating_sub(snapshot.need + *taken);
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -18,7 +18,7 @@
 
 /// Where nothing is held as on-demand servers, and spot servers can be had.
 fn calm(inventory: &BTreeMap<String, Inventory>, need: u32) -> Snapshot<'_> {
-    Snapshot { inventory, need, is_spot_exhausted: false, on_demand_held: 0, crossing: 0 }
+    Snapshot { inventory, need, is_spot_exhausted: false, on_demand_held: 0, spillable: 0 }
 }
 
 /// Where all requests arrive in one region.
@@ -107,14 +107,14 @@
     [named(["east-a", "east-b"], east), named(["west-a", "west-b"], west)]
 }
 
-fn plan_two(inventory: &[BTreeMap<String, Inventory>; 2], needs: [u32; 2], crossing: u32) -> Plan {
+fn plan_two(inventory: &[BTreeMap<String, Inventory>; 2], needs: [u32; 2], spillable: u32) -> Plan {
     let names = ["east-a", "east-b", "west-a", "west-b"].map(str::to_owned);
     let prices = names.into_iter().zip([1.25, 1.0, 0.8, 0.9]).collect();
     let scaling = Scaling { max: 10, data_centre_prices: prices, ..scaling(Some(0.2)) };
     let [east, west] = inventory;
     let snapshots = [("east", east, needs[0]), ("west", west, needs[1])];
     let snapshots = snapshots.map(|(region, inventory, need)| {
-        (region.to_owned(), Snapshot { crossing, ..calm(inventory, need) })
+        (region.to_owned(), Snapshot { spillable, ..calm(inventory, need) })
     });
     plan_regions(&POLICY, &scaling, &snapshots.into())
 }
@@ -160,7 +160,7 @@
     let [west, _] = two_regions([held; 2], [held; 2]);
     let scaling = Scaling { max: 10, ..scaling(Some(0.2)) };
     let nowhere = BTreeMap::new();
-    let east = Snapshot { crossing: 10, ..calm(&nowhere, 4) };
+    let east = Snapshot { spillable: 10, ..calm(&nowhere, 4) };
     let snapshots = [("east".to_owned(), east), ("west".to_owned(), calm(&west, 4))].into();
     let plan = plan_regions(&POLICY, &scaling, &snapshots);
     assert_eq!(list(&plan.spot), [4, 4]);
@@ -383,9 +383,9 @@
 proptest! {
     /// One region is planned as all data centres together.
     #[test]
-    fn one_region_takes_nothing_over(held in 0u32..5, demand in 0u32..30, crossing in 0u32..30) {
+    fn one_region_takes_nothing_over(held in 0u32..5, demand in 0u32..30, spillable in 0u32..30) {
         let inventory = inventory(held);
-        let snapshot = Snapshot { crossing, ..calm(&inventory, demand) };
+        let snapshot = Snapshot { spillable, ..calm(&inventory, demand) };
         let snapshots = BTreeMap::from([(String::new(), snapshot)]);
         let scaling = scaling(Some(0.2));
         prop_assert_eq!(
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -155,7 +155,7 @@
                 need,
                 is_spot_exhausted: self.is_spot_exhausted(name, inventory, now),
                 on_demand_held: self.count_on_demand(name, inventory),
-                crossing: count_spillable(
+                spillable: count_spillable(
                     need,
                     get_tokens_per_second(demands, region),
                     node.settings.regions.spill_mbps,
