--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -99,7 +99,7 @@
     ///
     /// On-demand servers may then be given up while the list of servers still grows. Of an order for
     /// fewer, nobody knows whether those stay that have listed themselves.
-    pub fn is_carried_by_spot(&self, scaling: &Scaling) -> bool {
+    pub fn is_spot_sufficient(&self, scaling: &Scaling) -> bool {
         let least = scaling.min * self.inventory.len() as u32;
         self.inventory.values().map(|held| held.spot).sum::<u32>() >= self.need.max(least)
     }
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -457,7 +457,7 @@
     {
         let inventory = held(spot);
         let snapshot = calm(&inventory, need);
-        assert_eq!(snapshot.is_carried_by_spot(&scaling), is_carried, "{need} {spot}");
+        assert_eq!(snapshot.is_spot_sufficient(&scaling), is_carried, "{need} {spot}");
     }
     // What is then planned gives up as many as may leave at once, and keeps more spot servers than are needed.
     let inventory = held(900);
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -117,7 +117,7 @@
             // On-demand servers that have not listed themselves yet must not be given up, unless they
             // are known to be too many.
             let snapshot = snapshots.get(get_region(node, &order.data_centre));
-            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_carried_by_spot(scaling));
+            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_spot_sufficient(scaling));
             let is_surplus = is_demand_followed && is_carried;
             if !is_complete && !order.is_spot && !is_surplus {
                 continue;
