--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -41,7 +41,7 @@
 
 /// The counts of all incarnations in some windows, in few bytes: each client account is named once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct LedgerSnapshot {
     accounts: Vec<String>,
     windows: Vec<(WindowNumber, Vec<KeptIncarnation>)>,
 }
@@ -53,7 +53,7 @@
     counts: Vec<u64>,
 }
 
-impl Kept {
+impl LedgerSnapshot {
     /// Returns `true` if there are no windows.
     pub fn is_empty(&self) -> bool {
         self.windows.is_empty()
@@ -151,7 +151,7 @@
 
     /// Lists the counts of all incarnations in the windows from one on, so that they can be kept
     /// elsewhere.
-    pub fn get_since(&self, first: WindowNumber) -> Kept {
+    pub fn get_since(&self, first: WindowNumber) -> LedgerSnapshot {
         let windows = || self.windows.range(first..);
         let counts = windows().flat_map(|(_, incarnations)| incarnations.values());
         let accounts: BTreeSet<&String> = counts.flat_map(|counts| counts.keys()).collect();
@@ -161,14 +161,14 @@
         };
         let windows = windows()
             .map(|(window, incarnations)| (*window, incarnations.iter().map(keep).collect()));
-        Kept {
+        LedgerSnapshot {
             windows: windows.collect(),
             accounts: accounts.iter().map(|name| (*name).clone()).collect(),
         }
     }
 
     /// Takes over counts that were kept.
-    pub fn merge_kept(&mut self, kept: &Kept) {
+    pub fn merge_kept(&mut self, kept: &LedgerSnapshot) {
         for (window, incarnations) in &kept.windows {
             for known in incarnations {
                 let counts = kept.accounts.iter().cloned().zip(known.counts.iter().copied());
--- a/crates/gateway/src/node/usage_rows.rs
+++ b/crates/gateway/src/node/usage_rows.rs
@@ -4,7 +4,7 @@
 //! not reported yet.
 
 use keeljunction_core::serving::era::Era;
-use keeljunction_core::serving::usage::{Counts, Kept, WindowNumber};
+use keeljunction_core::serving::usage::{Counts, LedgerSnapshot, WindowNumber};
 
 use super::{document, table};
 use crate::port::Row;
@@ -69,7 +69,7 @@
 }
 
 /// Encodes counts for one row: most of them are small, and packed they take a fraction of the bytes.
-pub fn encode_running(kept: &Kept) -> Option<Vec<u8>> {
+pub fn encode_running(kept: &LedgerSnapshot) -> Option<Vec<u8>> {
     let encoded = postcard::to_stdvec(kept);
     let encoded =
         encoded.inspect_err(|error| log::error!("running counts cannot be encoded: {error}"));
@@ -77,7 +77,7 @@
 }
 
 /// Decodes running counts; `None` where they cannot be read.
-pub(super) fn decode_running(row: &Row) -> Option<Kept> {
+pub(super) fn decode_running(row: &Row) -> Option<LedgerSnapshot> {
     postcard::from_bytes(&document::unpack(row.value.as_deref()?)?).ok()
 }
 
