--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -168,7 +168,7 @@
     }
 
     /// Takes over counts that were kept.
-    pub fn merge_kept(&mut self, kept: &LedgerSnapshot) {
+    pub fn merge_snapshot(&mut self, kept: &LedgerSnapshot) {
         for (window, incarnations) in &kept.windows {
             for known in incarnations {
                 let counts = kept.accounts.iter().cloned().zip(known.counts.iter().copied());
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -70,7 +70,7 @@
     let mut after = Ledger::default();
     after.merge(7, &incarnation("b", 1), &Counts::from([("acme".to_owned(), 4)]));
     after.count(7, &incarnation("a", 2), "acme");
-    after.merge_kept(&kept);
+    after.merge_snapshot(&kept);
     assert_eq!(after.total(7), Counts::from([("acme".to_owned(), 6)]));
     assert_eq!(after.get_first_window(), Some(7));
 }
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -131,7 +131,7 @@
         // Counts only grow, so that those of an earlier era add what is not known yet.
         let all_running = rows.earlier_running.iter().copied().chain(rows.running);
         for kept in all_running.filter_map(usage_rows::decode_running) {
-            node.with(|state| state.usage.merge_kept(&kept));
+            node.with(|state| state.usage.merge_snapshot(&kept));
         }
         self.frozen = rows.frozen.into_iter().filter_map(usage_rows::decode).collect();
         for (window, counts) in &self.frozen {
