--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -151,7 +151,7 @@
 
     /// Lists the counts of all incarnations in the windows from one on, so that they can be kept
     /// elsewhere.
-    pub fn get_since(&self, first: WindowNumber) -> LedgerSnapshot {
+    pub fn get_snapshot(&self, first: WindowNumber) -> LedgerSnapshot {
         let windows = || self.windows.range(first..);
         let counts = windows().flat_map(|(_, incarnations)| incarnations.values());
         let accounts: BTreeSet<&String> = counts.flat_map(|counts| counts.keys()).collect();
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -66,7 +66,7 @@
     before.count(6, &incarnation("a", 1), "acme");
     before.count(7, &incarnation("a", 1), "acme");
     before.count(7, &incarnation("b", 1), "acme");
-    let kept = before.get_since(7);
+    let kept = before.get_snapshot(7);
     let mut after = Ledger::default();
     after.merge(7, &incarnation("b", 1), &Counts::from([("acme".to_owned(), 4)]));
     after.count(7, &incarnation("a", 2), "acme");
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -175,7 +175,7 @@
         }
         self.running.written_at = now;
         let first = self.reported.last().map_or(0, |window| window + 1);
-        let kept = node.with(|state| state.usage.get_since(first));
+        let kept = node.with(|state| state.usage.get_snapshot(first));
         if kept.is_empty() {
             return;
         }
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -25,7 +25,7 @@
                 ledger.merge(window, &incarnation, counts);
             }
         }
-        let kept = ledger.get_since(1);
+        let kept = ledger.get_snapshot(1);
         let unpacked = postcard::to_stdvec(&kept).expect("encoded").len();
         let packed = encode_running(&kept).expect("encoded").len();
         assert!(packed < LONGEST_ROW, "{packed} of {unpacked} bytes, {incarnations} groups");
