--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -273,7 +273,7 @@
 
 /// Returns for how many windows rows and counts are kept; `due` is the time after a window's end at which its report
 /// must be there. Any holder that may still report a window finds what was reported of it.
-pub fn count_kept(due: Millis, length: Millis) -> u64 {
+pub fn count_retained_windows(due: Millis, length: Millis) -> u64 {
     due.div_ceil(length.max(1)) + KEPT_BEYOND_DUE
 }
 
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -1,5 +1,6 @@
 use keeljunction_core::serving::usage::{
-    Counts, Frozen, Incarnation, Ledger, Outgoing, WindowSet, count_kept, is_settled, window_at,
+    Counts, Frozen, Incarnation, Ledger, Outgoing, WindowSet, count_retained_windows, is_settled,
+    window_at,
 };
 use proptest::prelude::*;
 
@@ -148,9 +149,9 @@
 
 #[test]
 fn all_windows_that_are_due_are_kept() {
-    assert_eq!(count_kept(10_000, 5_000), 8);
-    assert_eq!(count_kept(10_000, 500), 26);
-    assert_eq!(count_kept(500, 5_000), 7);
+    assert_eq!(count_retained_windows(10_000, 5_000), 8);
+    assert_eq!(count_retained_windows(10_000, 500), 26);
+    assert_eq!(count_retained_windows(500, 5_000), 7);
 }
 
 // Guards against a window that is counted anew because the counts that it was frozen with got lost on their way.
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -30,7 +30,7 @@
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{
-    Frozen, Incarnation, Ledger, Outgoing, count_kept, window_at,
+    Frozen, Incarnation, Ledger, Outgoing, count_retained_windows, window_at,
 };
 
 use super::cut_runs;
@@ -249,7 +249,8 @@
         let topology = Arc::new(topology);
         let bounds = settings.bounds;
         let due = (bounds.usage_late_s * 1_000.0) as Millis;
-        let windows_kept = count_kept(due, (bounds.report_window_s * 1_000.0) as Millis);
+        let windows_kept =
+            count_retained_windows(due, (bounds.report_window_s * 1_000.0) as Millis);
         let allowance = Allowance {
             ratio: bounds.retry_budget_ratio,
             least: bounds.budget_min_retries,
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -18,7 +18,7 @@
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{
-    Counts, WindowNumber, WindowSet, count_kept, get_settle_time, is_settled, window_at,
+    Counts, WindowNumber, WindowSet, count_retained_windows, get_settle_time, is_settled, window_at,
 };
 
 use super::usage_rows::{self, FrozenKey, TABLE};
@@ -268,7 +268,7 @@
 }
 
 fn count_windows_kept(node: &Node) -> u64 {
-    count_kept(get_due(node), get_length(node))
+    count_retained_windows(get_due(node), get_length(node))
 }
 
 /// Returns the first window whose report is still worth something.
