--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -18,7 +18,7 @@
 /// Each report to other nodes names the windows that its sender knows, and lists the counts of some. Of a window
 /// that was only named the counts were lost on their way: it may have been reported.
 #[derive(Clone, Debug)]
-pub struct Frozen {
+pub struct FrozenWindows {
     /// How many windows are remembered, the latest ones.
     most: usize,
     known: BTreeMap<WindowNumber, Known>,
@@ -32,7 +32,7 @@
     repeats: u32,
 }
 
-impl Frozen {
+impl FrozenWindows {
     /// Makes a memory of so many windows.
     pub fn new(most: u64) -> Self {
         let most = usize::try_from(most).unwrap_or(usize::MAX);
--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::Millis;
 
-pub use self::frozen::Frozen;
+pub use self::frozen::FrozenWindows;
 pub use self::window_set::WindowSet;
 
 /// The number of a window: window `k` begins `k` times its length after the Unix epoch.
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -1,6 +1,6 @@
 use keeljunction_core::serving::usage::{
-    Counts, Frozen, Incarnation, Ledger, Outgoing, WindowSet, count_retained_windows, is_settled,
-    window_at,
+    Counts, FrozenWindows, Incarnation, Ledger, Outgoing, WindowSet, count_retained_windows,
+    is_settled, window_at,
 };
 use proptest::prelude::*;
 
@@ -112,7 +112,7 @@
 #[test]
 fn a_frozen_window_stays_as_it_was_frozen_first() {
     let counts = |count| Counts::from([("acme".to_owned(), count)]);
-    let mut frozen = Frozen::new(8);
+    let mut frozen = FrozenWindows::new(8);
     frozen.note_heard(7, &counts(3));
     assert!(!frozen.note_own(7, &counts(4)));
     assert_eq!(frozen.get(7), Some(&counts(3)));
@@ -120,17 +120,17 @@
 
 #[test]
 fn the_latest_frozen_windows_are_remembered() {
-    let mut frozen = Frozen::new(8);
+    let mut frozen = FrozenWindows::new(8);
     (0..100).for_each(|window| frozen.note_heard(window, &Counts::new()));
     assert_eq!((frozen.get(91), frozen.get(92)), (None, Some(&Counts::new())));
 }
 
 #[test]
 fn the_node_that_froze_a_window_lists_it_in_a_few_reports_and_all_do_so_once_after_a_return() {
-    let mut own = Frozen::new(8);
+    let mut own = FrozenWindows::new(8);
     own.note_own(7, &Counts::new());
     assert_eq!((0..5).map(|_| own.list_due().len()).collect::<Vec<_>>(), [1, 1, 1, 0, 0]);
-    let mut other = Frozen::new(8);
+    let mut other = FrozenWindows::new(8);
     other.note_heard(7, &Counts::new());
     assert!(other.list_due().is_empty());
     other.repeat();
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_report_lists_a_few_frozen_windows_the_latest_first() {
-    let mut frozen = Frozen::new(8);
+    let mut frozen = FrozenWindows::new(8);
     (1..=5).for_each(|window| frozen.note_heard(window, &Counts::new()));
     frozen.repeat();
     let mut list = || frozen.list_due().into_iter().map(|(window, _)| window).collect::<Vec<_>>();
@@ -157,9 +157,9 @@
 // Guards against a window that is counted anew because the counts that it was frozen with got lost on their way.
 #[test]
 fn a_window_that_another_node_knows_as_frozen_is_named_without_its_counts() {
-    let mut own = Frozen::new(8);
+    let mut own = FrozenWindows::new(8);
     [3, 7, 9].into_iter().for_each(|window| assert!(own.note_own(window, &Counts::new())));
-    let mut other = Frozen::new(8);
+    let mut other = FrozenWindows::new(8);
     other.note_named(own.get_names());
     assert!([3, 7, 9].into_iter().all(|window| other.is_named(window)));
     assert!([2, 4, 8, 10].into_iter().all(|window| !other.is_named(window)));
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -30,7 +30,7 @@
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{
-    Frozen, Incarnation, Ledger, Outgoing, count_retained_windows, window_at,
+    FrozenWindows, Incarnation, Ledger, Outgoing, count_retained_windows, window_at,
 };
 
 use super::cut_runs;
@@ -170,7 +170,7 @@
     /// Requests that began.
     pub usage: Ledger,
     /// Windows of them that were frozen.
-    pub frozen: Frozen,
+    pub frozen: FrozenWindows,
     /// Which windows of them the next summary holds.
     pub(super) outgoing_usage: Outgoing,
     /// Tokens requested, by service.
@@ -283,7 +283,7 @@
             quotas: Quotas::new(clock.now(), tolerance),
             budget: Budget::new(allowance),
             usage: Ledger::default(),
-            frozen: Frozen::new(windows_kept),
+            frozen: FrozenWindows::new(windows_kept),
             outgoing_usage: Outgoing::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
