--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -41,7 +41,7 @@
 
     /// Notes that this node has frozen a window, or has found its row; returns `true` if that was not known.
     /// What was known first stays.
-    pub fn note_own(&mut self, window: WindowNumber, counts: &Counts) -> bool {
+    pub fn record_own(&mut self, window: WindowNumber, counts: &Counts) -> bool {
         self.note(window, counts, REPEATS)
     }
 
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -114,7 +114,7 @@
     let counts = |count| Counts::from([("acme".to_owned(), count)]);
     let mut frozen = FrozenWindows::new(8);
     frozen.note_heard(7, &counts(3));
-    assert!(!frozen.note_own(7, &counts(4)));
+    assert!(!frozen.record_own(7, &counts(4)));
     assert_eq!(frozen.get(7), Some(&counts(3)));
 }
 
@@ -128,7 +128,7 @@
 #[test]
 fn the_node_that_froze_a_window_lists_it_in_a_few_reports_and_all_do_so_once_after_a_return() {
     let mut own = FrozenWindows::new(8);
-    own.note_own(7, &Counts::new());
+    own.record_own(7, &Counts::new());
     assert_eq!((0..5).map(|_| own.list_due().len()).collect::<Vec<_>>(), [1, 1, 1, 0, 0]);
     let mut other = FrozenWindows::new(8);
     other.note_heard(7, &Counts::new());
@@ -158,7 +158,7 @@
 #[test]
 fn a_window_that_another_node_knows_as_frozen_is_named_without_its_counts() {
     let mut own = FrozenWindows::new(8);
-    [3, 7, 9].into_iter().for_each(|window| assert!(own.note_own(window, &Counts::new())));
+    [3, 7, 9].into_iter().for_each(|window| assert!(own.record_own(window, &Counts::new())));
     let mut other = FrozenWindows::new(8);
     other.note_named(own.get_names());
     assert!([3, 7, 9].into_iter().all(|window| other.is_named(window)));
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -303,7 +303,7 @@
 /// Remembers a frozen window, whose row may be gone after a return; returns `true` if that is news. A table
 /// service that names no eras loses nothing.
 fn remember(node: &Node, era: Era, window: WindowNumber, counts: &Counts) -> bool {
-    era != Era::UNNAMED && node.with(|state| state.frozen.note_own(window, counts))
+    era != Era::UNNAMED && node.with(|state| state.frozen.record_own(window, counts))
 }
 
 /// Returns `true` if a window without a row was surely not reported: nothing was lost since, or each node that
