--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -46,7 +46,7 @@
     }
 
     /// Notes that another node has frozen a window. What was known first stays.
-    pub fn note_heard(&mut self, window: WindowNumber, counts: &Counts) {
+    pub fn record_remote(&mut self, window: WindowNumber, counts: &Counts) {
         self.note(window, counts, 0);
     }
 
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -113,7 +113,7 @@
 fn a_frozen_window_stays_as_it_was_frozen_first() {
     let counts = |count| Counts::from([("acme".to_owned(), count)]);
     let mut frozen = FrozenWindows::new(8);
-    frozen.note_heard(7, &counts(3));
+    frozen.record_remote(7, &counts(3));
     assert!(!frozen.record_own(7, &counts(4)));
     assert_eq!(frozen.get(7), Some(&counts(3)));
 }
@@ -121,7 +121,7 @@
 #[test]
 fn the_latest_frozen_windows_are_remembered() {
     let mut frozen = FrozenWindows::new(8);
-    (0..100).for_each(|window| frozen.note_heard(window, &Counts::new()));
+    (0..100).for_each(|window| frozen.record_remote(window, &Counts::new()));
     assert_eq!((frozen.get(91), frozen.get(92)), (None, Some(&Counts::new())));
 }
 
@@ -131,7 +131,7 @@
     own.record_own(7, &Counts::new());
     assert_eq!((0..5).map(|_| own.list_due().len()).collect::<Vec<_>>(), [1, 1, 1, 0, 0]);
     let mut other = FrozenWindows::new(8);
-    other.note_heard(7, &Counts::new());
+    other.record_remote(7, &Counts::new());
     assert!(other.list_due().is_empty());
     other.repeat();
     assert_eq!(other.list_due(), [(7, Counts::new())]);
@@ -141,7 +141,7 @@
 #[test]
 fn a_report_lists_a_few_frozen_windows_the_latest_first() {
     let mut frozen = FrozenWindows::new(8);
-    (1..=5).for_each(|window| frozen.note_heard(window, &Counts::new()));
+    (1..=5).for_each(|window| frozen.record_remote(window, &Counts::new()));
     frozen.repeat();
     let mut list = || frozen.list_due().into_iter().map(|(window, _)| window).collect::<Vec<_>>();
     assert_eq!([list(), list(), list(), list()], [vec![5, 4], vec![3, 2], vec![1], vec![]]);
--- a/crates/gateway/src/node/peers/news.rs
+++ b/crates/gateway/src/node/peers/news.rs
@@ -97,7 +97,7 @@
             }
         }
         News::UsageFrozen(window, counts) => {
-            node.with(|state| state.frozen.note_heard(window, &counts));
+            node.with(|state| state.frozen.record_remote(window, &counts));
         }
         News::RolloutChanged(announcement) => take_rollout(node, from, announcement).await,
         News::ServersChanged(batch) => take_servers(node, from, batch).await,
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -299,7 +299,7 @@
         state.rollouts.merge(false, from, &totals.rollouts);
         state.frozen.note_named(frozen_windows);
         for (window, counts) in &frozen {
-            state.frozen.note_heard(*window, counts);
+            state.frozen.record_remote(*window, counts);
         }
         let is_grouped = state.members.is_grouped();
         for (service, samples) in totals.throughputs {
