--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -51,7 +51,7 @@
     }
 
     /// Notes that another node knows some windows as frozen.
-    pub fn note_named(&mut self, windows: WindowSet) {
+    pub fn record_announced(&mut self, windows: WindowSet) {
         self.named.extend(windows.iter());
         while self.named.len() > self.most {
             self.named.pop_first();
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -297,7 +297,7 @@
         }
         state.demand.merge(now, false, from, &totals.demand);
         state.rollouts.merge(false, from, &totals.rollouts);
-        state.frozen.note_named(frozen_windows);
+        state.frozen.record_announced(frozen_windows);
         for (window, counts) in &frozen {
             state.frozen.record_remote(*window, counts);
         }
