--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns `true` if another node knows a window as frozen, whether or not its counts arrived here.
-    pub fn is_named(&self, window: WindowNumber) -> bool {
+    pub fn is_announced(&self, window: WindowNumber) -> bool {
         self.named.contains(&window)
     }
 
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -319,7 +319,7 @@
         }
         let is_too_old_to_be_named =
             window + WindowSet::SPAN <= window_at(runtime::unix_ms(), length);
-        if is_too_old_to_be_named || state.frozen.is_named(window) {
+        if is_too_old_to_be_named || state.frozen.is_announced(window) {
             return false;
         }
         let Some(era_age) = state.eras.get_age(now) else { return false };
