--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the windows that this node knows as frozen, which each report names.
-    pub fn get_names(&self) -> WindowSet {
+    pub fn get_windows(&self) -> WindowSet {
         self.known.keys().copied().collect()
     }
 
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -160,11 +160,11 @@
     let mut own = FrozenWindows::new(8);
     [3, 7, 9].into_iter().for_each(|window| assert!(own.record_own(window, &Counts::new())));
     let mut other = FrozenWindows::new(8);
-    other.record_announced(own.get_names());
+    other.record_announced(own.get_windows());
     assert!([3, 7, 9].into_iter().all(|window| other.is_announced(window)));
     assert!([2, 4, 8, 10].into_iter().all(|window| !other.is_announced(window)));
     assert_eq!(other.get(7), None);
-    assert_eq!(other.get_names(), WindowSet::default());
+    assert_eq!(other.get_windows(), WindowSet::default());
 }
 
 #[test]
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -214,7 +214,7 @@
             limits: overview.limits.clone(),
             departures: overview.departures.clone(),
             versions,
-            frozen_windows: state.frozen.get_names(),
+            frozen_windows: state.frozen.get_windows(),
             frozen: state.frozen.list_due(),
         };
         let aggregators = state.members.list_exchange_peers(now);
