--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -212,12 +212,12 @@
 /// Of the latest windows, all but one or two have ended. Each holds a count for every client account, and
 /// an aggregator sends them to all others.
 #[derive(Clone, Debug, Default)]
-pub struct Outgoing {
+pub struct ReportFilter {
     /// What stands for the counts of a window, and the report in which they last changed.
     sent: BTreeMap<WindowNumber, (u64, u64)>,
 }
 
-impl Outgoing {
+impl ReportFilter {
     /// Leaves out of a report, the number of which is `turn`, the windows that have not changed lately.
     pub fn select(
         &mut self,
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -1,5 +1,5 @@
 use keeljunction_core::serving::usage::{
-    Counts, FrozenWindows, Incarnation, Ledger, Outgoing, WindowSet, count_retained_windows,
+    Counts, FrozenWindows, Incarnation, Ledger, ReportFilter, WindowSet, count_retained_windows,
     is_settled, window_at,
 };
 use proptest::prelude::*;
@@ -84,7 +84,7 @@
 /// The load of many client accounts: an aggregator sends its counts to all others five times a second.
 #[test]
 fn windows_that_have_ended_are_repeated_for_two_seconds_and_then_seldom() {
-    let mut outgoing = Outgoing::default();
+    let mut outgoing = ReportFilter::default();
     let windows = |now: u64| {
         let ended = (1..4).map(|window| (window, of_accounts(333, window)));
         ended.chain([(4, of_accounts(333, now))]).collect::<Vec<_>>()
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_window_that_changes_late_is_reported_again() {
-    let mut outgoing = Outgoing::default();
+    let mut outgoing = ReportFilter::default();
     for turn in 1..40 {
         outgoing.select(turn, vec![(1, of_accounts(3, 1)), (2, of_accounts(3, 2))]);
     }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -30,7 +30,7 @@
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{
-    FrozenWindows, Incarnation, Ledger, Outgoing, count_retained_windows, window_at,
+    FrozenWindows, Incarnation, Ledger, ReportFilter, count_retained_windows, window_at,
 };
 
 use super::cut_runs;
@@ -172,7 +172,7 @@
     /// Windows of them that were frozen.
     pub frozen: FrozenWindows,
     /// Which windows of them the next summary holds.
-    pub(super) outgoing_usage: Outgoing,
+    pub(super) outgoing_usage: ReportFilter,
     /// Tokens requested, by service.
     pub demand: DemandBook,
     /// Moves of services to other versions.
@@ -284,7 +284,7 @@
             budget: Budget::new(allowance),
             usage: Ledger::default(),
             frozen: FrozenWindows::new(windows_kept),
-            outgoing_usage: Outgoing::default(),
+            outgoing_usage: ReportFilter::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
             distances: Distances::default(),
