--- a/crates/core/src/serving/usage/window_set.rs
+++ b/crates/core/src/serving/usage/window_set.rs
@@ -17,7 +17,7 @@
     pub const SPAN: u64 = u64::BITS as u64;
 
     /// Returns `true` if a window is one of them.
-    pub fn has(&self, window: WindowNumber) -> bool {
+    pub fn contains(&self, window: WindowNumber) -> bool {
         let place = self.last.checked_sub(window).and_then(|place| u32::try_from(place).ok());
         place.is_some_and(|place| self.before_last.checked_shr(place).unwrap_or(0) & 1 == 1)
     }
@@ -26,7 +26,7 @@
     pub fn iter(&self) -> impl Iterator<Item = WindowNumber> {
         let set = *self;
         let windows = (0..Self::SPAN).filter_map(move |place| set.last.checked_sub(place));
-        windows.filter(move |window| set.has(*window))
+        windows.filter(move |window| set.contains(*window))
     }
 }
 
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -174,5 +174,5 @@
     assert_eq!(WindowSet::default().iter().count(), 0);
     let first: WindowSet = [0].into_iter().collect();
     assert_eq!(first.iter().collect::<Vec<_>>(), [0]);
-    assert!(!first.has(1));
+    assert!(!first.contains(1));
 }
