--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -51,7 +51,7 @@
 
 /// An era that a node did not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct EraChange {
     /// The era.
     pub era: Era,
     /// The one before it, where the node knew one.
@@ -89,7 +89,7 @@
 
     /// Notes the era of an answer, or of what another node knows; returns it where it is newer than what
     /// is known.
-    pub fn note(&mut self, now: Millis, era: Era) -> Option<Begun> {
+    pub fn note(&mut self, now: Millis, era: Era) -> Option<EraChange> {
         let before = self.current.map(|current| current.era);
         if before >= Some(era) {
             return None;
@@ -98,7 +98,7 @@
         let begun_at = is_return.then_some(now);
         self.current =
             Some(Current { era, begun_at, is_return, origin: None, is_rewritten: false });
-        Some(Begun { era, before })
+        Some(EraChange { era, before })
     }
 
     /// Returns `true` if the node knew an earlier era than the current one.
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -1,17 +1,17 @@
-use keeljunction_core::serving::era::{Begun, Era, Eras, Origin};
+use keeljunction_core::serving::era::{Era, EraChange, Eras, Origin};
 
 const READ_FROM_ROW: Origin = Origin { age: 500, unix_ms: 1_000_000 };
 
 #[test]
 fn an_era_is_news_once_and_an_earlier_one_never() {
     let mut eras = Eras::default();
-    assert_eq!(eras.note(0, Era::named(2)), Some(Begun { era: Era::named(2), before: None }));
+    assert_eq!(eras.note(0, Era::named(2)), Some(EraChange { era: Era::named(2), before: None }));
     assert_eq!(eras.note(10, Era::named(2)), None);
     assert_eq!(eras.note(20, Era::named(1)), None);
     assert!(eras.is_superseded(Era::named(1)));
     assert_eq!(
         eras.note(30, Era::named(4)),
-        Some(Begun { era: Era::named(4), before: Some(Era::named(2)) })
+        Some(EraChange { era: Era::named(4), before: Some(Era::named(2)) })
     );
     assert_eq!(eras.get(), Era::named(4));
 }
