--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns `true` if the node knew an earlier era than the current one.
-    pub fn is_return(&self) -> bool {
+    pub fn is_restored(&self) -> bool {
         self.current.is_some_and(|current| current.is_return)
     }
 
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -75,7 +75,7 @@
             *clock = Some(load(node).await?);
             let now = node.now();
             node.with(|state| {
-                if state.eras.is_return() {
+                if state.eras.is_restored() {
                     // The rows of what was decided before may be gone.
                     state.quarantine.save_all(now);
                 }
