--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -147,7 +147,7 @@
     }
 
     /// Returns `true` if the operator's configuration is as new as it ever was.
-    pub fn is_operator_heard(&self, now: Millis) -> bool {
+    pub fn is_configuration_current(&self, now: Millis) -> bool {
         self.current.is_some_and(|current| current.is_rewritten) || self.is_settled(now)
     }
 
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -60,10 +60,10 @@
     eras.note(0, Era::named(1));
     eras.note(10_000, Era::named(2));
     eras.note_rewritten();
-    assert!(eras.is_operator_heard(10_100));
+    assert!(eras.is_configuration_current(10_100));
     assert!(!eras.is_settled(10_100));
     eras.note(10_200, Era::named(3));
-    assert!(!eras.is_operator_heard(10_200));
+    assert!(!eras.is_configuration_current(10_200));
 }
 
 #[test]
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -149,7 +149,7 @@
         era_origin::find(node).await?;
     }
     node.with(|state| {
-        if state.configuration.is_some() && state.eras.is_operator_heard(asked_at) {
+        if state.configuration.is_some() && state.eras.is_configuration_current(asked_at) {
             state.freshness.confirm(asked_at);
         }
     });
