--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -153,7 +153,7 @@
 
     /// Returns `true` if nothing that could be done at a time of the wall clock, at the earliest, was done in
     /// an earlier era.
-    pub fn is_surely_after_return(&self, unix_ms: u64) -> bool {
+    pub fn is_certainly_after_restore(&self, unix_ms: u64) -> bool {
         if self.get() == Era::UNNAMED {
             return true;
         }
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -22,7 +22,7 @@
     assert!(eras.is_settled(0));
     eras.note(0, Era::UNNAMED);
     assert!(eras.is_settled(0));
-    assert!(eras.is_surely_after_return(0));
+    assert!(eras.is_certainly_after_restore(0));
 }
 
 #[test]
@@ -71,10 +71,10 @@
     let mut eras = Eras::default();
     eras.note(0, Era::named(1));
     eras.note(10_000, Era::named(2));
-    assert!(!eras.is_surely_after_return(9_000_000));
+    assert!(!eras.is_certainly_after_restore(9_000_000));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
-    assert!(!eras.is_surely_after_return(1_003_999));
-    assert!(eras.is_surely_after_return(1_004_000));
+    assert!(!eras.is_certainly_after_restore(1_003_999));
+    assert!(eras.is_certainly_after_restore(1_004_000));
 }
 
 // Guards against a node that takes an era for the deployment's first one, in which nothing was lost: a copy from before
@@ -86,7 +86,7 @@
     eras.set_origin(10, Era::named(1), Origin { age: 0, ..READ_FROM_ROW });
     assert!(!eras.is_settled(2_009));
     assert!(eras.is_settled(2_010));
-    assert!(!eras.is_surely_after_return(0));
+    assert!(!eras.is_certainly_after_restore(0));
 }
 
 #[test]
@@ -96,5 +96,5 @@
     eras.note(10_000, Era::named(2));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
     assert!(!eras.is_settled(10_100));
-    assert!(!eras.is_surely_after_return(0));
+    assert!(!eras.is_certainly_after_restore(0));
 }
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -314,7 +314,7 @@
     let now = node.now();
     let began_at = now.saturating_sub(runtime::unix_ms().saturating_sub(ended_at) + length);
     node.with(|state| {
-        if state.eras.is_surely_after_return(ended_at + get_settle_time(get_due(node))) {
+        if state.eras.is_certainly_after_restore(ended_at + get_settle_time(get_due(node))) {
             return true;
         }
         let is_too_old_to_be_named =
