--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -50,7 +50,7 @@
 
 /// The demand for each service, over all nodes.
 #[derive(Clone, Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     /// The region that this node stands in.
     region: String,
     /// What arrived at this node itself, by service.
@@ -97,7 +97,7 @@
 /// The least time that a rate must cover, in milliseconds.
 const LEAST_COVERED: Millis = 1_500;
 
-impl DemandBook {
+impl DemandTracker {
     /// Makes the book of a node that stands in a region.
     pub fn new(region: &str) -> Self {
         Self { region: region.to_owned(), ..Self::default() }
--- a/crates/core/tests/serving/demand.rs
+++ b/crates/core/tests/serving/demand.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use keeljunction_core::serving::demand::{DemandBook, DemandTotals, RegionTotals, Report};
+use keeljunction_core::serving::demand::{DemandTotals, DemandTracker, RegionTotals, Report};
 
 fn totals(requests: u64) -> DemandTotals {
     DemandTotals { requests, prompt_tokens: requests * 1_000, ..DemandTotals::default() }
@@ -21,7 +21,7 @@
 
 #[test]
 fn demand_is_averaged_from_the_first_request_on() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     book.sample(10_000, "llm");
     book.sample(12_000, "llm");
     for step in 1..=10u64 {
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_short_time_tells_no_demand() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     book.sample(10_000, "llm");
     book.count("llm", &totals(1));
     book.sample(11_400, "llm");
@@ -42,7 +42,7 @@
 
 #[test]
 fn what_a_peer_was_asked_before_it_was_heard_is_no_demand_of_now() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     book.sample(10_000, "llm");
     book.merge(10_000, false, ("peer", 1), &told(50_000));
     book.sample(10_200, "llm");
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_service_is_untouched_until_some_node_was_asked() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     assert!(book.is_untouched("llm"));
     book.merge(10_000, false, ("peer", 1), &told(0));
     book.count("other", &totals(1));
@@ -69,7 +69,7 @@
         let region = String::new();
         vec![("llm".to_owned(), Report { region, totals: totals(requests), in_flight })]
     };
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     book.count("llm", &totals(5));
     book.begin("llm");
     book.merge(10_000, true, ("member", 1), &report(100, 2));
@@ -92,7 +92,7 @@
         let region = region.to_owned();
         ("llm".to_owned(), Report { region, totals: totals(requests), in_flight })
     };
-    let mut book = DemandBook::new("east");
+    let mut book = DemandTracker::new("east");
     book.merge(10_000, true, ("member", 1), &[report("west", 0, 0)]);
     book.merge(10_000, false, ("other", 1), &[report("east", 0, 0), report("west", 0, 0)]);
     book.sample(10_000, "llm");
@@ -111,7 +111,7 @@
 
 #[test]
 fn what_a_peer_was_asked_while_it_was_not_heard_is_no_demand_of_now() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     book.merge(8_000, false, ("peer", 1), &told(100));
     book.merge(8_200, false, ("peer", 1), &told(110));
     book.sample(8_200, "llm");
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::retry::{Allowance, Budget};
 use keeljunction_core::serving::backpressure;
 use keeljunction_core::serving::configuration::Configuration;
-use keeljunction_core::serving::demand::DemandBook;
+use keeljunction_core::serving::demand::DemandTracker;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::distance::Distances;
 use keeljunction_core::serving::duty_lease::DutyLease;
@@ -174,7 +174,7 @@
     /// Which windows of them the next summary holds.
     pub(super) outgoing_usage: ReportFilter,
     /// Tokens requested, by service.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// Moves of services to other versions.
     pub rollouts: rollout::Book,
     /// How fast the servers of each service read prompts.
@@ -268,7 +268,7 @@
             configuration: None,
             configuration_document: None,
             configuration_row: None,
-            demand: DemandBook::new(topology.get_own()),
+            demand: DemandTracker::new(topology.get_own()),
             rollouts: rollout::Book::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
