--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -212,7 +212,7 @@
     }
 
     /// Returns `true` if no known node has seen a request for a service.
-    pub fn is_untouched(&self, service: &str) -> bool {
+    pub fn is_never_requested(&self, service: &str) -> bool {
         !self.touched.contains(service)
     }
 
--- a/crates/core/tests/serving/demand.rs
+++ b/crates/core/tests/serving/demand.rs
@@ -54,13 +54,13 @@
 #[test]
 fn a_service_is_untouched_until_some_node_was_asked() {
     let mut book = DemandTracker::default();
-    assert!(book.is_untouched("llm"));
+    assert!(book.is_never_requested("llm"));
     book.merge(10_000, false, ("peer", 1), &told(0));
     book.count("other", &totals(1));
-    assert!(book.is_untouched("llm"));
+    assert!(book.is_never_requested("llm"));
     // Also what a peer was asked for before it was first heard.
     book.merge(10_000, false, ("another", 1), &told(3));
-    assert!(!book.is_untouched("llm"));
+    assert!(!book.is_never_requested("llm"));
 }
 
 #[test]
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -168,7 +168,7 @@
 
     /// Returns `true` if spot servers may be ordered from a list that still grows.
     fn is_list_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
-        let is_untouched = node.with(|state| state.demand.is_untouched(name));
+        let is_untouched = node.with(|state| state.demand.is_never_requested(name));
         let next = self.next_list_order.entry(name.to_owned()).or_insert(now + LIST_PAUSE);
         let is_due = is_untouched && now >= *next;
         if is_due {
@@ -200,8 +200,9 @@
         inventories: &Inventories,
         now: Millis,
     ) -> (BTreeMap<String, u32>, bool) {
-        let (is_idle, age) = node
-            .with(|state| (state.demand.is_untouched(name), state.servers_freshness.get_age(now)));
+        let (is_idle, age) = node.with(|state| {
+            (state.demand.is_never_requested(name), state.servers_freshness.get_age(now))
+        });
         let known_at = age.map(|age| now.saturating_sub(age));
         let mut is_complete = true;
         let follow = |(region, inventory): (&String, &BTreeMap<String, Inventory>)| {
