--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -235,7 +235,7 @@
     /// Returns the demand for a service within the latest `span`, by the region where it arrived, and
     /// the time that it covers, which begins with the first request; `None` before that time is long
     /// enough for a rate.
-    pub fn within(
+    pub fn get_recent(
         &self,
         now: Millis,
         service: &str,
--- a/crates/core/tests/serving/demand.rs
+++ b/crates/core/tests/serving/demand.rs
@@ -28,7 +28,7 @@
         book.count("llm", &totals(1));
         book.sample(12_000 + step * 200, "llm");
     }
-    assert_eq!(book.within(14_000, "llm", 4_000), Some((in_one_region(10), 2_000)));
+    assert_eq!(book.get_recent(14_000, "llm", 4_000), Some((in_one_region(10), 2_000)));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     book.sample(10_000, "llm");
     book.count("llm", &totals(1));
     book.sample(11_400, "llm");
-    assert_eq!(book.within(11_400, "llm", 4_000), None);
+    assert_eq!(book.get_recent(11_400, "llm", 4_000), None);
 }
 
 #[test]
@@ -48,7 +48,7 @@
     book.sample(10_200, "llm");
     book.merge(10_000, false, ("peer", 1), &told(50_030));
     book.sample(12_200, "llm");
-    assert_eq!(book.within(12_200, "llm", 4_000), Some((in_one_region(30), 2_000)));
+    assert_eq!(book.get_recent(12_200, "llm", 4_000), Some((in_one_region(30), 2_000)));
 }
 
 #[test]
@@ -103,7 +103,7 @@
     book.sample(12_000, "llm");
 
     let asked = BTreeMap::from([("east".to_owned(), totals(8)), ("west".to_owned(), totals(120))]);
-    assert_eq!(book.within(12_000, "llm", 4_000), Some((asked, 2_000)));
+    assert_eq!(book.get_recent(12_000, "llm", 4_000), Some((asked, 2_000)));
     assert_eq!(book.get_in_flight(12_000, "llm"), in_flight([("east", 2), ("west", 10)]));
     // What other aggregators report is not passed on.
     assert_eq!(book.sum_group(12_000), [report("east", 5, 1), report("west", 20, 2)]);
@@ -121,5 +121,5 @@
     book.sample(68_200, "llm");
     book.merge(68_400, false, ("peer", 1), &told(3_010));
     book.sample(71_000, "llm");
-    assert_eq!(book.within(71_000, "llm", 4_000), Some((in_one_region(10), 3_000)));
+    assert_eq!(book.get_recent(71_000, "llm", 4_000), Some((in_one_region(10), 3_000)));
 }
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -347,7 +347,7 @@
 ) -> Option<BTreeMap<String, Demand>> {
     let slots = service.engine.as_ref().map_or(1, |engine| engine.slots);
     let (totals, covered, throughput, in_flight) = node.with(|state| {
-        let (totals, covered) = state.demand.within(now, name, DEMAND_SPAN)?;
+        let (totals, covered) = state.demand.get_recent(now, name, DEMAND_SPAN)?;
         let throughput = state.throughputs.get(name)?.get_prefill_rate()?;
         Some((totals, covered, throughput, state.demand.get_in_flight(now, name)))
     })?;
