--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -68,7 +68,7 @@
         Reachability {
             heard: if is_recent { self.view.heard } else { 1 },
             all: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
-            period: self.get_delay().as_millis() as Millis,
+            report_delay: self.get_delay().as_millis() as Millis,
             is_grouped: self.view.is_grouped,
         }
     }
--- a/crates/core/src/serving/quota/limit.rs
+++ b/crates/core/src/serving/quota/limit.rs
@@ -63,7 +63,7 @@
     /// Nodes that may be serving.
     pub all: usize,
     /// How long a report takes to reach all nodes.
-    pub period: Millis,
+    pub report_delay: Millis,
     /// Whether nodes report in groups: what falls silent then may be many nodes, which go on.
     pub is_grouped: bool,
 }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -415,7 +415,7 @@
     ///
     /// Reports that cross between regions may come less often.
     fn is_any_overdue(&self, now: Millis, reach: Reachability) -> bool {
-        let overdue = OVERDUE.start.max(reach.period * OVERDUE_SIXTHS / 6)..OVERDUE.end;
+        let overdue = OVERDUE.start.max(reach.report_delay * OVERDUE_SIXTHS / 6)..OVERDUE.end;
         let groups = self.peers.iter().filter(|((source, _, _), _)| *source != Source::Member);
         let mut ages = groups.map(|(_, rates)| now.saturating_sub(rates.reported_at));
         now < self.region_overdue_until || ages.any(|age| overdue.contains(&age))
@@ -428,7 +428,7 @@
             return LEAST_LEFT;
         }
         let unreported =
-            self.get_all_requested(now, account) * reach.period as f64 * UNREPORTED_PERIODS;
+            self.get_all_requested(now, account) * reach.report_delay as f64 * UNREPORTED_PERIODS;
         unreported.clamp(LEAST_LEFT, (capacity * LOW_FRACTION).max(LEAST_LEFT))
     }
 
--- a/crates/core/tests/serving/quota_cluster.rs
+++ b/crates/core/tests/serving/quota_cluster.rs
@@ -62,7 +62,7 @@
 
     fn get_reachability(&self, now: u64, all: usize) -> Reachability {
         let heard = 1 + (0..all).filter(|peer| self.is_heard(now, *peer)).count();
-        Reachability { heard, all, period: PERIOD, is_grouped: false }
+        Reachability { heard, all, report_delay: PERIOD, is_grouped: false }
     }
 
     /// Returns which node this one, given by its number, takes for the owner: the first that it
