--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -68,7 +68,7 @@
         Reachability {
             heard: if is_recent { self.view.heard } else { 1 },
             all: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
-            report_delay: self.get_delay().as_millis() as Millis,
+            report_delay: self.get_report_delay().as_millis() as Millis,
             is_grouped: self.view.is_grouped,
         }
     }
@@ -76,7 +76,7 @@
     /// Returns how long a report may take to reach all nodes: in groups it passes two aggregators.
     ///
     /// Between regions the second of them sends less often, and the way counts too.
-    pub fn get_delay(&self) -> Duration {
+    pub fn get_report_delay(&self) -> Duration {
         let within = if self.view.is_grouped { PERIOD * GROUPED_PERIODS } else { PERIOD };
         within + self.get_transit_delay()
     }
