--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -250,7 +250,7 @@
         let is_grouped = members(nodes).is_grouped();
         // In groups a node hears its aggregator only, and an aggregator the others and its group.
         let heard = if is_grouped { (nodes as f64).sqrt().ceil() as usize * 2 } else { nodes };
-        let reach = Reachability { heard: nodes, all: nodes, report_delay: 400, is_grouped };
+        let reach = Reachability { heard: nodes, known: nodes, report_delay: 400, is_grouped };
         let mut quotas = Quotas::new(0, Tolerance::default());
         let units =
             AccountUsage { admitted: 1_000, requested_per_second: 100, ..AccountUsage::default() };
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -67,7 +67,7 @@
         let is_recent = now < self.view.at + self.get_heard_within();
         Reachability {
             heard: if is_recent { self.view.heard } else { 1 },
-            all: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
+            known: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
             report_delay: self.get_report_delay().as_millis() as Millis,
             is_grouped: self.view.is_grouped,
         }
--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -86,7 +86,7 @@
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
         let capacity = limit.get_capacity();
         let is_low = left < self.get_low(now, account, capacity, reach);
-        let is_large = reach.all > 1 && units as f64 > capacity * LARGE_PART;
+        let is_large = reach.known > 1 && units as f64 > capacity * LARGE_PART;
         if is_overdue || is_low || is_large {
             return false;
         }
--- a/crates/core/src/serving/quota/limit.rs
+++ b/crates/core/src/serving/quota/limit.rs
@@ -61,7 +61,7 @@
     /// Nodes that were heard lately.
     pub heard: usize,
     /// Nodes that may be serving.
-    pub all: usize,
+    pub known: usize,
     /// How long a report takes to reach all nodes.
     pub report_delay: Millis,
     /// Whether nodes report in groups: what falls silent then may be many nodes, which go on.
@@ -71,12 +71,12 @@
 impl Reachability {
     /// Returns the fraction of all nodes that was heard lately.
     pub(in crate::serving) fn get_fraction(self) -> f64 {
-        self.heard.max(1) as f64 / self.all.max(self.heard).max(1) as f64
+        self.heard.max(1) as f64 / self.known.max(self.heard).max(1) as f64
     }
 
     /// Returns `true` if most nodes were heard lately: no two parts of them can say so of each
     /// other at once for long.
     pub(super) fn is_most_heard(self) -> bool {
-        2 * self.heard > self.all
+        2 * self.heard > self.known
     }
 }
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -59,7 +59,7 @@
         let limit = self.tolerance.raise(limit, get_raised_part(reach));
         let rate = limit.rate_per_second * reach.get_fraction();
         let left = self.refill_whole(now, account, limit, reach);
-        if reach.all == 1 {
+        if reach.known == 1 {
             return Err(get_wait(LEAST_LEFT - left, rate));
         }
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
@@ -89,7 +89,7 @@
         let admitted = (SHARE_ADMITTED - PAY_BACK_PART * beyond).max(LEAST_SHARE_ADMITTED);
         Share {
             rate: admitted * whole_rate * self.get_share(now, account, reach),
-            advance: self.tolerance.slack * ADVANCE_PART / reach.all as f64,
+            advance: self.tolerance.slack * ADVANCE_PART / reach.known as f64,
             room: left + self.get_headroom(now, limit, reach),
             whole_rate,
         }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -424,7 +424,7 @@
     /// Returns the level that counts as low: what the client account may use before peers report
     /// it.
     fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reachability) -> f64 {
-        if reach.all == 1 {
+        if reach.known == 1 {
             return LEAST_LEFT;
         }
         let unreported =
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -98,7 +98,7 @@
                 let heard = part.to - part.from;
                 let reach = Reachability {
                     heard,
-                    all: part.all,
+                    known: part.all,
                     report_delay: 200,
                     is_grouped: heard > 40,
                 };
@@ -213,7 +213,7 @@
     let key = Key::of(&server);
     owner.note(0, 0, &server, &signal(Some(1.0)));
     let seen = Sighting { key, rate: Some(1.0), age: 0 };
-    let reach = Reachability { heard: 1, all: 1, report_delay: 200, is_grouped: false };
+    let reach = Reachability { heard: 1, known: 1, report_delay: 200, is_grouped: false };
     assert_eq!(owner.decide(0, &seen, reach), Decision::Denied { retry_after: 1_005 });
     assert_eq!(owner.decide(1_000, &seen, reach), Decision::Granted);
     owner.take_back(key);
@@ -241,7 +241,7 @@
     assert!(!book.merge(1_400, &late));
     assert_eq!(book.get_limit(1_400, &server), None);
     // The owner says so to a node that has not heard of it.
-    let reach = Reachability { heard: 8, all: 8, report_delay: 200, is_grouped: false };
+    let reach = Reachability { heard: 8, known: 8, report_delay: 200, is_grouped: false };
     assert_eq!(book.decide(1_500, &late, reach), Decision::Unlimited { age: 200 });
 }
 
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -208,10 +208,13 @@
 fn a_node_with_a_sample_assumes_that_all_nodes_serve() {
     let mut members = Members::new(0, entry(0), &[]);
     members.merge_sample(100, (1..128).map(entry).collect(), 986, true);
-    assert_eq!((members.get_reachability(200).heard, members.get_reachability(200).all), (1, 986));
+    assert_eq!(
+        (members.get_reachability(200).heard, members.get_reachability(200).known),
+        (1, 986)
+    );
     members.refresh(10_200);
-    assert_eq!(members.get_reachability(10_200).all, 128);
+    assert_eq!(members.get_reachability(10_200).known, 128);
     // Once most of them are known, those count: the sample is not exact.
     members.merge_sample(20_000, (1..128).map(entry).collect(), 150, true);
-    assert_eq!(members.get_reachability(20_000).all, 128);
+    assert_eq!(members.get_reachability(20_000).known, 128);
 }
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -84,7 +84,7 @@
         };
         Reachability {
             heard: heard.min(NODES),
-            all: NODES,
+            known: NODES,
             report_delay: PERIOD * 3,
             is_grouped: true,
         }
@@ -481,7 +481,7 @@
 /// did not, and how many were requested, after the start.
 fn count_lost(scenario: &Scenario) -> (f64, f64) {
     let mut alone = Quotas::new(0, Tolerance::default());
-    let reach = Reachability { heard: 1, all: 1, report_delay: PERIOD, is_grouped: true };
+    let reach = Reachability { heard: 1, known: 1, report_delay: PERIOD, is_grouped: true };
     let mut lost = 0.0;
     let mut requested = 0.0;
     for (at, size, is_admitted) in scenario.play().requested {
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -115,11 +115,14 @@
 #[test]
 fn a_node_that_has_not_read_the_list_takes_many_to_be_there_for_a_while() {
     let mut members = Members::new(0, entry("own", 10, 1), &[]);
-    assert_eq!((members.get_reachability(100).heard, members.get_reachability(100).all), (1, 100));
+    assert_eq!(
+        (members.get_reachability(100).heard, members.get_reachability(100).known),
+        (1, 100)
+    );
     members.refresh(3_000);
-    assert_eq!(members.get_reachability(3_000).all, 1);
+    assert_eq!(members.get_reachability(3_000).known, 1);
     members.merge_list(100, vec![entry("own", 10, 1), entry("other", 10, 2)], true);
-    assert_eq!(members.get_reachability(100).all, 2);
+    assert_eq!(members.get_reachability(100).known, 2);
 }
 
 #[test]
@@ -238,7 +241,7 @@
     members.apply_overview(1_000, &aggregator.name, overview, &[]);
     members.refresh(1_000);
     assert_eq!(
-        (members.get_reachability(1_000).heard, members.get_reachability(1_000).all),
+        (members.get_reachability(1_000).heard, members.get_reachability(1_000).known),
         (50, 60)
     );
     members.refresh(2_500);
@@ -321,7 +324,7 @@
     members.record_group(400, "node-1", vec![short_id("node-4"), short_id("node-7")], 300);
     members.refresh(400);
     // Itself, three of its group, another aggregator and two of that one's group.
-    assert_eq!((members.get_reachability(400).heard, members.get_reachability(400).all), (7, 60));
+    assert_eq!((members.get_reachability(400).heard, members.get_reachability(400).known), (7, 60));
     assert_eq!(
         members.get_group(500),
         (vec![short_id("node-3"), short_id("node-6"), short_id("node-9")], 100)
@@ -350,7 +353,7 @@
     let mut other = member_of_sixty(1);
     other.merge_entries(21_000, &[fresh]);
     other.refresh(21_000);
-    assert_eq!(other.get_reachability(21_000).all, 61);
+    assert_eq!(other.get_reachability(21_000).known, 61);
 }
 
 #[test]
--- a/crates/core/tests/serving/quota.rs
+++ b/crates/core/tests/serving/quota.rs
@@ -14,7 +14,8 @@
     Quotas::new(0, Tolerance::default())
 }
 
-const ALONE: Reachability = Reachability { heard: 1, all: 1, report_delay: 200, is_grouped: false };
+const ALONE: Reachability =
+    Reachability { heard: 1, known: 1, report_delay: 200, is_grouped: false };
 
 #[test]
 fn no_limit_refuses_nothing() {
@@ -55,7 +56,7 @@
     Report { age: 60_000, counted_for: 60_000, accounts }
 }
 
-const TWO: Reachability = Reachability { heard: 2, all: 2, report_delay: 200, is_grouped: false };
+const TWO: Reachability = Reachability { heard: 2, known: 2, report_delay: 200, is_grouped: false };
 
 #[test]
 fn what_peers_use_counts_once() {
@@ -108,7 +109,7 @@
 #[test]
 fn a_part_is_set_aside_for_nodes_that_are_not_heard() {
     let mut quotas = quotas_of_old();
-    let cut = Reachability { heard: 1, all: 4, report_delay: 200, is_grouped: false };
+    let cut = Reachability { heard: 1, known: 4, report_delay: 200, is_grouped: false };
     for _ in 0..10 {
         quotas.consume(11_000, "acme", 20, LIMIT, cut).expect("within the limit");
     }
@@ -154,7 +155,7 @@
     /// time, give no more than the rate in sum, besides each node's burst at the start.
     #[test]
     fn cut_off_nodes_stay_within_the_whole(nodes in 1usize..9, unit in 1u64..50) {
-        let reach = Reachability { heard: 1, all: nodes, report_delay: 200, is_grouped: false };
+        let reach = Reachability { heard: 1, known: nodes, report_delay: 200, is_grouped: false };
         let mut quotas: Vec<Quotas> = (0..nodes).map(|_| quotas_of_old()).collect();
         let mut late = 0;
         for step in 0..1_000u64 {
@@ -185,7 +186,7 @@
         seed in any::<u64>(),
     ) {
         let limit = Limit { rate_per_second: 100_000.0, burst: 100_000.0 };
-        let reach = Reachability { heard: nodes, all: nodes, report_delay, is_grouped: false };
+        let reach = Reachability { heard: nodes, known: nodes, report_delay, is_grouped: false };
         let mut random = fastrand::Rng::with_seed(seed);
         let mut quotas: Vec<Quotas> = (0..nodes).map(|_| Quotas::new(0, OVERSHOOT)).collect();
         let mut given: Vec<(u64, u64)> = Vec::new();
@@ -254,8 +255,8 @@
         let clock = now - started_at;
         // A node that has just started takes the others to be there, and hears one after the other.
         let heard = NODES.min(1 + (clock / 6) as usize);
-        let all = NODES;
-        let reach = Reachability { heard, all, report_delay: PERIOD, is_grouped: false };
+        let known = NODES;
+        let reach = Reachability { heard, known, report_delay: PERIOD, is_grouped: false };
         let pressure = match now {
             ..13_000 => 0.56,
             _ if now < started_at + 600 => 4.7,
@@ -308,7 +309,7 @@
 
 #[test]
 fn a_new_node_takes_an_even_part_until_its_peers_have_told_what_they_are_asked() {
-    let reach = Reachability { heard: 10, all: 10, report_delay: 200, is_grouped: false };
+    let reach = Reachability { heard: 10, known: 10, report_delay: 200, is_grouped: false };
     let mut quotas = Quotas::new(10_000, OVERSHOOT);
     // Its peers have just started too, and reported before their first request.
     for peer in 0..9 {
@@ -365,7 +366,7 @@
             let heard = if now < Self::PERIOD { 1 } else { Self::NODES };
             let reach = Reachability {
                 heard,
-                all: Self::NODES,
+                known: Self::NODES,
                 report_delay: Self::PERIOD,
                 is_grouped: false,
             };
--- a/crates/core/tests/serving/quota_cluster.rs
+++ b/crates/core/tests/serving/quota_cluster.rs
@@ -60,9 +60,9 @@
         self.heard.get(&peer).is_some_and(|at| now < at + HEARD_WITHIN)
     }
 
-    fn get_reachability(&self, now: u64, all: usize) -> Reachability {
-        let heard = 1 + (0..all).filter(|peer| self.is_heard(now, *peer)).count();
-        Reachability { heard, all, report_delay: PERIOD, is_grouped: false }
+    fn get_reachability(&self, now: u64, known: usize) -> Reachability {
+        let heard = 1 + (0..known).filter(|peer| self.is_heard(now, *peer)).count();
+        Reachability { heard, known, report_delay: PERIOD, is_grouped: false }
     }
 
     /// Returns which node this one, given by its number, takes for the owner: the first that it
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -428,7 +428,7 @@
             let is_last = |node: &&Node| node.region == region && node.members.is_aggregator();
             let node = nodes.iter().rfind(is_last);
             let reach = node.expect("an aggregator").members.get_reachability(self.end + 6_000);
-            outcome.reach.push((reach.heard, reach.all));
+            outcome.reach.push((reach.heard, reach.known));
             let readers = nodes.iter().filter(|node| node.members.is_reader(self.end + 6_000));
             outcome.readers.push(readers.filter(|node| node.region == region).count());
         }
@@ -513,7 +513,7 @@
         let there = || nodes.iter().filter(|node| now >= node.away_until);
         let aggregators = || there().filter(|node| node.members.is_aggregator());
         if now >= 4_000 {
-            let known = aggregators().map(|node| node.members.get_reachability(now).all).min();
+            let known = aggregators().map(|node| node.members.get_reachability(now).known).min();
             self.least_known = self.least_known.min(known.unwrap_or(0));
         }
         if now < scenario.end {
@@ -762,5 +762,5 @@
     }
     new.refresh(20_000);
     // Itself, and the thirty of the other region.
-    assert_eq!(new.get_reachability(24_000).all, 31);
+    assert_eq!(new.get_reachability(24_000).known, 31);
 }
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -191,7 +191,7 @@
     now: Millis,
 ) -> Result<(), Rejection> {
     let is_allowed = node.with(|state| {
-        let nodes = state.members.get_reachability(now).all;
+        let nodes = state.members.get_reachability(now).known;
         state.budget.take(now, &exchange.service, nodes)
     });
     if !is_allowed {
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -189,13 +189,13 @@
             }
             let reach = state.members.get_reachability(now);
             self.nodes_heard.set(reach.heard as i64);
-            self.nodes.set(reach.all as i64);
+            self.nodes.set(reach.known as i64);
             let Some(configuration) = state.configuration.clone() else { return };
             for service in configuration.services.keys() {
                 let ready = state.directory.iter_ready(service).count() as i64;
                 let labels = ServiceLabels { service: service.clone() };
                 self.ready_servers.get_or_create(&labels).set(ready);
-                let retries = state.budget.get_left(now, service, reach.all);
+                let retries = state.budget.get_left(now, service, reach.known);
                 self.retries_left.get_or_create(&labels).set(retries);
             }
             for account in configuration.accounts.iter().flatten() {
--- a/crates/gateway/src/node/connections.rs
+++ b/crates/gateway/src/node/connections.rs
@@ -22,7 +22,7 @@
     loop {
         let now = node.now();
         let known = node.with(|state| {
-            let nodes = state.members.get_reachability(now).all;
+            let nodes = state.members.get_reachability(now).known;
             state.configuration.clone().map(|configuration| (configuration, nodes))
         });
         if let Some((configuration, nodes)) = known
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -92,7 +92,7 @@
     event::emit(&Event::AggregatorChanged {
         aggregator,
         nodes_heard: reach.heard,
-        nodes_known: reach.all,
+        nodes_known: reach.known,
     });
 }
 
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -90,7 +90,7 @@
 
 fn get_tolerance(node: &Node, state: &State, now: Millis) -> Tolerance {
     let bounds = &node.settings.bounds;
-    let nodes = state.members.get_reachability(now).all;
+    let nodes = state.members.get_reachability(now).known;
     Tolerance { share: bounds.expose_share, slack: bounds.canary_slack, nodes }
 }
 
