--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -87,7 +87,7 @@
     /// Nodes that the aggregators hear, themselves included.
     pub heard: usize,
     /// Nodes that may be serving.
-    pub all: usize,
+    pub known: usize,
 }
 
 /// Other nodes, as this node knows them.
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -59,7 +59,7 @@
     /// A node that has not computed this for some periods, because it slept, hears nobody.
     pub fn get_reachability(&self, now: Millis) -> Reachability {
         let known = match self.overview {
-            Some((_, overview)) if !self.view.is_aggregating => overview.all,
+            Some((_, overview)) if !self.view.is_aggregating => overview.known,
             _ => self.view.nodes + self.count_unknown_seeds(),
         };
         let known = self.correct_count(now, known);
@@ -88,7 +88,7 @@
 
     /// Returns what an aggregator says of the whole.
     pub fn get_overview(&self) -> Overview {
-        Overview { heard: self.view.heard, all: self.view.nodes }
+        Overview { heard: self.view.heard, known: self.view.nodes }
     }
 
     /// Returns `true` if nodes report in groups.
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -138,7 +138,7 @@
     /// Counts the nodes that an aggregator knows of at the least, and any node.
     fn count_known(&self) -> (usize, usize) {
         let there = || self.nodes.iter().enumerate().filter(|(n, _)| !self.away.contains(n));
-        let known = |node: &Members| node.get_overview().all;
+        let known = |node: &Members| node.get_overview().known;
         let aggregators = there().filter(|(_, node)| node.is_aggregator());
         let least = aggregators.map(|(_, node)| known(node)).min().unwrap_or(0);
         (least, there().map(|(_, node)| known(node)).min().unwrap_or(0))
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -237,7 +237,7 @@
 #[test]
 fn a_node_whose_aggregator_falls_silent_picks_another_and_returns_later() {
     let (mut members, aggregator) = ordinary();
-    let overview = Overview { heard: 50, all: 60 };
+    let overview = Overview { heard: 50, known: 60 };
     members.apply_overview(1_000, &aggregator.name, overview, &[]);
     members.refresh(1_000);
     assert_eq!(
@@ -277,7 +277,7 @@
 #[test]
 fn a_node_passes_over_an_aggregator_that_the_others_do_not_hear() {
     let (mut members, aggregator) = ordinary();
-    let overview = Overview { heard: 60, all: 60 };
+    let overview = Overview { heard: 60, known: 60 };
     members.apply_overview(400, &aggregator.name, overview, &[short_id(&aggregator.name)]);
     members.refresh(400);
     assert_ne!(members.get_own_aggregator(), Some(&aggregator));
@@ -286,7 +286,7 @@
 #[test]
 fn an_overview_of_another_node_than_the_own_aggregator_is_ignored() {
     let (mut members, aggregator) = ordinary();
-    let overview = Overview { heard: 60, all: 60 };
+    let overview = Overview { heard: 60, known: 60 };
     members.apply_overview(400, "another", overview, &[short_id(&aggregator.name)]);
     members.refresh(400);
     assert_eq!(members.get_own_aggregator(), Some(&aggregator));
