--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -238,7 +238,7 @@
 
     /// Returns `true` if this node reads the platform's tables for all: one of a few, by an order
     /// that all nodes which hear each other share.
-    pub fn is_reader(&self, now: Millis) -> bool {
+    pub fn is_table_reader(&self, now: Millis) -> bool {
         self.is_settled(now) && self.view.readers.contains(&self.own.name)
     }
 
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -37,13 +37,13 @@
 fn a_node_that_hears_nobody_reads_for_itself() {
     let members = Members::new(0, entry("a", 10, 1), &[]);
     // As long as others may be adding themselves to the list.
-    assert!(!members.is_reader(3_999));
-    assert!(members.is_reader(4_000));
+    assert!(!members.is_table_reader(3_999));
+    assert!(members.is_table_reader(4_000));
     let mut members = Members::new(0, entry("a", 10, 1), &[]);
     members.merge_list(0, vec![entry("a", 10, 1)], false);
-    assert!(!members.is_reader(3_999));
+    assert!(!members.is_table_reader(3_999));
     members.merge_list(2_000, vec![entry("a", 10, 1)], true);
-    assert!(members.is_reader(2_000));
+    assert!(members.is_table_reader(2_000));
 }
 
 #[test]
@@ -56,7 +56,7 @@
                 .record_heartbeat(1_000, &heard(&entry(&format!("node-{other}"), 10, 100 + other)));
         }
         members.refresh(1_050);
-        members.is_reader(1_100)
+        members.is_table_reader(1_100)
     });
     assert_eq!(readers.count(), 3);
 }
@@ -72,7 +72,7 @@
     let mut readers = members.get_readers();
     readers.sort_unstable();
     assert_eq!(readers, [address(900), address(901), address(902)]);
-    assert!(!members.is_reader(1_100));
+    assert!(!members.is_table_reader(1_100));
 }
 
 #[test]
@@ -83,12 +83,12 @@
         members.record_heartbeat(1_000, &heard(&wide(number)));
     }
     members.refresh(1_100);
-    assert!(!members.is_reader(1_100));
+    assert!(!members.is_table_reader(1_100));
     for number in 0..2 {
         members.record_heartbeat(2_500, &heard(&wide(number)));
     }
     members.refresh(2_600);
-    assert!(members.is_reader(2_600));
+    assert!(members.is_table_reader(2_600));
 }
 
 #[test]
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -429,7 +429,8 @@
             let node = nodes.iter().rfind(is_last);
             let reach = node.expect("an aggregator").members.get_reachability(self.end + 6_000);
             outcome.reach.push((reach.heard, reach.known));
-            let readers = nodes.iter().filter(|node| node.members.is_reader(self.end + 6_000));
+            let readers =
+                nodes.iter().filter(|node| node.members.is_table_reader(self.end + 6_000));
             outcome.readers.push(readers.filter(|node| node.region == region).count());
         }
         outcome
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -66,7 +66,7 @@
             continue;
         }
         look_at = node.now() + jitter(LOOK_AGAIN).as_millis() as Millis;
-        if node.with(|state| state.members.is_reader(node.now())) || is_alone(&node) {
+        if node.with(|state| state.members.is_table_reader(node.now())) || is_alone(&node) {
             read_until_done(&node, Part::Whole).await;
         }
     }
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -76,7 +76,7 @@
 fn list_far_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
     let is_ageing = staleness::is_configuration_older_than(node, AGEING_PART_FAR)
         || staleness::is_servers_older_than(node, AGEING_PART_FAR);
-    node.with(|state| match is_ageing && state.members.is_reader(now) {
+    node.with(|state| match is_ageing && state.members.is_table_reader(now) {
         true => state.members.list_carriers(now, fastrand::usize(..1_024)).concat(),
         false => Vec::new(),
     })
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -39,7 +39,7 @@
 /// Returns `true` if this node reads the tables for all.
 fn is_reader(node: &Node) -> bool {
     let now = node.now();
-    node.with(|state| state.members.is_reader(now))
+    node.with(|state| state.members.is_table_reader(now))
 }
 
 async fn read(node: &Node, table: TableName) -> Result<Rows, TableError> {
