--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -243,7 +243,7 @@
     }
 
     /// Lists the addresses of the other nodes that read the platform's tables for all.
-    pub fn get_readers(&self) -> Vec<SocketAddr> {
+    pub fn list_table_readers(&self) -> Vec<SocketAddr> {
         let readers = self.view.readers.iter().filter_map(|name| self.known.get(name));
         readers.map(|member| member.entry.address).collect()
     }
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -69,7 +69,7 @@
             .record_heartbeat(1_000, &heard(&entry(&format!("wide-{number}"), 200, 900 + number)));
     }
     members.refresh(1_100);
-    let mut readers = members.get_readers();
+    let mut readers = members.list_table_readers();
     readers.sort_unstable();
     assert_eq!(readers, [address(900), address(901), address(902)]);
     assert!(!members.is_table_reader(1_100));
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -61,12 +61,12 @@
     node.with(|state| {
         let mut targets = match state.members.get_own_aggregator() {
             Some(aggregator) => vec![aggregator.address],
-            None => state.members.get_readers(),
+            None => state.members.list_table_readers(),
         };
         if is_old {
             let heard = state.members.list_reachable(now);
             targets.extend(fastrand::choice(heard));
-            targets.extend(fastrand::choice(state.members.get_readers()));
+            targets.extend(fastrand::choice(state.members.list_table_readers()));
         }
         targets
     })
