--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -347,7 +347,7 @@
     }
 
     /// Lists the aggregators that this one ranks, itself included, by short name.
-    pub fn list_ranked(&self) -> Vec<u64> {
+    pub fn list_aggregator_ids(&self) -> Vec<u64> {
         self.view.ranking.ranked.clone()
     }
 }
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -115,7 +115,7 @@
         let (overview, silent) = (node.get_overview(), node.list_silent());
         let exchange = node.list_exchange_peers(now);
         let members = node.get_group_addresses(now);
-        let (roster, ranked) = (node.get_roster_summary(), node.list_ranked());
+        let (roster, ranked) = (node.get_roster_summary(), node.list_aggregator_ids());
         for to in exchange.iter().map(|address| number_of(*address)) {
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -187,7 +187,7 @@
             silent: state.members.list_silent(),
             lost_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
-            aggregators: state.members.list_ranked(),
+            aggregators: state.members.list_aggregator_ids(),
             roster: state.members.get_roster_summary(),
             verdicts: state.quarantine.list_some(now, turn as usize),
             limits: state.backpressure.list_some(now, turn as usize),
