--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -135,7 +135,10 @@
     }
 
     /// Lists the counts of one incarnation in all windows that are kept.
-    pub fn of_incarnation(&self, incarnation: &Incarnation) -> Vec<(WindowNumber, Counts)> {
+    pub fn list_incarnation_counts(
+        &self,
+        incarnation: &Incarnation,
+    ) -> Vec<(WindowNumber, Counts)> {
         let windows = self.windows.iter();
         windows
             .filter_map(|(window, incarnations)| {
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -302,7 +302,7 @@
         let incarnation = self.handover.get_incarnation().number;
         let entry = self.entry.clone();
         let own = self.quotas.report(now);
-        let usage = self.ledger.of_incarnation(self.handover.get_incarnation());
+        let usage = self.ledger.list_incarnation_counts(self.handover.get_incarnation());
         let usage: BTreeMap<u64, Counts> = usage.into_iter().collect();
         let counts = usage.get(&WINDOW).cloned().unwrap_or_default();
         self.handover.record(now, Snapshot { quota: own.accounts.clone(), usage });
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -119,7 +119,7 @@
 }
 
 fn get_own_usage(state: &State) -> Vec<(WindowNumber, Counts)> {
-    let mut usage = state.usage.of_incarnation(state.handover.get_incarnation());
+    let mut usage = state.usage.list_incarnation_counts(state.handover.get_incarnation());
     usage.split_off(usage.len().saturating_sub(WINDOWS_REPORTED))
 }
 
