--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -135,7 +135,7 @@
     }
 
     /// Notes that the operator has written again what it had written in an earlier era.
-    pub fn note_rewritten(&mut self) {
+    pub fn note_configuration_rewritten(&mut self) {
         if let Some(current) = &mut self.current {
             current.is_rewritten = true;
         }
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -59,7 +59,7 @@
     let mut eras = Eras::default();
     eras.note(0, Era::named(1));
     eras.note(10_000, Era::named(2));
-    eras.note_rewritten();
+    eras.note_configuration_rewritten();
     assert!(eras.is_configuration_current(10_100));
     assert!(!eras.is_settled(10_100));
     eras.note(10_200, Era::named(3));
