--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -156,7 +156,7 @@
     }
 
     /// Adds what this node's group uses to its own report.
-    pub fn add_group(&mut self, now: Millis, own: &Report) -> Report {
+    pub fn add_group_usage(&mut self, now: Millis, own: &Report) -> Report {
         let group = std::mem::take(&mut self.group);
         let report = self.add_sums(now, own, Source::Member, &group);
         self.group = group;
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -313,7 +313,7 @@
     let (own, _) = node.report(now);
     let reach = node.get_reachability(now);
     node.quotas.track(now, "acme", LIMIT, reach);
-    let group = node.quotas.add_group(now, &own);
+    let group = node.quotas.add_group_usage(now, &own);
     let total = node.quotas.add_others(now, &group);
     let run = node.get_from();
     let usage = node.ledger.sum_group(node.handover.get_incarnation(), 1);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -166,7 +166,7 @@
         }
         let own = state.quotas.report(now);
         track_accounts(state, now);
-        let quota = state.quotas.add_group(now, &own);
+        let quota = state.quotas.add_group_usage(now, &own);
         let usage = get_own_usage(state);
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
         state.handover.record(now, snapshot);
