--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -164,7 +164,7 @@
     }
 
     /// Adds what all others use to the report of this node's group.
-    pub fn add_others(&mut self, now: Millis, group: &Report) -> Report {
+    pub fn add_other_usage(&mut self, now: Millis, group: &Report) -> Report {
         let others = std::mem::take(&mut self.others);
         let report = self.add_sums(now, group, Source::Peer, &others);
         self.others = others;
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -314,7 +314,7 @@
     let reach = node.get_reachability(now);
     node.quotas.track(now, "acme", LIMIT, reach);
     let group = node.quotas.add_group_usage(now, &own);
-    let total = node.quotas.add_others(now, &group);
+    let total = node.quotas.add_other_usage(now, &group);
     let run = node.get_from();
     let usage = node.ledger.sum_group(node.handover.get_incarnation(), 1);
     let counts = usage.first().map(|(_, counts)| counts.clone()).unwrap_or_default();
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -317,7 +317,7 @@
         let reach = self.members.get_reachability(now);
         self.quotas.track(now, "acme", self.limit, reach);
         let report = self.quotas.add_group_usage(now, &own);
-        let total = self.quotas.add_others(now, &report);
+        let total = self.quotas.add_other_usage(now, &report);
         let usage = self.ledger.sum_group(self.handover.get_incarnation(), 1);
         let counts = usage.first().map(|(_, counts)| counts.clone()).unwrap_or_default();
         let (group, group_age) = self.members.get_group(now);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -181,7 +181,7 @@
         let throughputs = take_samples(state);
         let overview = Overview {
             sender: sender.clone(),
-            quota: state.quotas.add_others(now, &quota),
+            quota: state.quotas.add_other_usage(now, &quota),
             throughputs: take_passed_on(state, &throughputs),
             reach: state.members.get_overview(),
             silent: state.members.list_silent(),
