--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -220,7 +220,7 @@
     }
 
     /// Returns `true` if a node that holds the duties was heard of within a time.
-    pub fn is_holder_heard(&self, now: Millis, within: Millis) -> bool {
+    pub fn is_duty_holder_heard(&self, now: Millis, within: Millis) -> bool {
         self.get_holder_age(now).is_some_and(|age| age < within)
     }
 
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -388,8 +388,8 @@
     let other = entry("node-1", 200, 101);
     members.record_heartbeat(5_000, &Heartbeat { holder_age: Some(700), ..heard(&other) });
     assert_eq!(members.get_holder_age(5_100), Some(800));
-    assert!(members.is_holder_heard(5_100, 801));
-    assert!(!members.is_holder_heard(5_100, 800));
+    assert!(members.is_duty_holder_heard(5_100, 801));
+    assert!(!members.is_duty_holder_heard(5_100, 800));
 }
 
 #[test]
--- a/crates/gateway/src/node/duty.rs
+++ b/crates/gateway/src/node/duty.rs
@@ -83,7 +83,7 @@
 fn is_left_to_others(node: &Node, now: Millis) -> bool {
     let within = (node.settings.bounds.lease_ms as f64 * HOLDER_BELIEVED_PART) as Millis;
     node.with(|state| {
-        let is_held_elsewhere = state.members.is_holder_heard(now, within);
+        let is_held_elsewhere = state.members.is_duty_holder_heard(now, within);
         let is_candidate = state.members.is_aggregator() && state.members.is_settled(now);
         let is_holder = state.lease.get_fence(now).is_some();
         !is_candidate || (is_held_elsewhere && !is_holder)
