--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -221,11 +221,11 @@
 
     /// Returns `true` if a node that holds the duties was heard of within a time.
     pub fn is_duty_holder_heard(&self, now: Millis, within: Millis) -> bool {
-        self.get_holder_age(now).is_some_and(|age| age < within)
+        self.get_duty_holder_age(now).is_some_and(|age| age < within)
     }
 
     /// Returns how long ago the holder of the duties was heard of.
-    pub fn get_holder_age(&self, now: Millis) -> Option<Millis> {
+    pub fn get_duty_holder_age(&self, now: Millis) -> Option<Millis> {
         self.holder_heard_at.map(|at| now.saturating_sub(at))
     }
 
--- a/crates/core/tests/serving/members.rs
+++ b/crates/core/tests/serving/members.rs
@@ -387,7 +387,7 @@
     let mut members = member_of_sixty(0);
     let other = entry("node-1", 200, 101);
     members.record_heartbeat(5_000, &Heartbeat { holder_age: Some(700), ..heard(&other) });
-    assert_eq!(members.get_holder_age(5_100), Some(800));
+    assert_eq!(members.get_duty_holder_age(5_100), Some(800));
     assert!(members.is_duty_holder_heard(5_100, 801));
     assert!(!members.is_duty_holder_heard(5_100, 800));
 }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -113,7 +113,7 @@
         entry: node.get_entry(),
         incarnation: state.handover.get_incarnation().number,
         is_stopping: node.is_stopping(),
-        holder_age: if holds_duties { Some(0) } else { state.members.get_holder_age(now) },
+        holder_age: if holds_duties { Some(0) } else { state.members.get_duty_holder_age(now) },
         rollouts: state.rollouts.list_announcements(now),
     }
 }
