--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -23,7 +23,7 @@
 impl Members {
     /// Sets how long summaries of other regions take: the time between two of them, and the time on
     /// the way from the farthest region, in milliseconds.
-    pub fn set_transit(&mut self, period: Millis, way: Millis) {
+    pub fn set_transit_delay(&mut self, period: Millis, way: Millis) {
         self.transit = Transit { period, way };
     }
 
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -220,7 +220,7 @@
     }
 
     fn refresh(&mut self, now: u64, way: u64) {
-        self.members.set_transit(self.pace.get_period(), way);
+        self.members.set_transit_delay(self.pace.get_period(), way);
         self.members.refresh(now);
         let audience = self.members.get_own_aggregator().map(|entry| entry.name.clone());
         self.has_heard_all &= audience.is_none();
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -33,7 +33,7 @@
         let others = regions.filter(|region| *region != node.topology.get_own());
         let farthest = others.map(|region| state.distances.get_round_trip(region)).max();
         let period = state.carrying.pace.get_period();
-        state.members.set_transit(period, farthest.unwrap_or(0) / 2);
+        state.members.set_transit_delay(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
         turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_remote_nodes())
     });
