--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -13,7 +13,7 @@
 use crate::Millis;
 
 /// The time after a return in which the operator and the servers have written again what was lost.
-pub const REWRITTEN_WITHIN: Millis = 2_000;
+pub const REWRITE_PERIOD: Millis = 2_000;
 
 /// How far the wall clocks of two nodes may differ.
 const CLOCKS_DIFFER_BY: Millis = 4_000;
@@ -143,7 +143,7 @@
 
     /// Returns `true` if the operator and the servers have had the time to write again.
     pub fn is_settled(&self, now: Millis) -> bool {
-        self.get_age(now).is_some_and(|age| age >= REWRITTEN_WITHIN)
+        self.get_age(now).is_some_and(|age| age >= REWRITE_PERIOD)
     }
 
     /// Returns `true` if the operator's configuration is as new as it ever was.
