--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -90,7 +90,7 @@
         if is_overdue || is_low || is_large {
             return false;
         }
-        self.restart_local_share(now, account);
+        self.discard_local_share_savings(now, account);
         self.admit(account, units);
         true
     }
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -36,7 +36,7 @@
 impl Quotas {
     /// Takes note that the owner of a client account decides about its requests: nothing of the
     /// local share is saved up meanwhile.
-    pub fn restart_local_share(&mut self, now: Millis, account: &str) {
+    pub fn discard_local_share_savings(&mut self, now: Millis, account: &str) {
         if let Some(bucket) = self.local_share.get_mut(account) {
             // What was admitted in advance is paid back as before.
             bucket.stop_saving(now);
--- a/crates/core/tests/serving/owner.rs
+++ b/crates/core/tests/serving/owner.rs
@@ -15,6 +15,6 @@
     if decision == Decision::Undecided {
         return quotas.consume_local_share(now, "acme", units, limit, reach).is_ok();
     }
-    quotas.restart_local_share(now, "acme");
+    quotas.discard_local_share_savings(now, "acme");
     decision == Decision::Admitted
 }
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -49,11 +49,11 @@
             state.quotas.consume_local_share(now, name, units, limit, reach)
         }
         Decision::Admitted => {
-            state.quotas.restart_local_share(now, name);
+            state.quotas.discard_local_share_savings(now, name);
             Ok(())
         }
         Decision::Refused { retry_after } => {
-            state.quotas.restart_local_share(now, name);
+            state.quotas.discard_local_share_savings(now, name);
             Err(retry_after)
         }
     })
