--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -61,7 +61,7 @@
         limit: Limit,
         reach: Reachability,
     ) -> Result<(), Millis> {
-        if self.consume_if_filled(now, account, units, limit, reach) {
+        if self.consume_above_low_water(now, account, units, limit, reach) {
             return Ok(());
         }
         self.consume_local_share(now, account, units, limit, reach)
@@ -69,7 +69,7 @@
 
     /// Consumes units for a request of a client account whose bucket is well filled; returns `false`
     /// where it is low, or where too little is known of what others use.
-    pub fn consume_if_filled(
+    pub fn consume_above_low_water(
         &mut self,
         now: Millis,
         account: &str,
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -188,7 +188,7 @@
         if !self.is_owner_asked {
             return node.quotas.consume(now, "acme", size, self.limit, reach).is_ok();
         }
-        if node.quotas.consume_if_filled(now, "acme", size, self.limit, reach) {
+        if node.quotas.consume_above_low_water(now, "acme", size, self.limit, reach) {
             return true;
         }
         let owner = self.get_owner(number, now);
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -489,7 +489,7 @@
     fn is_admitted(&self, nodes: &mut [Node], number: usize, now: u64, size: u64) -> bool {
         let node = &mut nodes[number];
         let reach = node.members.get_reachability(now);
-        if node.quotas.consume_if_filled(now, "acme", size, self.limit, reach) {
+        if node.quotas.consume_above_low_water(now, "acme", size, self.limit, reach) {
             return true;
         }
         let owner = node.members.find_owner(short_id("acme")).map_or(number, number_of);
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -33,7 +33,7 @@
     let limit = get_limit(account);
     let is_filled = node.with(|state| {
         let reach = state.members.get_reachability(now);
-        state.quotas.consume_if_filled(now, name, units, limit, reach)
+        state.quotas.consume_above_low_water(now, name, units, limit, reach)
     });
     if is_filled {
         return Ok(());
