--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -110,7 +110,7 @@
     }
 
     /// Counts a request that is sent to a server.
-    pub fn begin(&mut self, service: &str) {
+    pub fn begin_request(&mut self, service: &str) {
         self.own.entry(service.to_owned()).or_default().in_flight += 1;
     }
 
--- a/crates/core/tests/serving/demand.rs
+++ b/crates/core/tests/serving/demand.rs
@@ -71,7 +71,7 @@
     };
     let mut book = DemandTracker::default();
     book.count("llm", &totals(5));
-    book.begin("llm");
+    book.begin_request("llm");
     book.merge(10_000, true, ("member", 1), &report(100, 2));
     book.merge(10_400, true, ("member", 1), &report(110, 3));
     book.merge(10_400, false, ("other", 1), &report(1_000, 7));
@@ -97,7 +97,7 @@
     book.merge(10_000, false, ("other", 1), &[report("east", 0, 0), report("west", 0, 0)]);
     book.sample(10_000, "llm");
     book.count("llm", &totals(5));
-    book.begin("llm");
+    book.begin_request("llm");
     book.merge(11_000, true, ("member", 1), &[report("west", 20, 2)]);
     book.merge(11_000, false, ("other", 1), &[report("east", 3, 1), report("west", 100, 8)]);
     book.sample(12_000, "llm");
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -123,7 +123,7 @@
         node.with(|state| {
             state.held.begin(&server.id, body_bytes);
             state.loads.begin(&server.id, &work);
-            state.demand.begin(&server.service);
+            state.demand.begin_request(&server.service);
         });
         note_load_change(node, &server.id, true);
         let (service, server) = (server.service.clone(), server.id.clone());
