--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -115,7 +115,7 @@
     }
 
     /// Counts that a request to a server has ended.
-    pub fn end(&mut self, service: &str) {
+    pub fn end_request(&mut self, service: &str) {
         if let Some(own) = self.own.get_mut(service) {
             own.in_flight = own.in_flight.saturating_sub(1);
         }
--- a/crates/core/tests/serving/demand.rs
+++ b/crates/core/tests/serving/demand.rs
@@ -81,7 +81,7 @@
     assert_eq!(book.get_in_flight(10_800, "llm"), in_flight([("", 12)]));
     // The member is gone; what it was asked for stays.
     book.forget("member", 1);
-    book.end("llm");
+    book.end_request("llm");
     assert_eq!(book.sum_group(10_900), [("llm".to_owned(), Report { in_flight: 0, ..sum })]);
     assert_eq!(book.get_in_flight(12_800, "llm"), in_flight([("", 0)]));
 }
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -153,7 +153,7 @@
         self.node.with(|state| {
             state.held.end(&self.server, self.body_bytes);
             state.loads.end(&self.server, &self.work, had_first_token);
-            state.demand.end(&self.service);
+            state.demand.end_request(&self.service);
         });
         note_load_change(&self.node, &self.server, false);
     }
