--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -15,7 +15,9 @@
 use keeljunction_core::serving::quarantine::{
     Book, Content, Crash, Fingerprint, Run, Standing, Verdict,
 };
-use keeljunction_core::serving::quota::{Limit, Quotas, Reach, Report, Source, Tolerance, Units};
+use keeljunction_core::serving::quota::{
+    AccountUsage, Limit, Quotas, Reachability, Report, Source, Tolerance,
+};
 use keeljunction_core::serving::spill::Offer;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::topology::Topology;
@@ -64,7 +66,7 @@
 fn members(count: usize) -> Members {
     let all = entries(count);
     let mut members = Members::new(0, all[count - 1].clone(), &[]);
-    members.take_list(0, all, true);
+    members.merge_list(0, all, true);
     members
 }
 
@@ -184,7 +186,7 @@
                 let id = format!("i-{:010x}", version % 7);
                 let (after, version) = (at(version - 1), at(version));
                 let entry = Entry { id, version, server: None };
-                directory.update(Batch { after, version, entries: vec![entry] });
+                directory.apply_batch(Batch { after, version, entries: vec![entry] });
                 black_box(directory.get_update(Some(after)));
             });
         });
@@ -204,7 +206,7 @@
                     link_mbps: 20 + (number % 2) as u32,
                     ..newcomers[nodes].clone()
                 };
-                members.take_entries(0, &[newcomer]);
+                members.merge_entries(0, &[newcomer]);
                 members.refresh(black_box(0));
             });
         });
@@ -248,9 +250,10 @@
         let is_grouped = members(nodes).is_grouped();
         // In groups a node hears its aggregator only, and an aggregator the others and its group.
         let heard = if is_grouped { (nodes as f64).sqrt().ceil() as usize * 2 } else { nodes };
-        let reach = Reach { heard: nodes, all: nodes, period: 400, is_grouped };
+        let reach = Reachability { heard: nodes, known: nodes, report_delay: 400, is_grouped };
         let mut quotas = Quotas::new(0, Tolerance::default());
-        let units = Units { admitted: 1_000, requested_per_second: 100, ..Units::default() };
+        let units =
+            AccountUsage { admitted: 1_000, requested_per_second: 100, ..AccountUsage::default() };
         let accounts = (0..40).map(|account| (format!("account-{account}"), units)).collect();
         let report = Report { accounts, ..Report::default() };
         for peer in 0..heard {
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -23,13 +23,13 @@
 impl Members {
     /// Sets how long summaries of other regions take: the time between two of them, and the time on
     /// the way from the farthest region, in milliseconds.
-    pub fn set_transit(&mut self, period: Millis, way: Millis) {
+    pub fn set_transit_delay(&mut self, period: Millis, way: Millis) {
         self.transit = Transit { period, way };
     }
 
     /// Returns `true` if what passes between regions goes through carriers: nodes report in groups,
     /// and these stand in several regions.
-    pub fn is_crossing(&self) -> bool {
+    pub fn is_using_carriers(&self) -> bool {
         self.view.is_grouped && self.topology.is_multi_region()
     }
 
@@ -37,7 +37,7 @@
     /// aggregators there that are heard. Where none is heard, any may be back: each turn gives the
     /// next two.
     pub fn list_carriers(&self, now: Millis, turn: usize) -> Vec<Vec<SocketAddr>> {
-        if !self.is_crossing() {
+        if !self.is_using_carriers() {
             return Vec::new();
         }
         let regions = self.view.ranking.far.values();
@@ -64,13 +64,13 @@
     }
 
     /// Returns how many aggregators of this node's region there are, this one included.
-    pub fn count_near_aggregators(&self) -> usize {
+    pub fn count_local_aggregators(&self) -> usize {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
         1 + others.filter(|member| self.topology.is_near(&member.entry.data_centre)).count()
     }
 
     /// Lists the nodes of other regions, by address, with their regions.
-    pub fn list_far(&self) -> BTreeMap<SocketAddr, String> {
+    pub fn list_remote_nodes(&self) -> BTreeMap<SocketAddr, String> {
         let far = self.known.values().filter_map(|member| {
             let region = self.get_far_region(&member.entry)?;
             Some((member.entry.address, region.to_owned()))
@@ -83,7 +83,13 @@
     ///
     /// A summary may come through several carriers. It is newer if its sender's process has started
     /// anew, so that `run` differs, or if `sent_at`, on the sender's clock, is later.
-    pub fn note_crossed(&mut self, now: Millis, entry: &Entry, run: u32, sent_at: Millis) -> bool {
+    pub fn record_remote_summary(
+        &mut self,
+        now: Millis,
+        entry: &Entry,
+        run: u32,
+        sent_at: Millis,
+    ) -> bool {
         self.add(now, entry);
         let Some(member) = self.known.get_mut(&entry.name) else { return false };
         let is_known = member.newest.is_some_and(|(known, at)| known == run && sent_at <= at);
@@ -98,7 +104,7 @@
     ///
     /// Summaries that cross name these, so that a region learns that only its own way is cut.
     pub fn list_unheard_regions(&self, now: Millis) -> Vec<String> {
-        let Some(since) = self.aggregating_since else { return self.list_lost_regions() };
+        let Some(since) = self.aggregating_since else { return self.list_unreachable_regions() };
         let within = self.get_heard_within();
         let is_arriving = |member: &Member| member.crossed_at.is_some_and(|at| now < at + within);
         self.find_silent_regions(now, since, is_arriving).into_iter().collect()
@@ -112,7 +118,7 @@
     /// Returns `true` if some region is overdue: nothing came from it for some periods, and not all
     /// nodes count it as out of reach yet.
     pub fn is_region_overdue(&self, now: Millis) -> bool {
-        if !self.is_crossing() {
+        if !self.is_using_carriers() {
             return false;
         }
         let mut heard_at: BTreeMap<&str, Millis> = BTreeMap::new();
@@ -128,19 +134,19 @@
     }
 
     /// Returns `true` if all other regions are out of reach, and most nodes of this one are heard.
-    pub fn is_region_alone(&self) -> bool {
+    pub fn is_region_isolated(&self) -> bool {
         let is_any_other = !self.view.ranking.far.is_empty();
         let is_each_lost = self.view.ranking.far.keys().all(|r| self.lost_regions.contains(r));
         is_any_other && is_each_lost && 2 * self.view.heard > self.view.near_nodes
     }
 
     /// Lists the regions of which nobody is heard.
-    pub fn list_lost_regions(&self) -> Vec<String> {
+    pub fn list_unreachable_regions(&self) -> Vec<String> {
         self.lost_regions.iter().cloned().collect()
     }
 
     /// Takes over which regions this node's aggregator does not hear.
-    pub fn take_lost_regions(&mut self, from: &str, lost: Vec<String>) {
+    pub fn set_unreachable_regions(&mut self, from: &str, lost: Vec<String>) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
             self.lost_regions = lost.into_iter().collect();
         }
--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::limit::{Limit, Reach};
+use super::limit::{Limit, Reachability};
 use super::{LEAST_LEFT, Quotas, get_raised_part};
 use crate::Millis;
 
@@ -59,9 +59,9 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Result<(), Millis> {
-        if self.consume_if_filled(now, account, units, limit, reach) {
+        if self.consume_above_low_water(now, account, units, limit, reach) {
             return Ok(());
         }
         self.consume_local_share(now, account, units, limit, reach)
@@ -69,13 +69,13 @@
 
     /// Consumes units for a request of a client account whose bucket is well filled; returns `false`
     /// where it is low, or where too little is known of what others use.
-    pub fn consume_if_filled(
+    pub fn consume_above_low_water(
         &mut self,
         now: Millis,
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> bool {
         if limit.rate_per_second <= 0.0 {
             return true;
@@ -86,11 +86,11 @@
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
         let capacity = limit.get_capacity();
         let is_low = left < self.get_low(now, account, capacity, reach);
-        let is_large = reach.all > 1 && units as f64 > capacity * LARGE_PART;
+        let is_large = reach.known > 1 && units as f64 > capacity * LARGE_PART;
         if is_overdue || is_low || is_large {
             return false;
         }
-        self.restart_local_share(now, account);
+        self.discard_local_share_savings(now, account);
         self.admit(account, units);
         true
     }
@@ -102,10 +102,10 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Decision {
         match reach.is_most_heard() {
-            true => self.decide_alone(now, account, units, limit, reach),
+            true => self.decide_for_isolated_region(now, account, units, limit, reach),
             false => Decision::Undecided,
         }
     }
@@ -114,13 +114,13 @@
     /// that hears no other one.
     ///
     /// Each region then has an owner and a fraction of the rate of its own: no node is in two regions.
-    pub fn decide_alone(
+    pub fn decide_for_isolated_region(
         &mut self,
         now: Millis,
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Decision {
         if reach.is_grouped && self.is_any_overdue(now, reach) {
             return Decision::Undecided;
@@ -157,7 +157,7 @@
     ///
     /// None while all nodes have just started: what they used before is not known then, and they
     /// begin with a part of the tolerance already.
-    pub(super) fn get_headroom(&self, now: Millis, limit: Limit, reach: Reach) -> f64 {
+    pub(super) fn get_headroom(&self, now: Millis, limit: Limit, reach: Reachability) -> f64 {
         if !self.is_window_known(now) {
             return 0.0;
         }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -27,8 +27,8 @@
 use std::collections::BTreeMap;
 
 pub use self::decision::Decision;
-pub use self::limit::{Limit, Reach, Tolerance};
-pub use self::report::{Report, Source, Units};
+pub use self::limit::{Limit, Reachability, Tolerance};
+pub use self::report::{AccountUsage, Report, Source};
 
 use self::report::{RATE_VALID_FOR, Rates};
 use crate::Millis;
@@ -133,7 +133,7 @@
 
     /// Keeps the bucket of a client account also where none of its requests came to this node, so
     /// that its level can be reported to others.
-    pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reach) {
+    pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reachability) {
         if limit.rate_per_second > 0.0 && !self.whole.contains_key(account) {
             let limit = self.tolerance.raise(limit, get_raised_part(reach));
             self.refill_whole(now, account, limit, reach);
@@ -156,7 +156,7 @@
     }
 
     /// Adds what this node's group uses to its own report.
-    pub fn add_group(&mut self, now: Millis, own: &Report) -> Report {
+    pub fn add_group_usage(&mut self, now: Millis, own: &Report) -> Report {
         let group = std::mem::take(&mut self.group);
         let report = self.add_sums(now, own, Source::Member, &group);
         self.group = group;
@@ -164,7 +164,7 @@
     }
 
     /// Adds what all others use to the report of this node's group.
-    pub fn add_others(&mut self, now: Millis, group: &Report) -> Report {
+    pub fn add_other_usage(&mut self, now: Millis, group: &Report) -> Report {
         let others = std::mem::take(&mut self.others);
         let report = self.add_sums(now, group, Source::Peer, &others);
         self.others = others;
@@ -199,7 +199,7 @@
     }
 
     /// Stops to report units that have arrived where this node reported until now.
-    pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, Units>) {
+    pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, AccountUsage>) {
         self.counted_since = now;
         // What the group used has been reported too; its nodes count anew.
         self.group.clear();
@@ -219,7 +219,7 @@
         now: Millis,
         from: (&str, u64),
         total: &Report,
-        arrived: &BTreeMap<String, Units>,
+        arrived: &BTreeMap<String, AccountUsage>,
     ) {
         let mut others = total.clone();
         for (account, units) in &mut others.accounts {
@@ -349,7 +349,13 @@
     }
 
     /// Refills the whole client account's bucket and returns what is left of it by now.
-    fn refill_whole(&mut self, now: Millis, account: &str, limit: Limit, reach: Reach) -> f64 {
+    fn refill_whole(
+        &mut self,
+        now: Millis,
+        account: &str,
+        limit: Limit,
+        reach: Reachability,
+    ) -> f64 {
         let fraction = reach.get_fraction();
         let rate = limit.rate_per_second * fraction;
         let capacity = limit.get_capacity();
@@ -408,8 +414,8 @@
     /// badly to admit more than a share of the rate.
     ///
     /// Reports that cross between regions may come less often.
-    fn is_any_overdue(&self, now: Millis, reach: Reach) -> bool {
-        let overdue = OVERDUE.start.max(reach.period * OVERDUE_SIXTHS / 6)..OVERDUE.end;
+    fn is_any_overdue(&self, now: Millis, reach: Reachability) -> bool {
+        let overdue = OVERDUE.start.max(reach.report_delay * OVERDUE_SIXTHS / 6)..OVERDUE.end;
         let groups = self.peers.iter().filter(|((source, _, _), _)| *source != Source::Member);
         let mut ages = groups.map(|(_, rates)| now.saturating_sub(rates.reported_at));
         now < self.region_overdue_until || ages.any(|age| overdue.contains(&age))
@@ -417,12 +423,12 @@
 
     /// Returns the level that counts as low: what the client account may use before peers report
     /// it.
-    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reach) -> f64 {
-        if reach.all == 1 {
+    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reachability) -> f64 {
+        if reach.known == 1 {
             return LEAST_LEFT;
         }
         let unreported =
-            self.get_all_requested(now, account) * reach.period as f64 * UNREPORTED_PERIODS;
+            self.get_all_requested(now, account) * reach.report_delay as f64 * UNREPORTED_PERIODS;
         unreported.clamp(LEAST_LEFT, (capacity * LOW_FRACTION).max(LEAST_LEFT))
     }
 
@@ -448,7 +454,7 @@
     }
 }
 
-fn get_raised_part(reach: Reach) -> f64 {
+fn get_raised_part(reach: Reachability) -> f64 {
     if reach.is_grouped { RAISED_PART_GROUPED } else { RAISED_PART }
 }
 
--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -18,7 +18,7 @@
 /// Each report to other nodes names the windows that its sender knows, and lists the counts of some. Of a window
 /// that was only named the counts were lost on their way: it may have been reported.
 #[derive(Clone, Debug)]
-pub struct Frozen {
+pub struct FrozenWindows {
     /// How many windows are remembered, the latest ones.
     most: usize,
     known: BTreeMap<WindowNumber, Known>,
@@ -32,7 +32,7 @@
     repeats: u32,
 }
 
-impl Frozen {
+impl FrozenWindows {
     /// Makes a memory of so many windows.
     pub fn new(most: u64) -> Self {
         let most = usize::try_from(most).unwrap_or(usize::MAX);
@@ -41,17 +41,17 @@
 
     /// Notes that this node has frozen a window, or has found its row; returns `true` if that was not known.
     /// What was known first stays.
-    pub fn note_own(&mut self, window: WindowNumber, counts: &Counts) -> bool {
+    pub fn record_own(&mut self, window: WindowNumber, counts: &Counts) -> bool {
         self.note(window, counts, REPEATS)
     }
 
     /// Notes that another node has frozen a window. What was known first stays.
-    pub fn note_heard(&mut self, window: WindowNumber, counts: &Counts) {
+    pub fn record_remote(&mut self, window: WindowNumber, counts: &Counts) {
         self.note(window, counts, 0);
     }
 
     /// Notes that another node knows some windows as frozen.
-    pub fn note_named(&mut self, windows: WindowSet) {
+    pub fn record_announced(&mut self, windows: WindowSet) {
         self.named.extend(windows.iter());
         while self.named.len() > self.most {
             self.named.pop_first();
@@ -75,12 +75,12 @@
     }
 
     /// Returns `true` if another node knows a window as frozen, whether or not its counts arrived here.
-    pub fn is_named(&self, window: WindowNumber) -> bool {
+    pub fn is_announced(&self, window: WindowNumber) -> bool {
         self.named.contains(&window)
     }
 
     /// Returns the windows that this node knows as frozen, which each report names.
-    pub fn get_names(&self) -> WindowSet {
+    pub fn get_windows(&self) -> WindowSet {
         self.known.keys().copied().collect()
     }
 
--- a/crates/core/tests/serving/quota_cluster.rs
+++ b/crates/core/tests/serving/quota_cluster.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reach, Source, Tolerance};
+use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reachability, Source, Tolerance};
 use proptest::prelude::*;
 
 use crate::owner::follow;
@@ -60,9 +60,9 @@
         self.heard.get(&peer).is_some_and(|at| now < at + HEARD_WITHIN)
     }
 
-    fn get_reach(&self, now: u64, all: usize) -> Reach {
-        let heard = 1 + (0..all).filter(|peer| self.is_heard(now, *peer)).count();
-        Reach { heard, all, period: PERIOD, is_grouped: false }
+    fn get_reachability(&self, now: u64, known: usize) -> Reachability {
+        let heard = 1 + (0..known).filter(|peer| self.is_heard(now, *peer)).count();
+        Reachability { heard, known, report_delay: PERIOD, is_grouped: false }
     }
 
     /// Returns which node this one, given by its number, takes for the owner: the first that it
@@ -126,11 +126,11 @@
         random: &mut fastrand::Rng,
     ) -> bool {
         let node = &mut nodes[number];
-        let reach = node.get_reach(now, self.nodes);
+        let reach = node.get_reachability(now, self.nodes);
         if !self.is_owner_asked {
             return node.quotas.consume(now, "acme", size, self.limit, reach).is_ok();
         }
-        if node.quotas.consume_if_filled(now, "acme", size, self.limit, reach) {
+        if node.quotas.consume_above_low_water(now, "acme", size, self.limit, reach) {
             return true;
         }
         let owner = node.get_owner(now, number);
@@ -141,7 +141,7 @@
         let is_reached = !is_cut && !is_lost && now >= asked.started_at;
         let mut decision = Decision::Undecided;
         if is_reached && asked.get_owner(now, owner) == owner {
-            let reach = asked.get_reach(now, self.nodes);
+            let reach = asked.get_reachability(now, self.nodes);
             decision = asked.quotas.decide(now, "acme", size, self.limit, reach);
         }
         if is_answered_in_vain {
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -123,7 +123,7 @@
         node.with(|state| {
             state.server_held_bytes.begin(&server.id, body_bytes);
             state.loads.begin(&server.id, &work);
-            state.demand.begin(&server.service);
+            state.demand.begin_request(&server.service);
         });
         note_load_change(node, &server.id, true);
         let (service, server) = (server.service.clone(), server.id.clone());
@@ -153,7 +153,7 @@
         self.node.with(|state| {
             state.server_held_bytes.end(&self.server, self.body_bytes);
             state.loads.end(&self.server, &self.work, had_first_token);
-            state.demand.end(&self.service);
+            state.demand.end_request(&self.service);
         });
         note_load_change(&self.node, &self.server, false);
     }
--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -5,8 +5,8 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::capacity::{
-    Demand, Found, Inventory, Needs, Order, Plan, Policy, Snapshot, count_crossing, needs,
-    plan_regions,
+    Demand, InitialCount, Inventory, Order, PeakNeeds, Plan, Policy, Snapshot, compute_needs,
+    count_spillable, plan_regions,
 };
 use keeljunction_core::serving::configuration::{Scaling, Service};
 use keeljunction_core::serving::demand::DemandTotals;
@@ -44,11 +44,11 @@
     ordered: BTreeMap<Place, Order>,
     paused_until: BTreeMap<Place, Millis>,
     /// The largest needs of late, by service.
-    needs: BTreeMap<String, Needs>,
+    needs: BTreeMap<String, PeakNeeds>,
     /// Since when this holder has known the demand, by service.
     demand_known_since: BTreeMap<String, Millis>,
     /// On-demand servers as they were found, by service and region.
-    found: BTreeMap<(String, String), Found>,
+    found: BTreeMap<(String, String), InitialCount>,
     /// When spot servers may be ordered next while the list of servers grows.
     next_list_order: BTreeMap<String, Millis>,
 }
@@ -89,10 +89,10 @@
         let unheard = list_unheard(node, &inventories);
         let (needs, policy) = match &demands {
             Some(demands) => {
-                let latest = needs(&policy, demands);
+                let latest = compute_needs(&policy, demands);
                 let unheard = unheard.iter().map(String::as_str).collect();
                 let followed = self.needs.entry(name.to_owned()).or_default();
-                (followed.follow(now, &latest, &unheard, FALL_SPAN), policy)
+                (followed.record(now, &latest, &unheard, FALL_SPAN), policy)
             }
             // A holder that does not know the demand yet leaves an earlier holder's mix as it is.
             None if is_mixed && !self.has_ordered(name) => return,
@@ -117,7 +117,7 @@
             // On-demand servers that have not listed themselves yet must not be given up, unless they
             // are known to be too many.
             let snapshot = snapshots.get(get_region(node, &order.data_centre));
-            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_carried_by_spot(scaling));
+            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_spot_sufficient(scaling));
             let is_surplus = is_demand_followed && is_carried;
             if !is_complete && !order.is_spot && !is_surplus {
                 continue;
@@ -155,7 +155,7 @@
                 need,
                 is_spot_exhausted: self.is_spot_exhausted(name, inventory, now),
                 on_demand_held: self.count_on_demand(name, inventory),
-                crossing: count_crossing(
+                spillable: count_spillable(
                     need,
                     get_tokens_per_second(demands, region),
                     node.settings.regions.spill_mbps,
@@ -168,7 +168,7 @@
 
     /// Returns `true` if spot servers may be ordered from a list that still grows.
     fn is_list_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
-        let is_untouched = node.with(|state| state.demand.is_untouched(name));
+        let is_untouched = node.with(|state| state.demand.is_never_requested(name));
         let next = self.next_list_order.entry(name.to_owned()).or_insert(now + LIST_PAUSE);
         let is_due = is_untouched && now >= *next;
         if is_due {
@@ -200,14 +200,15 @@
         inventories: &Inventories,
         now: Millis,
     ) -> (BTreeMap<String, u32>, bool) {
-        let (is_idle, age) = node
-            .with(|state| (state.demand.is_untouched(name), state.servers_freshness.get_age(now)));
+        let (is_idle, age) = node.with(|state| {
+            (state.demand.is_never_requested(name), state.servers_freshness.get_age(now))
+        });
         let known_at = age.map(|age| now.saturating_sub(age));
         let mut is_complete = true;
         let follow = |(region, inventory): (&String, &BTreeMap<String, Inventory>)| {
             let listed = inventory.values().map(|held| held.on_demand).sum();
             let found = self.found.entry((name.to_owned(), region.clone())).or_default();
-            let count = found.follow(now, listed, is_idle, known_at);
+            let count = found.record(now, listed, is_idle, known_at);
             is_complete &= found.is_complete(known_at);
             (region.clone(), count)
         };
@@ -251,7 +252,7 @@
         for (data_centre, held) in &mut inventory {
             let place = (name.to_owned(), data_centre.clone(), true);
             let Some(ordered) = self.ordered.get_mut(&place) else { continue };
-            held.spot_booting = ordered.follow(now, held.spot, scaling.boot);
+            held.spot_booting = ordered.update(now, held.spot, scaling.boot);
         }
         inventory
     }
@@ -346,7 +347,7 @@
 ) -> Option<BTreeMap<String, Demand>> {
     let slots = service.engine.as_ref().map_or(1, |engine| engine.slots);
     let (totals, covered, throughput, in_flight) = node.with(|state| {
-        let (totals, covered) = state.demand.within(now, name, DEMAND_SPAN)?;
+        let (totals, covered) = state.demand.get_recent(now, name, DEMAND_SPAN)?;
         let throughput = state.throughputs.get(name)?.get_prefill_rate()?;
         Some((totals, covered, throughput, state.demand.get_in_flight(now, name)))
     })?;
@@ -370,7 +371,7 @@
 /// Lists the regions of which no node is heard and whose servers accept requests: their callers are
 /// still served there. Where no server is left, the demand moves to other regions.
 fn list_unheard(node: &Node, inventories: &Inventories) -> BTreeSet<String> {
-    let lost = node.with(|state| state.members.list_lost_regions()).into_iter();
+    let lost = node.with(|state| state.members.list_unreachable_regions()).into_iter();
     let is_serving = |region: &String| {
         let held = inventories.get(region).into_iter().flat_map(BTreeMap::values);
         held.map(|held| held.on_demand + held.spot).sum::<u32>() > 0
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -72,7 +72,7 @@
 /// Encodes what a peer lacks of the list of nodes.
 fn list_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
-    let additions = node.with(|state| state.members.list_additions(now, after.unwrap_or(0)));
+    let additions = node.with(|state| state.members.get_roster_delta(now, after.unwrap_or(0)));
     let encoded = postcard::to_stdvec(&additions);
     encoded
         .inspect_err(|error| log::error!("the nodes cannot be encoded: {error}"))
@@ -86,7 +86,7 @@
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
-        Ok(additions) => node.with(|state| state.members.take_additions(now, from, &additions)),
+        Ok(additions) => node.with(|state| state.members.apply_roster_delta(now, from, &additions)),
         Err(error) => log::warn!("the list of nodes of {from} cannot be read: {error}"),
     }
 }
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -56,7 +56,7 @@
 
 /// Lists the other aggregators of this region, and the carriers of the others.
 fn list_others(state: &State, now: Millis) -> Vec<SocketAddr> {
-    let mut to = state.members.list_exchange(now);
+    let mut to = state.members.list_exchange_peers(now);
     to.extend(state.members.list_carriers(now, 0).concat());
     to
 }
@@ -97,7 +97,7 @@
             }
         }
         Notification::UsageFrozen(window, counts) => {
-            node.with(|state| state.frozen.note_heard(window, &counts));
+            node.with(|state| state.frozen.record_remote(window, &counts));
         }
         Notification::RolloutChanged(announcement) => take_rollout(node, from, announcement).await,
         Notification::ServersChanged(batch) => take_servers(node, from, batch).await,
@@ -125,7 +125,7 @@
     let notification = Notification::ServersChanged(batch.clone());
     let (changes, is_new) = node.with(|state| {
         let before = state.directory.get_version();
-        let changes = state.directory.update(batch);
+        let changes = state.directory.apply_batch(batch);
         (changes, state.directory.get_version() > before)
     });
     match changes {
@@ -180,7 +180,7 @@
         if to.contains(&from) {
             to.extend(list_others(state, now));
         } else if is_far {
-            to.extend(state.members.list_exchange(now));
+            to.extend(state.members.list_exchange_peers(now));
         }
         to.retain(|address| *address != from);
         to
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -60,7 +60,7 @@
 async fn take_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.far_region.map(str::to_owned);
+        let far_region = found.remote_region.map(str::to_owned);
         Some(Owner { address: found.address, far_region })
     });
     let now = node.now();
@@ -117,7 +117,7 @@
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     state.backpressure.decide(now, sighting, reach)
 }
 
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -10,7 +10,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::handover::Snapshot;
-use keeljunction_core::serving::members::{Heard, Role};
+use keeljunction_core::serving::members::{Heartbeat, Role};
 use keeljunction_core::serving::quota::{Limit, Source};
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
@@ -88,11 +88,11 @@
         Audience::Aggregator(name) => Some(name.as_str()),
         Audience::Aggregators => None,
     };
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     event::emit(&Event::AggregatorChanged {
         aggregator,
         nodes_heard: reach.heard,
-        nodes_known: reach.all,
+        nodes_known: reach.known,
     });
 }
 
@@ -113,13 +113,13 @@
         entry: node.get_entry(),
         incarnation: state.handover.get_incarnation().number,
         is_stopping: node.is_stopping(),
-        holder_age: if holds_duties { Some(0) } else { state.members.get_holder_age(now) },
+        holder_age: if holds_duties { Some(0) } else { state.members.get_duty_holder_age(now) },
         rollouts: state.rollouts.list_announcements(now),
     }
 }
 
 fn get_own_usage(state: &State) -> Vec<(WindowNumber, Counts)> {
-    let mut usage = state.usage.of_incarnation(state.handover.get_incarnation());
+    let mut usage = state.usage.list_incarnation_counts(state.handover.get_incarnation());
     usage.split_off(usage.len().saturating_sub(WINDOWS_REPORTED))
 }
 
@@ -166,29 +166,29 @@
         }
         let own = state.quotas.report(now);
         track_accounts(state, now);
-        let quota = state.quotas.add_group(now, &own);
+        let quota = state.quotas.add_group_usage(now, &own);
         let usage = get_own_usage(state);
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
         state.handover.record(now, snapshot);
         let sums = state.usage.sum_group(state.handover.get_incarnation(), WINDOWS_REPORTED);
         // What crosses between regions is sent at a pace of its own, and holds all windows each time.
-        let usage = match state.members.is_crossing() {
+        let usage = match state.members.is_using_carriers() {
             true => sums,
             false => state.outgoing_usage.select(turn, sums),
         };
         let (group, group_age) = state.members.get_group(now);
-        let joined = state.members.list_joined(now, turn as usize);
+        let joined = state.members.list_gossip_entries(now, turn as usize);
         let throughputs = take_samples(state);
         let overview = Overview {
             sender: sender.clone(),
-            quota: state.quotas.add_others(now, &quota),
+            quota: state.quotas.add_other_usage(now, &quota),
             throughputs: take_passed_on(state, &throughputs),
             reach: state.members.get_overview(),
             silent: state.members.list_silent(),
-            lost_regions: state.members.list_lost_regions(),
+            lost_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
-            aggregators: state.members.list_ranked(),
-            roster: state.members.get_roster(),
+            aggregators: state.members.list_aggregator_ids(),
+            roster: state.members.get_roster_summary(),
             verdicts: state.quarantine.list_some(now, turn as usize),
             limits: state.backpressure.list_some(now, turn as usize),
             departures: state.directory.list_departures(now, turn as usize),
@@ -208,16 +208,16 @@
             group,
             group_age,
             unheard_regions: state.members.list_unheard_regions(now),
-            roster: state.members.get_roster(),
+            roster: state.members.get_roster_summary(),
             joined,
             verdicts: overview.verdicts.clone(),
             limits: overview.limits.clone(),
             departures: overview.departures.clone(),
             versions,
-            frozen_windows: state.frozen.get_names(),
+            frozen_windows: state.frozen.get_windows(),
             frozen: state.frozen.list_due(),
         };
-        let aggregators = state.members.list_exchange(now);
+        let aggregators = state.members.list_exchange_peers(now);
         (summary, overview, aggregators, state.members.get_group_addresses(now))
     });
     let summary = carry::send(node, now, summary).await;
@@ -233,7 +233,7 @@
         return;
     }
     let Some(configuration) = state.configuration.clone() else { return };
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     for account in configuration.accounts.iter().flatten() {
         let limit = Limit { rate_per_second: account.rate_per_second, burst: account.burst };
         state.quotas.track(now, &account.name, limit, reach);
@@ -285,10 +285,10 @@
     }
     node.with(|state| {
         hear(state, now, &sender, Role::Aggregator, asked_at);
-        state.members.take_entries(now, &joined);
+        state.members.merge_entries(now, &joined);
         let name = sender.entry.name.as_str();
-        state.members.take_roster(name, roster);
-        state.members.take_group(now, name, group, group_age);
+        state.members.record_roster_summary(name, roster);
+        state.members.record_group(now, name, group, group_age);
         let from = (name, sender.incarnation);
         state.quotas.merge(now, Source::Peer, from, &totals.quota);
         let incarnation = Incarnation { node: name.to_owned(), number: sender.incarnation };
@@ -297,9 +297,9 @@
         }
         state.demand.merge(now, false, from, &totals.demand);
         state.rollouts.merge(false, from, &totals.rollouts);
-        state.frozen.note_named(frozen_windows);
+        state.frozen.record_announced(frozen_windows);
         for (window, counts) in &frozen {
-            state.frozen.note_heard(*window, counts);
+            state.frozen.record_remote(*window, counts);
         }
         let is_grouped = state.members.is_grouped();
         for (service, samples) in totals.throughputs {
@@ -336,10 +336,10 @@
     node.with(|state| {
         let arrived = hear(state, now, &sender, Role::Aggregator, asked_at);
         let name = sender.entry.name.as_str();
-        state.members.take_roster(name, roster);
-        state.members.take_overview(now, name, reach, &silent);
+        state.members.record_roster_summary(name, roster);
+        state.members.apply_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
-        state.members.take_lost_regions(name, lost_regions);
+        state.members.set_unreachable_regions(name, lost_regions);
         let is_own = state.audience == Audience::Aggregator(name.to_owned());
         if is_own && is_region_overdue {
             state.quotas.note_overdue_region(now);
@@ -371,14 +371,14 @@
     for announcement in &sender.rollouts {
         rollouts::merge(state, now, announcement);
     }
-    let heard = Heard {
+    let heard = Heartbeat {
         entry: &sender.entry,
         incarnation: sender.incarnation,
         is_stopping: sender.is_stopping,
         role,
         holder_age: sender.holder_age,
     };
-    if let Some(former) = state.members.hear(now, &heard) {
+    if let Some(former) = state.members.record_heartbeat(now, &heard) {
         state.quotas.forget(name, former);
         state.demand.forget(name, former);
         state.rollouts.forget(name, former);
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::retry::{Allowance, Budget};
 use keeljunction_core::serving::backpressure;
 use keeljunction_core::serving::configuration::Configuration;
-use keeljunction_core::serving::demand::DemandBook;
+use keeljunction_core::serving::demand::DemandTracker;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::distance::Distances;
 use keeljunction_core::serving::duty_lease::DutyLease;
@@ -30,7 +30,7 @@
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{
-    Frozen, Incarnation, Ledger, Outgoing, count_kept, window_at,
+    FrozenWindows, Incarnation, Ledger, ReportFilter, count_retained_windows, window_at,
 };
 
 use super::document::Document;
@@ -170,11 +170,11 @@
     /// Requests that began.
     pub usage: Ledger,
     /// Windows of them that were frozen.
-    pub frozen: Frozen,
+    pub frozen: FrozenWindows,
     /// Which windows of them the next summary holds.
-    pub(super) outgoing_usage: Outgoing,
+    pub(super) outgoing_usage: ReportFilter,
     /// Tokens requested, by service.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// Moves of services to other versions.
     pub rollouts: rollout::Book,
     /// How fast the servers of each service read prompts.
@@ -254,7 +254,8 @@
         let topology = Arc::new(topology);
         let bounds = settings.bounds;
         let due = (bounds.usage_late_s * 1_000.0) as Millis;
-        let windows_kept = count_kept(due, (bounds.report_window_s * 1_000.0) as Millis);
+        let windows_kept =
+            count_retained_windows(due, (bounds.report_window_s * 1_000.0) as Millis);
         let allowance = Allowance {
             ratio: bounds.retry_budget_ratio,
             min_retries: bounds.budget_min_retries,
@@ -272,7 +273,7 @@
             configuration: None,
             configuration_document: None,
             configuration_row: None,
-            demand: DemandBook::new(topology.get_own()),
+            demand: DemandTracker::new(topology.get_own()),
             rollouts: rollout::Book::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
@@ -287,8 +288,8 @@
             quotas: Quotas::new(clock.now(), tolerance),
             retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
-            frozen: Frozen::new(windows_kept),
-            outgoing_usage: Outgoing::default(),
+            frozen: FrozenWindows::new(windows_kept),
+            outgoing_usage: ReportFilter::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
             round_trips: Distances::default(),
