--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -10,7 +10,7 @@
 //! | [`memory`] | who may hold how much of a node's memory |
 //! | [`upload`] | whether a request's body comes fast enough |
 //! | [`read_ahead`] | how much of an answer is read ahead, and when a caller is disconnected |
-//! | [`held`] | how many bytes of requests may lie at one server |
+//! | [`in_flight_bytes`] | how many bytes of requests may lie at one server |
 //! | [`directory`] | which servers there are and which may get new work |
 //! | [`load`] | how busy each server is, by this node's and its peers' counts |
 //! | [`choice`] | which server a request goes to |
@@ -43,7 +43,7 @@
 pub mod freshness;
 pub mod handover;
 pub mod health;
-pub mod held;
+pub mod in_flight_bytes;
 pub mod load;
 pub mod members;
 pub mod memory;
--- a/crates/core/tests/serving/held.rs
+++ b/crates/core/tests/serving/held.rs
@@ -1,4 +1,4 @@
-use keeljunction_core::serving::held::{Book, LEAST_SUSPECT};
+use keeljunction_core::serving::in_flight_bytes::{Book, LEAST_SUSPECT};
 
 fn book_with(id: &str, bytes: u64) -> Book {
     let mut book = Book::default();
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -18,7 +18,7 @@
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::handover::Handover;
 use keeljunction_core::serving::health::Health;
-use keeljunction_core::serving::held;
+use keeljunction_core::serving::in_flight_bytes;
 use keeljunction_core::serving::load::{LoadBook, short_id};
 use keeljunction_core::serving::members::{Entry, Members};
 use keeljunction_core::serving::memory::Accountant;
@@ -160,7 +160,7 @@
     /// What servers say about the requests that follow.
     pub backpressure: backpressure::Book,
     /// Bytes of requests that each server holds for this node.
-    pub held: held::Book,
+    pub held: in_flight_bytes::Book,
     /// Requests that crash servers.
     pub quarantine: quarantine::Book,
     /// What client accounts have used.
@@ -277,7 +277,7 @@
             loads: LoadBook::default(),
             health: Health::default(),
             backpressure: backpressure::Book::new(fastrand::f64()),
-            held: held::Book::default(),
+            held: in_flight_bytes::Book::default(),
             quarantine: quarantine::Book::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             budget: Budget::new(allowance),
