--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -14,7 +14,7 @@
 //! | [`directory`] | which servers there are and which may get new work |
 //! | [`load`] | how busy each server is, by this node's and its peers' counts |
 //! | [`choice`] | which server a request goes to |
-//! | [`crossing`] | how often nodes tell other regions what they count |
+//! | [`summary_pacer`] | how often nodes tell other regions what they count |
 //! | [`spill`] | whether a request leaves its region |
 //! | [`backpressure`] | what servers say in their answers about the requests that follow |
 //! | [`health`] | which servers are ejected because of their latest answers |
@@ -33,7 +33,6 @@
 pub mod capacity;
 pub mod choice;
 pub mod configuration;
-pub mod crossing;
 pub mod demand;
 pub mod directory;
 pub mod distance;
@@ -53,6 +52,7 @@
 pub mod refusal;
 pub mod rollout;
 pub mod spill;
+pub mod summary_pacer;
 pub mod table_version;
 pub mod throughput;
 pub mod topology;
--- a/crates/gateway/src/node/peers/carrying.rs
+++ b/crates/gateway/src/node/peers/carrying.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use keeljunction_core::serving::crossing::Crossing;
+use keeljunction_core::serving::summary_pacer::Crossing;
 
 use super::audience::Samples;
 
