--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -6,7 +6,7 @@
 //! | [`era`] | which copy of the table service's rows a node deals with |
 //! | [`table_version`] | which of two versions of a row is the newer one |
 //! | [`freshness`] | whether what a node believes is recent enough to act on |
-//! | [`topology`], [`distance`] | which region a data centre stands in, and how far away that is |
+//! | [`topology`], [`round_trip`] | which region a data centre stands in, and how far away that is |
 //! | [`memory`] | who may hold how much of a node's memory |
 //! | [`upload`] | whether a request's body comes fast enough |
 //! | [`read_ahead`] | how much of an answer is read ahead, and when a caller is disconnected |
@@ -35,7 +35,6 @@
 pub mod configuration;
 pub mod demand;
 pub mod directory;
-pub mod distance;
 pub mod duty_lease;
 pub mod era;
 pub mod event_stream;
@@ -51,6 +50,7 @@
 pub mod read_ahead;
 pub mod refusal;
 pub mod rollout;
+pub mod round_trip;
 pub mod spill;
 pub mod summary_pacer;
 pub mod table_version;
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use keeljunction_core::ErrorKind;
-use keeljunction_core::serving::distance::Distances;
+use keeljunction_core::serving::round_trip::Distances;
 use keeljunction_core::serving::topology::Topology;
 
 fn two_regions() -> BTreeMap<String, String> {
