--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -19,7 +19,7 @@
 //! | [`backpressure`] | what servers say in their answers about the requests that follow |
 //! | [`health`] | which servers are ejected because of their latest answers |
 //! | [`members`] | which other nodes there are, who aggregates whose reports, and who reads for all |
-//! | [`handover`] | which of a node's counts its peers have taken over |
+//! | [`report_log`] | which of a node's counts its peers have taken over |
 //! | [`quota`] | whether a client account is within its limit over all nodes |
 //! | [`usage`] | how many requests of each client account began in each window |
 //! | [`duty_lease`] | which node makes the calls that one node at a time may make |
@@ -39,7 +39,6 @@
 pub mod era;
 pub mod event_stream;
 pub mod freshness;
-pub mod handover;
 pub mod health;
 pub mod in_flight_bytes;
 pub mod load;
@@ -49,6 +48,7 @@
 pub mod quota;
 pub mod read_ahead;
 pub mod refusal;
+pub mod report_log;
 pub mod rollout;
 pub mod round_trip;
 pub mod spill;
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::quota::{
     Decision, Limit, Quotas, Reach, Report, Source, Tolerance,
 };
+use keeljunction_core::serving::report_log::{Handover, Snapshot};
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
 
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::load::short_id;
 use keeljunction_core::serving::members::{Entry, Heard, Members, Overview, Role};
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Report, Source, Tolerance};
+use keeljunction_core::serving::report_log::{Handover, Snapshot};
 use keeljunction_core::serving::summary_pacer::Crossing;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::handover::Snapshot;
 use keeljunction_core::serving::members::{Heard, Role};
 use keeljunction_core::serving::quota::{Limit, Source};
+use keeljunction_core::serving::report_log::Snapshot;
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
 use super::audience::{Audience, Samples, pass_on};
