--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -12,7 +12,7 @@
 
 /// All that a node knows of what servers say about the requests that follow.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     limits: RateLimits,
     back_offs: BackOffs,
     /// Of the servers that this node owns.
@@ -30,7 +30,7 @@
     pub back_off_until: Option<Millis>,
 }
 
-impl Book {
+impl Tracker {
     /// Makes the book of a node that knows nothing yet; `draw` is random, from 0 to 1.
     pub fn new(draw: f64) -> Self {
         Self { permits: Permits::new(draw), ..Self::default() }
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -1,7 +1,7 @@
 //! Limits that servers name, over nodes that start, part and end.
 
 use fastrand::Rng;
-use keeljunction_core::serving::backpressure::{Book, Decision, Key, Sighting, Signal};
+use keeljunction_core::serving::backpressure::{Decision, Key, Sighting, Signal, Tracker};
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::quota::Reach;
 
@@ -30,7 +30,7 @@
 
 /// Nodes that all know of a limited server and send it as much as they may.
 struct Cluster {
-    nodes: Vec<Book>,
+    nodes: Vec<Tracker>,
     server: Server,
     limit: f64,
     random: Rng,
@@ -56,7 +56,7 @@
         let server = make_server("s-1");
         let mut random = Rng::with_seed(seed);
         let known = (0..nodes).map(|_| {
-            let mut known = Book::new(random.f64());
+            let mut known = Tracker::new(random.f64());
             known.note(0, 0, &server, &signal(Some(limit)));
             known
         });
@@ -193,7 +193,7 @@
     let mut cluster = Cluster::new(8, 2.0, 10.0, 3);
     for round in 0..4 {
         let node = round as usize + 1;
-        cluster.nodes[node] = Book::default();
+        cluster.nodes[node] = Tracker::default();
         let all = cluster.all(0);
         cluster.play(round * 2_000, (round + 1) * 2_000, &[all]);
     }
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_permit_that_is_returned_is_given_to_another_request() {
-    let mut owner = Book::default();
+    let mut owner = Tracker::default();
     let server = make_server("s-1");
     let key = Key::of(&server);
     owner.note(0, 0, &server, &signal(Some(1.0)));
@@ -223,7 +223,7 @@
 
 #[test]
 fn an_answer_without_a_limit_ends_it_unless_its_request_is_older_than_the_limit() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let server = make_server("s-1");
     assert!(book.note(1_000, 900, &server, &signal(Some(2.0))).limit.is_some());
     assert_eq!(book.note(1_050, 950, &server, &signal(None)).limit, None);
@@ -242,7 +242,7 @@
 
 #[test]
 fn what_a_start_of_a_server_said_does_not_hold_for_the_next_one() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let first = make_server("s-1");
     let next = Server { incarnation: first.incarnation + 1, ..first.clone() };
     book.note(0, 0, &first, &signal(Some(2.0)));
@@ -266,7 +266,7 @@
 
 #[test]
 fn limits_are_passed_on_by_turns_and_forgotten_in_the_end() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let servers: Vec<Server> = (0..9).map(|number| make_server(&format!("s-{number}"))).collect();
     for server in &servers {
         book.note(0, 0, server, &signal(Some(2.0)));
@@ -290,7 +290,7 @@
 
 #[test]
 fn nothing_ends_a_back_off_early() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let server = make_server("s-1");
     assert_eq!(book.note(1_000, 990, &server, &back_off(3_000)).back_off_until, Some(4_000));
     assert_eq!(book.note(1_500, 1_400, &server, &back_off(1_000)).back_off_until, None);
@@ -310,7 +310,7 @@
 
 #[test]
 fn a_back_off_ends_with_the_start_of_the_server_that_asked_for_it() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let first = make_server("s-1");
     let next = Server { incarnation: first.incarnation + 1, ..first.clone() };
     book.note(0, 0, &first, &back_off(3_000));
@@ -322,7 +322,7 @@
 
 #[test]
 fn the_longer_of_a_back_off_and_a_denied_permit_counts() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let server = make_server("s-1");
     let both = Signal { rate_limit: Some(1.0), back_off: Some(3_000), is_leaving: false };
     book.note(0, 0, &server, &both);
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -158,7 +158,7 @@
     /// What the servers' answers showed.
     pub health: Health,
     /// What servers say about the requests that follow.
-    pub backpressure: backpressure::Book,
+    pub backpressure: backpressure::Tracker,
     /// Bytes of requests that each server holds for this node.
     pub held: in_flight_bytes::Book,
     /// Requests that crash servers.
@@ -276,7 +276,7 @@
             skipped_entries: skipped::Entries::default(),
             loads: LoadBook::default(),
             health: Health::default(),
-            backpressure: backpressure::Book::new(fastrand::f64()),
+            backpressure: backpressure::Tracker::new(fastrand::f64()),
             held: in_flight_bytes::Book::default(),
             quarantine: quarantine::Book::default(),
             quotas: Quotas::new(clock.now(), tolerance),
