--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -23,7 +23,7 @@
 
 /// What came of the signal of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Noted {
+pub struct Update {
     /// What was seen of the server's limit, where that is news for other nodes.
     pub limit: Option<Sighting>,
     /// When the server takes requests of this node again, where that is later than was known.
@@ -43,11 +43,11 @@
         sent_at: Millis,
         server: &Server,
         signal: &Signal,
-    ) -> Noted {
+    ) -> Update {
         let key = Key::of(server);
         let back_off = signal.back_off.and_then(|time| self.back_offs.note(now, key, time));
         let limit = self.limits.note(now, sent_at, key, signal.rate_limit);
-        Noted { limit, back_off_until: back_off }
+        Update { limit, back_off_until: back_off }
     }
 
     /// Notes that a header of a server cannot be read; returns `true` if none could not before.
--- a/crates/core/src/serving/backpressure/mod.rs
+++ b/crates/core/src/serving/backpressure/mod.rs
@@ -30,7 +30,7 @@
 mod signal;
 
 pub use self::back_offs::BackOffs;
-pub use self::book::{Noted, Tracker};
+pub use self::book::{Tracker, Update};
 pub use self::key::Key;
 pub use self::permits::{Decision, Permits};
 pub use self::rate_limits::RateLimits;
