--- a/crates/core/src/serving/backpressure/back_offs.rs
+++ b/crates/core/src/serving/backpressure/back_offs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::Key;
+use super::InstanceKey;
 use crate::Millis;
 
 /// Servers that take no requests from this node for a time.
@@ -22,7 +22,7 @@
     /// Notes that a server requests a back-off; returns its end where it is later than the one known.
     ///
     /// Neither an answer that was sent before, nor a shorter back-off, nor a good answer ends one early.
-    pub fn note(&mut self, now: Millis, key: Key, back_off: Millis) -> Option<Millis> {
+    pub fn note(&mut self, now: Millis, key: InstanceKey, back_off: Millis) -> Option<Millis> {
         let until = now.saturating_add(back_off);
         let known = self.servers.get(&key.server);
         let is_later = known.is_none_or(|known| match known.incarnation == key.incarnation {
@@ -37,7 +37,7 @@
     }
 
     /// Returns the time until the end of a server's back-off; `None` where there is none.
-    pub fn get_wait(&self, now: Millis, key: Key) -> Option<Millis> {
+    pub fn get_wait(&self, now: Millis, key: InstanceKey) -> Option<Millis> {
         let known = self.servers.get(&key.server);
         let known = known.filter(|known| known.incarnation == key.incarnation)?;
         known.until.checked_sub(now).filter(|wait| *wait > 0)
--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{BackOffs, Decision, Key, Permits, RateLimits, Sighting, Signal};
+use super::{BackOffs, Decision, InstanceKey, Permits, RateLimits, Sighting, Signal};
 use crate::Millis;
 use crate::serving::directory::Server;
 use crate::serving::quota::Reach;
@@ -44,7 +44,7 @@
         server: &Server,
         signal: &Signal,
     ) -> Update {
-        let key = Key::of(server);
+        let key = InstanceKey::of(server);
         let back_off = signal.back_off.and_then(|time| self.back_offs.note(now, key, time));
         let limit = self.limits.note(now, sent_at, key, signal.rate_limit);
         Update { limit, back_off_until: back_off }
@@ -55,7 +55,7 @@
         if self.unreadable.len() == MOST_UNREADABLE {
             self.unreadable.clear();
         }
-        self.unreadable.insert(Key::of(server).server)
+        self.unreadable.insert(InstanceKey::of(server).server)
     }
 
     /// Takes over what another node saw; returns `true` if it is news, to be passed on.
@@ -68,13 +68,13 @@
         if self.limits.is_empty() && self.back_offs.is_empty() {
             return None;
         }
-        let key = Key::of(server);
+        let key = InstanceKey::of(server);
         self.limits.get_wait(now, key).max(self.back_offs.get_wait(now, key))
     }
 
     /// Returns what is known of a server that takes requests with permits only.
     pub fn get_limit(&self, now: Millis, server: &Server) -> Option<Sighting> {
-        self.limits.get(now, Key::of(server))
+        self.limits.get(now, InstanceKey::of(server))
     }
 
     /// Decides about a request to a server, as its owner; `sighting` is what the asking node knows.
@@ -93,7 +93,7 @@
     pub fn take_decision(
         &mut self,
         now: Millis,
-        key: Key,
+        key: InstanceKey,
         decision: Decision,
         undecided_for: Millis,
     ) -> bool {
@@ -110,7 +110,7 @@
     }
 
     /// Takes back the permit of a request that was not sent, as the owner.
-    pub fn take_back(&mut self, key: Key) {
+    pub fn take_back(&mut self, key: InstanceKey) {
         self.permits.take_back(key);
     }
 
--- a/crates/core/src/serving/backpressure/mod.rs
+++ b/crates/core/src/serving/backpressure/mod.rs
@@ -31,7 +31,7 @@
 
 pub use self::back_offs::BackOffs;
 pub use self::book::{Tracker, Update};
-pub use self::key::Key;
+pub use self::key::InstanceKey;
 pub use self::permits::{Decision, Permits};
 pub use self::rate_limits::RateLimits;
 pub use self::sighting::Sighting;
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Key;
+use super::InstanceKey;
 use crate::Millis;
 use crate::bucket::Bucket;
 use crate::serving::quota::Reach;
@@ -78,7 +78,7 @@
     /// A node that hears a part of the others only gives that part of the rate: those that it does not
     /// hear may have an owner of their own. A bucket begins empty, because another node may have given
     /// permits until now.
-    pub fn decide(&mut self, now: Millis, key: Key, rate: f64, reach: Reach) -> Decision {
+    pub fn decide(&mut self, now: Millis, key: InstanceKey, rate: f64, reach: Reach) -> Decision {
         let fraction = reach.get_fraction();
         let rate = rate.max(LOWEST_RATE) * fraction;
         let pool = self.get_pool(now, key, -self.draw * (1.0 - fraction));
@@ -94,7 +94,7 @@
     }
 
     /// Takes back the permit of a request that was not sent.
-    pub fn take_back(&mut self, key: Key) {
+    pub fn take_back(&mut self, key: InstanceKey) {
         let pool = self.pools.get_mut(&key.server);
         if let Some(pool) = pool.filter(|pool| pool.incarnation == key.incarnation) {
             pool.bucket.available += 1.0;
@@ -107,7 +107,7 @@
     }
 
     /// Returns the bucket of a server; a new one begins at a level.
-    fn get_pool(&mut self, now: Millis, key: Key, level: f64) -> &mut Pool {
+    fn get_pool(&mut self, now: Millis, key: InstanceKey, level: f64) -> &mut Pool {
         let fresh = Pool {
             incarnation: key.incarnation,
             bucket: Bucket::new(now, level),
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Key, Sighting};
+use super::{InstanceKey, Sighting};
 use crate::Millis;
 
 /// How long a limit is known after the last answer that named it, in milliseconds. An answer without it
@@ -47,7 +47,7 @@
         &mut self,
         now: Millis,
         sent_at: Millis,
-        key: Key,
+        key: InstanceKey,
         rate: Option<f64>,
     ) -> Option<Sighting> {
         let known = self.get_record(key).copied();
@@ -82,13 +82,13 @@
     }
 
     /// Returns what is known of a server that is limited.
-    pub fn get(&self, now: Millis, key: Key) -> Option<Sighting> {
+    pub fn get(&self, now: Millis, key: InstanceKey) -> Option<Sighting> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
         Some(record.describe(now, key.server))
     }
 
     /// Returns what is known of a server, also where its limit has ended.
-    pub fn get_latest(&self, now: Millis, key: Key) -> Option<Sighting> {
+    pub fn get_latest(&self, now: Millis, key: InstanceKey) -> Option<Sighting> {
         self.get_record(key).map(|record| record.describe(now, key.server))
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Notes that a permit was denied for a time.
-    pub fn note_denied(&mut self, now: Millis, key: Key, retry_after: Millis) {
+    pub fn note_denied(&mut self, now: Millis, key: InstanceKey, retry_after: Millis) {
         let record = self.servers.get_mut(&key.server);
         if let Some(record) = record.filter(|record| record.incarnation == key.incarnation) {
             record.denied_until = now.saturating_add(retry_after);
@@ -106,7 +106,7 @@
     }
 
     /// Returns the time until this node may ask for a permit of a server; `None` where it may now.
-    pub fn get_wait(&self, now: Millis, key: Key) -> Option<Millis> {
+    pub fn get_wait(&self, now: Millis, key: InstanceKey) -> Option<Millis> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
         record.denied_until.checked_sub(now).filter(|wait| *wait > 0)
     }
@@ -137,7 +137,7 @@
     }
 
     /// Returns the record of a start of a server.
-    fn get_record(&self, key: Key) -> Option<&Record> {
+    fn get_record(&self, key: InstanceKey) -> Option<&Record> {
         let record = self.servers.get(&key.server)?;
         (record.incarnation == key.incarnation).then_some(record)
     }
@@ -145,7 +145,7 @@
 
 impl Record {
     fn describe(&self, now: Millis, server: u64) -> Sighting {
-        let key = Key { server, incarnation: self.incarnation };
+        let key = InstanceKey { server, incarnation: self.incarnation };
         Sighting { key, rate: self.rate, age: now.saturating_sub(self.seen_at) }
     }
 }
--- a/crates/core/src/serving/backpressure/sighting.rs
+++ b/crates/core/src/serving/backpressure/sighting.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Key;
+use super::InstanceKey;
 use crate::Millis;
 
 /// What an answer of a server said of its rate limit, as nodes pass it on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sighting {
     /// The server.
-    pub key: Key,
+    pub key: InstanceKey,
     /// Requests a second from all nodes together; `None` where it names no limit any more.
     pub rate: Option<f64>,
     /// The time since the answer, in milliseconds.
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -1,7 +1,7 @@
 //! Limits that servers name, over nodes that start, part and end.
 
 use fastrand::Rng;
-use keeljunction_core::serving::backpressure::{Decision, Key, Sighting, Signal, Tracker};
+use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Sighting, Signal, Tracker};
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::quota::Reach;
 
@@ -205,7 +205,7 @@
 fn a_permit_that_is_returned_is_given_to_another_request() {
     let mut owner = Tracker::default();
     let server = make_server("s-1");
-    let key = Key::of(&server);
+    let key = InstanceKey::of(&server);
     owner.note(0, 0, &server, &signal(Some(1.0)));
     let seen = Sighting { key, rate: Some(1.0), age: 0 };
     let reach = Reach { heard: 1, all: 1, period: 200, is_grouped: false };
@@ -232,7 +232,7 @@
     assert_eq!(ended.rate, None);
     assert_eq!(book.get_limit(1_300, &server), None);
     // A late sighting of another node does not bring it back.
-    let late = Sighting { key: Key::of(&server), rate: Some(2.0), age: 500 };
+    let late = Sighting { key: InstanceKey::of(&server), rate: Some(2.0), age: 500 };
     assert!(!book.merge(1_400, &late));
     assert_eq!(book.get_limit(1_400, &server), None);
     // The owner says so to a node that has not heard of it.
@@ -327,8 +327,8 @@
     let both = Signal { rate_limit: Some(1.0), back_off: Some(3_000), is_leaving: false };
     book.note(0, 0, &server, &both);
     let denied = Decision::Denied { retry_after: 500 };
-    assert!(!book.take_decision(0, Key::of(&server), denied, UNDECIDED_FOR));
+    assert!(!book.take_decision(0, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(0, &server), Some(3_000));
-    assert!(!book.take_decision(2_800, Key::of(&server), denied, UNDECIDED_FOR));
+    assert!(!book.take_decision(2_800, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(2_900, &server), Some(400));
 }
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -1,7 +1,7 @@
 //! The datagrams between nodes.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{self, Key, Sighting};
+use keeljunction_core::serving::backpressure::{self, InstanceKey, Sighting};
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
 use keeljunction_core::serving::load::{Load, Work};
@@ -94,12 +94,12 @@
         /// The question.
         question: u32,
         /// The server.
-        key: Key,
+        key: InstanceKey,
         /// What the owner decided.
         decision: backpressure::Decision,
     },
     /// Returns the permit of a request that was not sent.
-    ReturnPermit(Key),
+    ReturnPermit(InstanceKey),
     /// A summary of an aggregator of another region, as it came there.
     Carried {
         /// The run of the aggregator's process.
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{Decision, Key, Sighting};
+use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Sighting};
 use keeljunction_core::serving::directory::Server;
 
 use super::message::Message;
@@ -102,7 +102,7 @@
 
 /// Returns the permit of a request that was not sent.
 pub(crate) async fn return_unsent(node: &Node, server: &Server, permit: Permit) {
-    let key = Key::of(server);
+    let key = InstanceKey::of(server);
     match permit {
         Permit::Unlimited => {}
         Permit::Counted(None) => node.with(|state| state.backpressure.take_back(key)),
@@ -140,7 +140,7 @@
     node: &Node,
     from: SocketAddr,
     question: u32,
-    key: Key,
+    key: InstanceKey,
     decision: Decision,
 ) {
     let is_taken = node.pending_permits.answer(question, decision);
@@ -150,7 +150,7 @@
 }
 
 /// Takes back the permit of a request that another node did not send.
-pub(super) fn take_back(node: &Node, key: Key) {
+pub(super) fn take_back(node: &Node, key: InstanceKey) {
     node.with(|state| state.backpressure.take_back(key));
 }
 
