--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{BackOffs, Decision, InstanceKey, Permits, RateLimits, Sighting, Signal};
+use super::{BackOffs, Decision, InstanceKey, Observation, Permits, RateLimits, Signal};
 use crate::Millis;
 use crate::serving::directory::Server;
 use crate::serving::quota::Reach;
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Update {
     /// What was seen of the server's limit, where that is news for other nodes.
-    pub limit: Option<Sighting>,
+    pub limit: Option<Observation>,
     /// When the server takes requests of this node again, where that is later than was known.
     pub back_off_until: Option<Millis>,
 }
@@ -59,7 +59,7 @@
     }
 
     /// Takes over what another node saw; returns `true` if it is news, to be passed on.
-    pub fn merge(&mut self, now: Millis, sighting: &Sighting) -> bool {
+    pub fn merge(&mut self, now: Millis, sighting: &Observation) -> bool {
         self.limits.merge(now, sighting)
     }
 
@@ -73,12 +73,12 @@
     }
 
     /// Returns what is known of a server that takes requests with permits only.
-    pub fn get_limit(&self, now: Millis, server: &Server) -> Option<Sighting> {
+    pub fn get_limit(&self, now: Millis, server: &Server) -> Option<Observation> {
         self.limits.get(now, InstanceKey::of(server))
     }
 
     /// Decides about a request to a server, as its owner; `sighting` is what the asking node knows.
-    pub fn decide(&mut self, now: Millis, sighting: &Sighting, reach: Reach) -> Decision {
+    pub fn decide(&mut self, now: Millis, sighting: &Observation, reach: Reach) -> Decision {
         self.limits.merge(now, sighting);
         let known = self.limits.get_latest(now, sighting.key).unwrap_or(*sighting);
         match known.rate {
@@ -100,7 +100,7 @@
         match decision {
             Decision::Granted => return true,
             Decision::Unlimited { age } => {
-                self.limits.merge(now, &Sighting { key, rate: None, age });
+                self.limits.merge(now, &Observation { key, rate: None, age });
                 return true;
             }
             Decision::Denied { retry_after } => self.limits.note_denied(now, key, retry_after),
@@ -115,7 +115,7 @@
     }
 
     /// Lists some of the limits for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Sighting> {
+    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Observation> {
         self.limits.list_some(now, turn)
     }
 
--- a/crates/core/src/serving/backpressure/mod.rs
+++ b/crates/core/src/serving/backpressure/mod.rs
@@ -34,5 +34,5 @@
 pub use self::key::InstanceKey;
 pub use self::permits::{Decision, Permits};
 pub use self::rate_limits::RateLimits;
-pub use self::sighting::Sighting;
+pub use self::sighting::Observation;
 pub use self::signal::Signal;
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{InstanceKey, Sighting};
+use super::{InstanceKey, Observation};
 use crate::Millis;
 
 /// How long a limit is known after the last answer that named it, in milliseconds. An answer without it
@@ -49,19 +49,19 @@
         sent_at: Millis,
         key: InstanceKey,
         rate: Option<f64>,
-    ) -> Option<Sighting> {
+    ) -> Option<Observation> {
         let known = self.get_record(key).copied();
         let is_ended = rate.is_none();
         if is_ended && known.is_none_or(|known| known.rate.is_none() || sent_at < known.seen_at) {
             return None;
         }
-        let sighting = Sighting { key, rate, age: 0 };
+        let sighting = Observation { key, rate, age: 0 };
         self.merge(now, &sighting).then_some(sighting)
     }
 
     /// Takes over a sighting, unless a later one is known; returns `true` if it is news for other nodes.
-    pub fn merge(&mut self, now: Millis, sighting: &Sighting) -> bool {
-        let Sighting { key, rate, age } = *sighting;
+    pub fn merge(&mut self, now: Millis, sighting: &Observation) -> bool {
+        let Observation { key, rate, age } = *sighting;
         let seen_at = now.saturating_sub(age);
         let known = self.servers.get(&key.server).copied();
         if known.is_some_and(|known| known.incarnation > key.incarnation) {
@@ -82,13 +82,13 @@
     }
 
     /// Returns what is known of a server that is limited.
-    pub fn get(&self, now: Millis, key: InstanceKey) -> Option<Sighting> {
+    pub fn get(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
         Some(record.describe(now, key.server))
     }
 
     /// Returns what is known of a server, also where its limit has ended.
-    pub fn get_latest(&self, now: Millis, key: InstanceKey) -> Option<Sighting> {
+    pub fn get_latest(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
         self.get_record(key).map(|record| record.describe(now, key.server))
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Lists some of the limits for other nodes, once in some turns; each time the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Sighting> {
+    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Observation> {
         let limited = || self.servers.iter().filter(|(_, record)| record.rate.is_some());
         if !turn.is_multiple_of(LISTED_TURNS) {
             return Vec::new();
@@ -144,8 +144,8 @@
 }
 
 impl Record {
-    fn describe(&self, now: Millis, server: u64) -> Sighting {
+    fn describe(&self, now: Millis, server: u64) -> Observation {
         let key = InstanceKey { server, incarnation: self.incarnation };
-        Sighting { key, rate: self.rate, age: now.saturating_sub(self.seen_at) }
+        Observation { key, rate: self.rate, age: now.saturating_sub(self.seen_at) }
     }
 }
--- a/crates/core/src/serving/backpressure/sighting.rs
+++ b/crates/core/src/serving/backpressure/sighting.rs
@@ -7,7 +7,7 @@
 
 /// What an answer of a server said of its rate limit, as nodes pass it on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct Observation {
     /// The server.
     pub key: InstanceKey,
     /// Requests a second from all nodes together; `None` where it names no limit any more.
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -1,7 +1,9 @@
 //! Limits that servers name, over nodes that start, part and end.
 
 use fastrand::Rng;
-use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Sighting, Signal, Tracker};
+use keeljunction_core::serving::backpressure::{
+    Decision, InstanceKey, Observation, Signal, Tracker,
+};
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::quota::Reach;
 
@@ -207,7 +209,7 @@
     let server = make_server("s-1");
     let key = InstanceKey::of(&server);
     owner.note(0, 0, &server, &signal(Some(1.0)));
-    let seen = Sighting { key, rate: Some(1.0), age: 0 };
+    let seen = Observation { key, rate: Some(1.0), age: 0 };
     let reach = Reach { heard: 1, all: 1, period: 200, is_grouped: false };
     assert_eq!(owner.decide(0, &seen, reach), Decision::Denied { retry_after: 1_005 });
     assert_eq!(owner.decide(1_000, &seen, reach), Decision::Granted);
@@ -232,7 +234,7 @@
     assert_eq!(ended.rate, None);
     assert_eq!(book.get_limit(1_300, &server), None);
     // A late sighting of another node does not bring it back.
-    let late = Sighting { key: InstanceKey::of(&server), rate: Some(2.0), age: 500 };
+    let late = Observation { key: InstanceKey::of(&server), rate: Some(2.0), age: 500 };
     assert!(!book.merge(1_400, &late));
     assert_eq!(book.get_limit(1_400, &server), None);
     // The owner says so to a node that has not heard of it.
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -1,7 +1,7 @@
 //! The datagrams between nodes.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{self, InstanceKey, Sighting};
+use keeljunction_core::serving::backpressure::{self, InstanceKey, Observation};
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
 use keeljunction_core::serving::load::{Load, Work};
@@ -85,7 +85,7 @@
         /// Names the question at the one who asks.
         question: u32,
         /// What the one who asks knows of the server's limit.
-        sighting: Sighting,
+        sighting: Observation,
         /// The server's data centre; empty where there is one region only.
         data_centre: String,
     },
@@ -183,7 +183,7 @@
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that said lately that they leave.
     pub departures: Vec<Departure>,
     /// Which versions of the platform's tables it knows.
@@ -218,7 +218,7 @@
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that said lately that they leave.
     pub departures: Vec<Departure>,
     /// Which versions of the platform's tables it knows.
@@ -238,7 +238,7 @@
     /// It was decided whether a request crashes servers.
     RequestJudged(Verdict),
     /// A server names a limit, or none any more.
-    LimitSeen(Sighting),
+    LimitSeen(Observation),
     /// A server said in an answer that it leaves.
     ServerDeparts(Departure),
     /// A window of usage was frozen, and is about to be reported.
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Sighting};
+use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Observation};
 use keeljunction_core::serving::directory::Server;
 
 use super::message::Message;
@@ -57,7 +57,7 @@
 }
 
 /// Takes a permit of the owner of a limited server.
-async fn take_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
+async fn take_counted(node: &Node, server: &Server, sighting: Observation) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
         let far_region = found.far_region.map(str::to_owned);
@@ -82,7 +82,7 @@
 }
 
 /// Asks the owner of a server; undecided where it does not answer in time.
-async fn ask(node: &Node, owner: &Owner, server: &Server, sighting: Sighting) -> Decision {
+async fn ask(node: &Node, owner: &Owner, server: &Server, sighting: Observation) -> Decision {
     let question = node.pending_permits.begin();
     let data_centre = match node.topology.is_multi_region() {
         true => server.data_centre.clone(),
@@ -113,7 +113,7 @@
 }
 
 /// Decides as the owner; undecided where this node is not the owner.
-fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Sighting) -> Decision {
+fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Observation) -> Decision {
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
     }
@@ -126,7 +126,7 @@
     node: &Node,
     from: SocketAddr,
     question: u32,
-    sighting: &Sighting,
+    sighting: &Observation,
     data_centre: &str,
 ) {
     let now = node.now();
@@ -155,13 +155,13 @@
 }
 
 /// Takes what another node saw of a server's limit; returns `true` if it is news.
-pub(super) fn take_sighting(node: &Node, sighting: &Sighting) -> bool {
+pub(super) fn take_sighting(node: &Node, sighting: &Observation) -> bool {
     let now = node.now();
     node.with(|state| state.backpressure.merge(now, sighting))
 }
 
 /// Takes the sightings that came with a report.
-pub(super) fn take_sightings(node: &Node, sightings: &[Sighting]) {
+pub(super) fn take_sightings(node: &Node, sightings: &[Observation]) {
     for sighting in sightings {
         take_sighting(node, sighting);
     }
