--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -110,8 +110,8 @@
     }
 
     /// Takes back the permit of a request that was not sent, as the owner.
-    pub fn take_back(&mut self, key: InstanceKey) {
-        self.permits.take_back(key);
+    pub fn return_permit(&mut self, key: InstanceKey) {
+        self.permits.return_permit(key);
     }
 
     /// Lists some of the limits for other nodes; each turn gives the next ones.
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -94,7 +94,7 @@
     }
 
     /// Takes back the permit of a request that was not sent.
-    pub fn take_back(&mut self, key: InstanceKey) {
+    pub fn return_permit(&mut self, key: InstanceKey) {
         let pool = self.pools.get_mut(&key.server);
         if let Some(pool) = pool.filter(|pool| pool.incarnation == key.incarnation) {
             pool.bucket.available += 1.0;
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -213,11 +213,11 @@
     let reach = Reach { heard: 1, all: 1, period: 200, is_grouped: false };
     assert_eq!(owner.decide(0, &seen, reach), Decision::Denied { retry_after: 1_005 });
     assert_eq!(owner.decide(1_000, &seen, reach), Decision::Granted);
-    owner.take_back(key);
+    owner.return_permit(key);
     assert_eq!(owner.decide(1_001, &seen, reach), Decision::Granted);
     assert_ne!(owner.decide(1_002, &seen, reach), Decision::Granted);
     // The bucket holds no more than two, however many are returned.
-    (0..5).for_each(|_| owner.take_back(key));
+    (0..5).for_each(|_| owner.return_permit(key));
     assert_eq!(owner.decide(1_003, &seen, reach), Decision::Granted);
     assert_eq!(owner.decide(1_003, &seen, reach), Decision::Granted);
     assert_ne!(owner.decide(1_004, &seen, reach), Decision::Granted);
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -105,7 +105,7 @@
     let key = InstanceKey::of(server);
     match permit {
         Permit::Unlimited => {}
-        Permit::Counted(None) => node.with(|state| state.backpressure.take_back(key)),
+        Permit::Counted(None) => node.with(|state| state.backpressure.return_permit(key)),
         Permit::Counted(Some(owner)) => {
             node.link.send(node.now(), owner, &Message::ReturnPermit(key)).await;
         }
@@ -151,7 +151,7 @@
 
 /// Takes back the permit of a request that another node did not send.
 pub(super) fn take_back(node: &Node, key: InstanceKey) {
-    node.with(|state| state.backpressure.take_back(key));
+    node.with(|state| state.backpressure.return_permit(key));
 }
 
 /// Takes what another node saw of a server's limit; returns `true` if it is news.
