--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -90,7 +90,7 @@
     /// Takes over the decision of a server's owner; returns `true` if the request may be sent.
     ///
     /// Without a decision the server gets no request for `undecided_for` milliseconds.
-    pub fn take_decision(
+    pub fn apply_decision(
         &mut self,
         now: Millis,
         key: InstanceKey,
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -101,7 +101,7 @@
                 let reach = Reach { heard, all: part.all, period: 200, is_grouped: heard > 40 };
                 let decision = self.nodes[part.owner].decide(now, &sighting, reach);
                 let asking = &mut self.nodes[node];
-                asking.take_decision(now, sighting.key, decision, UNDECIDED_FOR)
+                asking.apply_decision(now, sighting.key, decision, UNDECIDED_FOR)
             }
         };
         if is_sent {
@@ -329,8 +329,8 @@
     let both = Signal { rate_limit: Some(1.0), back_off: Some(3_000), is_leaving: false };
     book.note(0, 0, &server, &both);
     let denied = Decision::Denied { retry_after: 500 };
-    assert!(!book.take_decision(0, InstanceKey::of(&server), denied, UNDECIDED_FOR));
+    assert!(!book.apply_decision(0, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(0, &server), Some(3_000));
-    assert!(!book.take_decision(2_800, InstanceKey::of(&server), denied, UNDECIDED_FOR));
+    assert!(!book.apply_decision(2_800, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(2_900, &server), Some(400));
 }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -69,8 +69,9 @@
         None => node.with(|state| decide(state, now, &server.data_centre, &sighting)),
     };
     let now = node.now();
-    let is_granted = node
-        .with(|state| state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_FOR));
+    let is_granted = node.with(|state| {
+        state.backpressure.apply_decision(now, sighting.key, decision, UNDECIDED_FOR)
+    });
     if !is_granted {
         node.metrics.permits_denied.inc();
         return None;
