--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -115,8 +115,8 @@
     }
 
     /// Lists some of the limits for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Observation> {
-        self.limits.list_some(now, turn)
+    pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Observation> {
+        self.limits.get_gossip_batch(now, turn)
     }
 
     /// Counts the servers that are limited.
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -112,7 +112,7 @@
     }
 
     /// Lists some of the limits for other nodes, once in some turns; each time the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Observation> {
+    pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Observation> {
         let limited = || self.servers.iter().filter(|(_, record)| record.rate.is_some());
         if !turn.is_multiple_of(LISTED_TURNS) {
             return Vec::new();
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -140,8 +140,8 @@
     }
 
     /// Lists some verdicts for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Verdict> {
-        self.list.list_some(now, turn)
+    pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Verdict> {
+        self.list.get_gossip_batch(now, turn)
     }
 
     /// Counts the requests that are refused.
--- a/crates/core/src/serving/quarantine/list.rs
+++ b/crates/core/src/serving/quarantine/list.rs
@@ -81,7 +81,7 @@
     }
 
     /// Lists some verdicts for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Verdict> {
+    pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Verdict> {
         let count = self.entries.len();
         let first = turn * MOST_PASSED_ON % count.max(1);
         let next = self.entries.values().cycle().skip(first).take(count.min(MOST_PASSED_ON));
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -274,7 +274,7 @@
         book.note(0, 0, server, &signal(Some(2.0)));
     }
     let listed = |turn| -> Vec<u64> {
-        book.list_some(10, turn).iter().map(|sighting| sighting.key.server).collect()
+        book.get_gossip_batch(10, turn).iter().map(|sighting| sighting.key.server).collect()
     };
     let mut seen: Vec<u64> = (0..15).flat_map(listed).collect();
     seen.sort_unstable();
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -198,10 +198,10 @@
     let (mut one, mut other) = (Book::default(), Book::default());
     one.merge(0, verdict(5, Standing::Quarantined, 60_000));
     for now in (100..120_000).step_by(100) {
-        for verdict in one.list_some(now - 90, 0) {
+        for verdict in one.get_gossip_batch(now - 90, 0) {
             other.merge(now, verdict);
         }
-        for verdict in other.list_some(now, 0) {
+        for verdict in other.get_gossip_batch(now, 0) {
             one.merge(now + 9, verdict);
         }
     }
@@ -216,7 +216,7 @@
         book.take_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
     }
     assert_eq!(book.count_refused(1_001), 256);
-    assert_eq!(book.list_some(1_001, 3).len(), 8);
+    assert_eq!(book.get_gossip_batch(1_001, 3).len(), 8);
 }
 
 #[test]
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -189,8 +189,8 @@
             is_region_overdue,
             aggregators: state.members.list_ranked(),
             roster: state.members.get_roster(),
-            verdicts: state.quarantine.list_some(now, turn as usize),
-            limits: state.backpressure.list_some(now, turn as usize),
+            verdicts: state.quarantine.get_gossip_batch(now, turn as usize),
+            limits: state.backpressure.get_gossip_batch(now, turn as usize),
             departures: state.directory.list_departures(now, turn as usize),
             versions,
         };
