--- a/crates/core/src/serving/backpressure/back_offs.rs
+++ b/crates/core/src/serving/backpressure/back_offs.rs
@@ -22,7 +22,7 @@
     /// Notes that a server requests a back-off; returns its end where it is later than the one known.
     ///
     /// Neither an answer that was sent before, nor a shorter back-off, nor a good answer ends one early.
-    pub fn note(&mut self, now: Millis, key: InstanceKey, back_off: Millis) -> Option<Millis> {
+    pub fn record(&mut self, now: Millis, key: InstanceKey, back_off: Millis) -> Option<Millis> {
         let until = now.saturating_add(back_off);
         let known = self.servers.get(&key.server);
         let is_later = known.is_none_or(|known| match known.incarnation == key.incarnation {
--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -37,7 +37,7 @@
     }
 
     /// Notes the signal of an answer to a request that was sent at `sent_at`.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Millis,
         sent_at: Millis,
@@ -45,8 +45,8 @@
         signal: &Signal,
     ) -> Update {
         let key = InstanceKey::of(server);
-        let back_off = signal.back_off.and_then(|time| self.back_offs.note(now, key, time));
-        let limit = self.limits.note(now, sent_at, key, signal.rate_limit);
+        let back_off = signal.back_off.and_then(|time| self.back_offs.record(now, key, time));
+        let limit = self.limits.record(now, sent_at, key, signal.rate_limit);
         Update { limit, back_off_until: back_off }
     }
 
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -43,7 +43,7 @@
     /// is news for other nodes.
     ///
     /// An answer without a limit ends one only where its request was sent after the limit was seen.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Millis,
         sent_at: Millis,
--- a/crates/core/src/serving/quarantine/answered.rs
+++ b/crates/core/src/serving/quarantine/answered.rs
@@ -27,7 +27,7 @@
 
 impl Answered {
     /// Notes that a request was answered whole.
-    pub fn note(&mut self, now: Millis, fingerprint: Fingerprint) {
+    pub fn record(&mut self, now: Millis, fingerprint: Fingerprint) {
         self.places[place_of(fingerprint)] = Some((fingerprint, now));
     }
 
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -52,7 +52,7 @@
         for (keeper, crash) in due {
             match keeper {
                 Some(keeper) => to_send.push((keeper, crash)),
-                None => self.evidence.note(now, &crash, &self.answered),
+                None => self.evidence.record(now, &crash, &self.answered),
             }
         }
         to_send
@@ -60,13 +60,13 @@
 
     /// Takes a report, as the keeper.
     pub fn take_report(&mut self, now: Millis, crash: &Crash) {
-        self.evidence.note(now, crash, &self.answered);
+        self.evidence.record(now, crash, &self.answered);
     }
 
     /// Notes that a server answered a request whole at this node; returns the short name of its service
     /// where the keeper must be notified, once.
     pub fn note_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
-        self.answered.note(now, fingerprint);
+        self.answered.record(now, fingerprint);
         let verdict = self.list.get(now, fingerprint)?;
         if verdict.standing == Standing::Cleared {
             return None;
@@ -78,7 +78,7 @@
     /// Takes the word of a node that a request was answered whole, as the keeper; returns the verdict
     /// that all nodes are notified of.
     pub fn take_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
-        self.answered.note(now, fingerprint);
+        self.answered.record(now, fingerprint);
         if !self.evidence.note_answered(fingerprint) {
             return None;
         }
--- a/crates/core/src/serving/quarantine/evidence.rs
+++ b/crates/core/src/serving/quarantine/evidence.rs
@@ -76,7 +76,7 @@
 
 impl Evidence {
     /// Takes a report of a node, without the requests that were answered whole lately.
-    pub fn note(&mut self, now: Millis, crash: &Crash, answered: &Answered) {
+    pub fn record(&mut self, now: Millis, crash: &Crash, answered: &Answered) {
         let at = now.saturating_sub(crash.age);
         let runs: Vec<(Fingerprint, Millis)> = crash
             .runs
--- a/crates/core/src/serving/round_trip.rs
+++ b/crates/core/src/serving/round_trip.rs
@@ -36,7 +36,7 @@
 
 impl Distances {
     /// Notes the time between a question to a node of a region and its answer.
-    pub fn note(&mut self, region: &str, round_trip: Millis) {
+    pub fn record(&mut self, region: &str, round_trip: Millis) {
         let newest = round_trip as f64;
         let Some(known) = self.by_region.get_mut(region) else {
             let first = Estimate { round_trip: newest, deviation: newest / 2.0 };
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -59,7 +59,7 @@
         let mut random = Rng::with_seed(seed);
         let known = (0..nodes).map(|_| {
             let mut known = Tracker::new(random.f64());
-            known.note(0, 0, &server, &signal(Some(limit)));
+            known.record(0, 0, &server, &signal(Some(limit)));
             known
         });
         let nodes = known.collect();
@@ -107,7 +107,7 @@
         if is_sent {
             let at = now + self.random.u64(..WAY);
             self.arrivals.push(at);
-            self.nodes[node].note(at, now, &self.server, &signal(Some(self.limit)));
+            self.nodes[node].record(at, now, &self.server, &signal(Some(self.limit)));
         }
     }
 
@@ -208,7 +208,7 @@
     let mut owner = Tracker::default();
     let server = make_server("s-1");
     let key = InstanceKey::of(&server);
-    owner.note(0, 0, &server, &signal(Some(1.0)));
+    owner.record(0, 0, &server, &signal(Some(1.0)));
     let seen = Observation { key, rate: Some(1.0), age: 0 };
     let reach = Reach { heard: 1, all: 1, period: 200, is_grouped: false };
     assert_eq!(owner.decide(0, &seen, reach), Decision::Denied { retry_after: 1_005 });
@@ -227,10 +227,10 @@
 fn an_answer_without_a_limit_ends_it_unless_its_request_is_older_than_the_limit() {
     let mut book = Tracker::default();
     let server = make_server("s-1");
-    assert!(book.note(1_000, 900, &server, &signal(Some(2.0))).limit.is_some());
-    assert_eq!(book.note(1_050, 950, &server, &signal(None)).limit, None);
+    assert!(book.record(1_000, 900, &server, &signal(Some(2.0))).limit.is_some());
+    assert_eq!(book.record(1_050, 950, &server, &signal(None)).limit, None);
     assert!(book.get_limit(1_050, &server).is_some());
-    let ended = book.note(1_300, 1_100, &server, &signal(None)).limit.expect("news");
+    let ended = book.record(1_300, 1_100, &server, &signal(None)).limit.expect("news");
     assert_eq!(ended.rate, None);
     assert_eq!(book.get_limit(1_300, &server), None);
     // A late sighting of another node does not bring it back.
@@ -247,12 +247,12 @@
     let mut book = Tracker::default();
     let first = make_server("s-1");
     let next = Server { incarnation: first.incarnation + 1, ..first.clone() };
-    book.note(0, 0, &first, &signal(Some(2.0)));
+    book.record(0, 0, &first, &signal(Some(2.0)));
     assert!(book.get_limit(1, &first).is_some());
     assert_eq!(book.get_limit(1, &next), None);
-    book.note(10, 5, &next, &signal(Some(3.0)));
+    book.record(10, 5, &next, &signal(Some(3.0)));
     // A late answer of the first start changes nothing.
-    assert_eq!(book.note(20, 15, &first, &signal(Some(1.0))).limit, None);
+    assert_eq!(book.record(20, 15, &first, &signal(Some(1.0))).limit, None);
     assert_eq!(book.get_limit(20, &next).and_then(|known| known.rate), Some(3.0));
 }
 
@@ -271,7 +271,7 @@
     let mut book = Tracker::default();
     let servers: Vec<Server> = (0..9).map(|number| make_server(&format!("s-{number}"))).collect();
     for server in &servers {
-        book.note(0, 0, server, &signal(Some(2.0)));
+        book.record(0, 0, server, &signal(Some(2.0)));
     }
     let listed = |turn| -> Vec<u64> {
         book.get_gossip_batch(10, turn).iter().map(|sighting| sighting.key.server).collect()
@@ -294,16 +294,19 @@
 fn nothing_ends_a_back_off_early() {
     let mut book = Tracker::default();
     let server = make_server("s-1");
-    assert_eq!(book.note(1_000, 990, &server, &back_off(3_000)).back_off_until, Some(4_000));
-    assert_eq!(book.note(1_500, 1_400, &server, &back_off(1_000)).back_off_until, None);
-    assert_eq!(book.note(1_600, 900, &server, &signal(None)).back_off_until, None);
+    assert_eq!(book.record(1_000, 990, &server, &back_off(3_000)).back_off_until, Some(4_000));
+    assert_eq!(book.record(1_500, 1_400, &server, &back_off(1_000)).back_off_until, None);
+    assert_eq!(book.record(1_600, 900, &server, &signal(None)).back_off_until, None);
     assert_eq!(book.get_wait(1_600, &server), Some(2_400));
     assert_eq!(book.count_in_back_off(3_999), 1);
     assert_eq!(book.get_wait(4_000, &server), None);
     // A later one may be longer.
-    assert_eq!(book.note(3_900, 3_800, &server, &back_off(600_000)).back_off_until, Some(603_900));
     assert_eq!(
-        book.note(3_950, 3_800, &server, &back_off(u64::MAX)).back_off_until,
+        book.record(3_900, 3_800, &server, &back_off(600_000)).back_off_until,
+        Some(603_900)
+    );
+    assert_eq!(
+        book.record(3_950, 3_800, &server, &back_off(u64::MAX)).back_off_until,
         Some(u64::MAX)
     );
     book.expire(700_000);
@@ -315,10 +318,10 @@
     let mut book = Tracker::default();
     let first = make_server("s-1");
     let next = Server { incarnation: first.incarnation + 1, ..first.clone() };
-    book.note(0, 0, &first, &back_off(3_000));
+    book.record(0, 0, &first, &back_off(3_000));
     assert_eq!(book.get_wait(1, &next), None);
-    assert_eq!(book.note(10, 5, &next, &back_off(100)).back_off_until, Some(110));
-    assert_eq!(book.note(20, 15, &first, &back_off(5_000)).back_off_until, None);
+    assert_eq!(book.record(10, 5, &next, &back_off(100)).back_off_until, Some(110));
+    assert_eq!(book.record(20, 15, &first, &back_off(5_000)).back_off_until, None);
     assert_eq!(book.get_wait(20, &next), Some(90));
 }
 
@@ -327,7 +330,7 @@
     let mut book = Tracker::default();
     let server = make_server("s-1");
     let both = Signal { rate_limit: Some(1.0), back_off: Some(3_000), is_leaving: false };
-    book.note(0, 0, &server, &both);
+    book.record(0, 0, &server, &both);
     let denied = Decision::Denied { retry_after: 500 };
     assert!(!book.apply_decision(0, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(0, &server), Some(3_000));
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -50,7 +50,7 @@
 fn the_wait_follows_the_measured_round_trips_and_is_bounded() {
     let mut distances = Distances::default();
     for _ in 0..50 {
-        distances.note("b", 60);
+        distances.record("b", 60);
     }
 
     assert_eq!(distances.get_round_trip("b"), 60);
@@ -58,7 +58,7 @@
     assert_eq!(distances.get_wait("b", 90), 90);
 
     for _ in 0..50 {
-        distances.note("b", 2_000);
+        distances.record("b", 2_000);
     }
     assert_eq!(distances.get_wait("b", 25), 300);
 }
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -33,7 +33,7 @@
     node.metrics.count_signal(signal);
     let now = node.now();
     let noted = node.with(|state| {
-        let noted = state.backpressure.note(now, sent_at, server, signal);
+        let noted = state.backpressure.record(now, sent_at, server, signal);
         if let Some(until) = noted.back_off_until {
             state.health.note_back_off(&server.id, until);
         }
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -154,5 +154,5 @@
     let Some(asked_at) = asked_at.filter(|_| is_answer) else { return };
     let Some(region) = node.link.get_far_region(from) else { return };
     let round_trip = node.now().saturating_sub(asked_at);
-    node.with(|state| state.distances.note(&region, round_trip));
+    node.with(|state| state.distances.record(&region, round_trip));
 }
