--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -51,7 +51,7 @@
     }
 
     /// Notes that a header of a server cannot be read; returns `true` if none could not before.
-    pub fn note_unreadable(&mut self, server: &Server) -> bool {
+    pub fn record_unreadable(&mut self, server: &Server) -> bool {
         if self.unreadable.len() == MOST_UNREADABLE {
             self.unreadable.clear();
         }
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -61,7 +61,7 @@
 
 /// Logs headers that cannot be read, once for each server.
 fn note_unreadable(node: &Node, server: &Server, unreadable: &[UnreadableHeader]) {
-    if unreadable.is_empty() || !node.with(|state| state.backpressure.note_unreadable(server)) {
+    if unreadable.is_empty() || !node.with(|state| state.backpressure.record_unreadable(server)) {
         return;
     }
     for UnreadableHeader { name, value } in unreadable {
