--- a/crates/core/src/serving/backpressure/book.rs
+++ b/crates/core/src/serving/backpressure/book.rs
@@ -103,8 +103,8 @@
                 self.limits.merge(now, &Observation { key, rate: None, age });
                 return true;
             }
-            Decision::Denied { retry_after } => self.limits.note_denied(now, key, retry_after),
-            Decision::Undecided => self.limits.note_denied(now, key, undecided_for),
+            Decision::Denied { retry_after } => self.limits.record_denial(now, key, retry_after),
+            Decision::Undecided => self.limits.record_denial(now, key, undecided_for),
         }
         false
     }
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -98,7 +98,7 @@
     }
 
     /// Notes that a permit was denied for a time.
-    pub fn note_denied(&mut self, now: Millis, key: InstanceKey, retry_after: Millis) {
+    pub fn record_denial(&mut self, now: Millis, key: InstanceKey, retry_after: Millis) {
         let record = self.servers.get_mut(&key.server);
         if let Some(record) = record.filter(|record| record.incarnation == key.incarnation) {
             record.denied_until = now.saturating_add(retry_after);
