--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/accountant.rs
@@ -12,7 +12,7 @@
 
 /// The bytes that a node holds, and how many it may hold.
 #[derive(Clone, Debug)]
-pub struct Accountant {
+pub struct MemoryBudget {
     /// The bytes that may be held while the process takes no others.
     pub(super) capacity: u64,
     /// Memory of the process, beyond which it is killed.
@@ -34,7 +34,7 @@
     pub(super) is_short: bool,
 }
 
-impl Accountant {
+impl MemoryBudget {
     /// Makes an accountant of a node that may hold so many bytes, and whose process is killed beyond
     /// `limit` bytes.
     ///
@@ -45,9 +45,9 @@
     /// # Examples
     ///
     /// ```
-    /// use keeljunction_core::serving::memory::{Accountant, Claim, Kind};
+    /// use keeljunction_core::serving::memory::{MemoryBudget, Claim, Kind};
     ///
-    /// let mut memory = Accountant::new(1_000, 2_500, 0.5);
+    /// let mut memory = MemoryBudget::new(1_000, 2_500, 0.5);
     /// let claim = Claim { kind: Kind::RequestBody, account: "acme", urgency: 0 };
     /// let holder = memory.open(0, &claim);
     /// assert!(memory.grow(0, holder, 500).is_ok());
--- a/crates/core/src/serving/memory/eviction.rs
+++ b/crates/core/src/serving/memory/eviction.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use super::accountant::Accountant;
+use super::accountant::MemoryBudget;
 use super::holder::{Holder, HolderId};
 use super::kind::Kind;
 use super::release::LEAST_RETRY_AFTER;
@@ -17,7 +17,7 @@
     pub evicted: Vec<HolderId>,
 }
 
-impl Accountant {
+impl MemoryBudget {
     /// Notes that an account waits, and picks uploads whose bytes make the room.
     pub(super) fn refuse(&mut self, now: Millis, id: HolderId, bytes: u64) -> Shortage {
         let Some(holder) = self.holders.get(&id).cloned() else { return Shortage::default() };
--- a/crates/core/src/serving/memory/mod.rs
+++ b/crates/core/src/serving/memory/mod.rs
@@ -35,7 +35,7 @@
 mod room;
 mod share;
 
-pub use accountant::Accountant;
+pub use accountant::MemoryBudget;
 pub use eviction::Shortage;
 pub use holder::{Claim, HolderId};
 pub use kind::Kind;
--- a/crates/core/src/serving/memory/pressure.rs
+++ b/crates/core/src/serving/memory/pressure.rs
@@ -1,6 +1,6 @@
 //! How much of the memory is in use, and when callers should go to other nodes.
 
-use super::accountant::Accountant;
+use super::accountant::MemoryBudget;
 use super::holder::{Holder, HolderId};
 use super::kind::Kind;
 use super::room::{BODY_PART, CONTROL_PART};
@@ -36,7 +36,7 @@
     LEAVES_FROM + draw * (LEAVES_TO - LEAVES_FROM)
 }
 
-impl Accountant {
+impl MemoryBudget {
     /// Returns the bytes that may be held now: fewer where the process takes memory besides.
     pub fn get_capacity(&self) -> u64 {
         let resident = (self.limit as f64 * RESIDENT_PART) as u64;
--- a/crates/core/src/serving/memory/room.rs
+++ b/crates/core/src/serving/memory/room.rs
@@ -1,6 +1,6 @@
 //! Whether there is room for a holder's growth: pools and fair shares.
 
-use super::accountant::Accountant;
+use super::accountant::MemoryBudget;
 use super::holder::Holder;
 use super::kind::Kind;
 use crate::Millis;
@@ -21,7 +21,7 @@
 /// account finds room at once.
 const MOST_SHARE: f64 = 0.75;
 
-impl Accountant {
+impl MemoryBudget {
     /// Returns the bytes by which a holder's growth exceeds what there is; 0 where it fits.
     pub(super) fn get_shortfall(&self, now: Millis, holder: &Holder, bytes: u64) -> u64 {
         let capacity = self.get_capacity() as f64;
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -1,5 +1,5 @@
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Accountant, Claim, HolderId, Kind, Shortage};
+use keeljunction_core::serving::memory::{Claim, HolderId, Kind, MemoryBudget, Shortage};
 use proptest::prelude::*;
 
 /// What a node of 160 MB may hold, and its limit.
@@ -10,8 +10,8 @@
 const SMALL: u64 = 20_000;
 
 /// A node that never calls itself not ready for its memory.
-fn accountant() -> Accountant {
-    Accountant::new(CAPACITY, LIMIT, 1.0)
+fn accountant() -> MemoryBudget {
+    MemoryBudget::new(CAPACITY, LIMIT, 1.0)
 }
 
 fn body(account: &str) -> Claim<'_> {
@@ -23,7 +23,7 @@
 }
 
 fn begin(
-    memory: &mut Accountant,
+    memory: &mut MemoryBudget,
     now: Millis,
     claim: &Claim<'_>,
     bytes: u64,
@@ -37,7 +37,7 @@
 }
 
 /// Begins bodies of a length until one is refused.
-fn fill(memory: &mut Accountant, now: Millis, claim: &Claim<'_>, bytes: u64) -> Vec<HolderId> {
+fn fill(memory: &mut MemoryBudget, now: Millis, claim: &Claim<'_>, bytes: u64) -> Vec<HolderId> {
     std::iter::from_fn(|| begin(memory, now, claim, bytes).ok()).collect()
 }
 
@@ -74,7 +74,7 @@
     let mut memory = accountant();
     let held = fill(&mut memory, 0, &body("acme"), LARGE);
     let shortage = begin(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
-    let is_known = |memory: &Accountant| held.iter().any(|id| memory.is_evicted(*id));
+    let is_known = |memory: &MemoryBudget| held.iter().any(|id| memory.is_evicted(*id));
     assert!(is_known(&memory));
     for id in shortage.evicted {
         memory.close(510, id);
@@ -205,7 +205,7 @@
 #[test]
 fn nodes_leave_before_they_are_full_at_levels_of_their_own_and_come_back_later() {
     let levels = [0.0, 0.2, 0.4, 0.6, 0.8].map(|draw| {
-        let mut memory = Accountant::new(CAPACITY, LIMIT, draw);
+        let mut memory = MemoryBudget::new(CAPACITY, LIMIT, draw);
         let mut held = Vec::new();
         let left_at = (0..400).find(|step| {
             held.extend(begin(&mut memory, 0, &body("acme"), SMALL * 5));
@@ -232,7 +232,7 @@
 #[test]
 fn under_sixty_resting_uploads_all_small_requests_find_room() {
     const SMALL_NODE: u64 = 64_000_000;
-    let mut memory = Accountant::new(SMALL_NODE * 4 / 10, SMALL_NODE, 1.0);
+    let mut memory = MemoryBudget::new(SMALL_NODE * 4 / 10, SMALL_NODE, 1.0);
     let (mut resting, mut refused) = (Vec::new(), 0);
     for upload in 0..60 {
         let now = upload * 30;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -19,7 +19,7 @@
 use keeljunction_core::serving::in_flight_bytes;
 use keeljunction_core::serving::load::{LoadBook, short_id};
 use keeljunction_core::serving::members::{Entry, Members};
-use keeljunction_core::serving::memory::Accountant;
+use keeljunction_core::serving::memory::MemoryBudget;
 use keeljunction_core::serving::quarantine::{self, Fingerprint};
 use keeljunction_core::serving::quota::{self, Quotas, Tolerance};
 use keeljunction_core::serving::report_log::Handover;
@@ -188,7 +188,7 @@
     /// Summaries that this node sends to other regions.
     pub(super) carrying: Carrying,
     /// Memory that is held for callers and servers.
-    pub memory: Accountant,
+    pub memory: MemoryBudget,
     /// Whom this node reports its counts to.
     pub(super) audience: Audience,
     /// Which of its counts have arrived there.
@@ -432,10 +432,10 @@
 
 /// Makes the accountant of what may be held for callers and servers. Each run of a node draws anew
 /// at which level of its memory callers should go elsewhere.
-fn make_accountant(settings: &Settings, run: u64) -> Accountant {
+fn make_accountant(settings: &Settings, run: u64) -> MemoryBudget {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
-    Accountant::new((bytes * HELD_PART) as u64, bytes as u64, draw)
+    MemoryBudget::new((bytes * HELD_PART) as u64, bytes as u64, draw)
 }
 
 fn get_entry(settings: &Settings) -> Entry {
