--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/accountant.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::eviction::Shortage;
-use super::holder::{Claim, Holder, HolderId};
+use super::holder::{Claim, Holder, ReservationId};
 use super::kind::Kind;
 use super::pressure::draw_level;
 use super::release::Releases;
@@ -24,7 +24,7 @@
     pub(super) held: BTreeMap<Kind, u64>,
     /// What is held of small bodies.
     pub(super) small_held: u64,
-    pub(super) holders: HashMap<HolderId, Holder>,
+    pub(super) holders: HashMap<ReservationId, Holder>,
     /// What each client account holds and waits for.
     pub(super) shares: HashMap<String, Share>,
     pub(super) next_id: u64,
@@ -83,8 +83,8 @@
     }
 
     /// Begins to count a holder, which holds nothing yet.
-    pub fn open(&mut self, now: Millis, claim: &Claim<'_>) -> HolderId {
-        let id = HolderId(self.next_id);
+    pub fn open(&mut self, now: Millis, claim: &Claim<'_>) -> ReservationId {
+        let id = ReservationId(self.next_id);
         self.next_id += 1;
         let holder = Holder {
             kind: claim.kind,
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Returns when to retry where there is no room for them; nothing is reserved then.
-    pub fn grow(&mut self, now: Millis, id: HolderId, bytes: u64) -> Result<(), Shortage> {
+    pub fn grow(&mut self, now: Millis, id: ReservationId, bytes: u64) -> Result<(), Shortage> {
         let Some(holder) = self.holders.get(&id) else { return Err(Shortage::default()) };
         let has_room = self.get_shortfall(now, holder, bytes) == 0;
         if !has_room || self.is_beyond_share(now, holder, bytes) {
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    fn reserve(&mut self, id: HolderId, bytes: u64) {
+    fn reserve(&mut self, id: ReservationId, bytes: u64) {
         let Some(holder) = self.holders.get_mut(&id) else { return };
         *self.held.entry(holder.kind).or_default() += bytes;
         let was_small = holder.is_small;
@@ -135,7 +135,7 @@
     }
 
     /// Notes that bytes of a body came.
-    pub fn note_received(&mut self, now: Millis, id: HolderId, bytes: u64) {
+    pub fn note_received(&mut self, now: Millis, id: ReservationId, bytes: u64) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.received += bytes;
             holder.progressed_at = now;
@@ -143,7 +143,7 @@
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub fn note_whole(&mut self, id: HolderId) {
+    pub fn note_whole(&mut self, id: ReservationId) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.is_uploading = false;
             // Its memory stays in use for the request, and counts no longer as about to be free.
@@ -152,12 +152,12 @@
     }
 
     /// Returns `true` if a holder was picked to make room.
-    pub fn is_evicted(&self, id: HolderId) -> bool {
+    pub fn is_evicted(&self, id: ReservationId) -> bool {
         self.holders.get(&id).is_some_and(|holder| holder.is_evicted)
     }
 
     /// Releases some of a holder's bytes.
-    pub fn shrink(&mut self, now: Millis, id: HolderId, bytes: u64) {
+    pub fn shrink(&mut self, now: Millis, id: ReservationId, bytes: u64) {
         let Some(holder) = self.holders.get_mut(&id) else { return };
         let bytes = bytes.min(holder.reserved);
         holder.reserved -= bytes;
@@ -179,7 +179,7 @@
     }
 
     /// Releases all of a holder's bytes and forgets it.
-    pub fn close(&mut self, now: Millis, id: HolderId) {
+    pub fn close(&mut self, now: Millis, id: ReservationId) {
         self.shrink(now, id, u64::MAX);
         self.holders.remove(&id);
     }
--- a/crates/core/src/serving/memory/eviction.rs
+++ b/crates/core/src/serving/memory/eviction.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use super::accountant::MemoryBudget;
-use super::holder::{Holder, HolderId};
+use super::holder::{Holder, ReservationId};
 use super::kind::Kind;
 use super::release::LEAST_RETRY_AFTER;
 use crate::Millis;
@@ -14,12 +14,12 @@
     /// When to retry, in milliseconds from now.
     pub retry_after: Millis,
     /// Uploads to evict: their bytes are free once they are dropped.
-    pub evicted: Vec<HolderId>,
+    pub evicted: Vec<ReservationId>,
 }
 
 impl MemoryBudget {
     /// Notes that an account waits, and picks uploads whose bytes make the room.
-    pub(super) fn refuse(&mut self, now: Millis, id: HolderId, bytes: u64) -> Shortage {
+    pub(super) fn refuse(&mut self, now: Millis, id: ReservationId, bytes: u64) -> Shortage {
         let Some(holder) = self.holders.get(&id).cloned() else { return Shortage::default() };
         let shortfall = self.get_shortfall(now, &holder, bytes);
         let is_beyond_share = self.is_beyond_share(now, &holder, bytes);
@@ -45,12 +45,12 @@
     pub(super) fn evict(
         &mut self,
         now: Millis,
-        wanted_by: Option<(HolderId, &Holder)>,
+        wanted_by: Option<(ReservationId, &Holder)>,
         bytes: u64,
-    ) -> Vec<HolderId> {
+    ) -> Vec<ReservationId> {
         let fair = self.get_fair_share(now);
         let is_over = |holder: &Holder| self.get_share_held(&holder.account) > fair;
-        let may_go = |id: &HolderId, holder: &Holder| {
+        let may_go = |id: &ReservationId, holder: &Holder| {
             let Some((wanter_id, wanter)) = wanted_by else { return true };
             let is_for_body = wanter.kind == Kind::RequestBody;
             let is_before = !is_for_body || wanter.urgency <= holder.urgency;
--- a/crates/core/src/serving/memory/holder.rs
+++ b/crates/core/src/serving/memory/holder.rs
@@ -10,7 +10,7 @@
 
 /// Names a holder of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HolderId(pub(super) u64);
+pub struct ReservationId(pub(super) u64);
 
 /// Who wants to hold bytes, and what for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -1,5 +1,5 @@
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, HolderId, Kind, MemoryBudget, Shortage};
+use keeljunction_core::serving::memory::{Claim, Kind, MemoryBudget, ReservationId, Shortage};
 use proptest::prelude::*;
 
 /// What a node of 160 MB may hold, and its limit.
@@ -27,7 +27,7 @@
     now: Millis,
     claim: &Claim<'_>,
     bytes: u64,
-) -> Result<HolderId, Shortage> {
+) -> Result<ReservationId, Shortage> {
     let id = memory.open(now, claim);
     let grown = memory.grow(now, id, bytes);
     if grown.is_err() {
@@ -37,7 +37,12 @@
 }
 
 /// Begins bodies of a length until one is refused.
-fn fill(memory: &mut MemoryBudget, now: Millis, claim: &Claim<'_>, bytes: u64) -> Vec<HolderId> {
+fn fill(
+    memory: &mut MemoryBudget,
+    now: Millis,
+    claim: &Claim<'_>,
+    bytes: u64,
+) -> Vec<ReservationId> {
     std::iter::from_fn(|| begin(memory, now, claim, bytes).ok()).collect()
 }
 
@@ -293,7 +298,7 @@
     fn no_sequence_exceeds_the_capacity_or_leaks(steps in steps()) {
         let mut memory = accountant();
         let mut now = 10_000;
-        let mut held: Vec<(HolderId, u64)> = Vec::new();
+        let mut held: Vec<(ReservationId, u64)> = Vec::new();
         for step in steps {
             match step {
                 Step::Open(account, kind, bytes) => {
@@ -352,7 +357,7 @@
         retries in 50_u64..3_000,
     ) {
         let mut memory = accountant();
-        let mut running: Vec<(Millis, HolderId)> = Vec::new();
+        let mut running: Vec<(Millis, ReservationId)> = Vec::new();
         let mut next_try = 3_000;
         for now in (0..20_000).step_by(25) {
             running.retain(|(ends_at, id)| {
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, HolderId, Kind, Use};
+use keeljunction_core::serving::memory::{Claim, Kind, ReservationId, Use};
 
 use super::Node;
 use crate::event::{self, Event};
@@ -24,7 +24,7 @@
 /// Bytes that are held until this is dropped.
 pub struct Reservation {
     node: Arc<Node>,
-    id: HolderId,
+    id: ReservationId,
     bytes: u64,
     /// Whether a signal of eviction was taken.
     has_stop: bool,
--- a/crates/gateway/src/node/uploads.rs
+++ b/crates/gateway/src/node/uploads.rs
@@ -3,17 +3,17 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-use keeljunction_core::serving::memory::HolderId;
+use keeljunction_core::serving::memory::ReservationId;
 
 use crate::http::Stop;
 use crate::runtime::lock;
 
 /// Signals to uploads that they are evicted.
 #[derive(Default)]
-pub(crate) struct Uploads(pub(super) Mutex<HashMap<HolderId, Stop>>);
+pub(crate) struct Uploads(pub(super) Mutex<HashMap<ReservationId, Stop>>);
 
 impl Uploads {
-    pub(super) fn evict(&self, ids: &[HolderId]) {
+    pub(super) fn evict(&self, ids: &[ReservationId]) {
         let stops = lock(&self.0);
         for stop in ids.iter().filter_map(|id| stops.get(id)) {
             stop.give();
