--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/accountant.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::eviction::Shortage;
-use super::holder::{Claim, Holder, ReservationId};
+use super::holder::{Claim, Reservation, ReservationId};
 use super::kind::Kind;
 use super::pressure::draw_level;
 use super::release::Releases;
@@ -24,7 +24,7 @@
     pub(super) held: BTreeMap<Kind, u64>,
     /// What is held of small bodies.
     pub(super) small_held: u64,
-    pub(super) holders: HashMap<ReservationId, Holder>,
+    pub(super) holders: HashMap<ReservationId, Reservation>,
     /// What each client account holds and waits for.
     pub(super) shares: HashMap<String, Share>,
     pub(super) next_id: u64,
@@ -86,7 +86,7 @@
     pub fn open(&mut self, now: Millis, claim: &Claim<'_>) -> ReservationId {
         let id = ReservationId(self.next_id);
         self.next_id += 1;
-        let holder = Holder {
+        let holder = Reservation {
             kind: claim.kind,
             account: claim.account.to_owned(),
             urgency: claim.urgency,
--- a/crates/core/src/serving/memory/eviction.rs
+++ b/crates/core/src/serving/memory/eviction.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use super::accountant::MemoryBudget;
-use super::holder::{Holder, ReservationId};
+use super::holder::{Reservation, ReservationId};
 use super::kind::Kind;
 use super::release::LEAST_RETRY_AFTER;
 use crate::Millis;
@@ -45,12 +45,12 @@
     pub(super) fn evict(
         &mut self,
         now: Millis,
-        wanted_by: Option<(ReservationId, &Holder)>,
+        wanted_by: Option<(ReservationId, &Reservation)>,
         bytes: u64,
     ) -> Vec<ReservationId> {
         let fair = self.get_fair_share(now);
-        let is_over = |holder: &Holder| self.get_share_held(&holder.account) > fair;
-        let may_go = |id: &ReservationId, holder: &Holder| {
+        let is_over = |holder: &Reservation| self.get_share_held(&holder.account) > fair;
+        let may_go = |id: &ReservationId, holder: &Reservation| {
             let Some((wanter_id, wanter)) = wanted_by else { return true };
             let is_for_body = wanter.kind == Kind::RequestBody;
             let is_before = !is_for_body || wanter.urgency <= holder.urgency;
--- a/crates/core/src/serving/memory/holder.rs
+++ b/crates/core/src/serving/memory/holder.rs
@@ -25,7 +25,7 @@
 
 /// A body, an answer or a part of the node itself for which bytes are held.
 #[derive(Clone, Debug)]
-pub(super) struct Holder {
+pub(super) struct Reservation {
     pub(super) kind: Kind,
     pub(super) account: String,
     pub(super) urgency: u32,
@@ -42,7 +42,7 @@
     pub(super) is_small: bool,
 }
 
-impl Holder {
+impl Reservation {
     /// Returns `true` if the body is still small with so many bytes more.
     pub(super) fn is_small_with(&self, bytes: u64) -> bool {
         self.is_small && self.reserved.saturating_add(bytes) <= SMALL_BODY_BYTES
--- a/crates/core/src/serving/memory/pressure.rs
+++ b/crates/core/src/serving/memory/pressure.rs
@@ -1,7 +1,7 @@
 //! How much of the memory is in use, and when callers should go to other nodes.
 
 use super::accountant::MemoryBudget;
-use super::holder::{Holder, ReservationId};
+use super::holder::{Reservation, ReservationId};
 use super::kind::Kind;
 use super::room::{BODY_PART, CONTROL_PART};
 use crate::Millis;
@@ -62,7 +62,7 @@
     /// Takes a sample of the process's resident memory: it lowers the capacity and decides whether
     /// the node is short. Returns uploads to evict where more is held than the new capacity.
     pub fn observe(&mut self, now: Millis, resident: Option<u64>) -> Vec<ReservationId> {
-        let untouched: u64 = self.holders.values().map(Holder::get_untouched).sum();
+        let untouched: u64 = self.holders.values().map(Reservation::get_untouched).sum();
         let touched = self.get_total().saturating_sub(untouched);
         self.resident = resident;
         self.unreserved = resident.unwrap_or(0).saturating_sub(touched);
--- a/crates/core/src/serving/memory/room.rs
+++ b/crates/core/src/serving/memory/room.rs
@@ -1,7 +1,7 @@
 //! Whether there is room for a holder's growth: pools and fair shares.
 
 use super::accountant::MemoryBudget;
-use super::holder::Holder;
+use super::holder::Reservation;
 use super::kind::Kind;
 use crate::Millis;
 
@@ -23,7 +23,7 @@
 
 impl MemoryBudget {
     /// Returns the bytes by which a holder's growth exceeds what there is; 0 where it fits.
-    pub(super) fn get_shortfall(&self, now: Millis, holder: &Holder, bytes: u64) -> u64 {
+    pub(super) fn get_shortfall(&self, now: Millis, holder: &Reservation, bytes: u64) -> u64 {
         let capacity = self.get_capacity() as f64;
         let part = if holder.kind == Kind::Control { 1.0 } else { 1.0 - CONTROL_PART };
         let total = self.get_total().saturating_add(bytes);
@@ -39,7 +39,7 @@
         of_all.max(of_kind)
     }
 
-    fn get_body_shortfall(&self, now: Millis, holder: &Holder, bytes: u64) -> u64 {
+    fn get_body_shortfall(&self, now: Millis, holder: &Reservation, bytes: u64) -> u64 {
         let small_pool = self.get_small_pool();
         if holder.is_small_with(bytes) && self.small_held + bytes <= small_pool {
             return 0;
@@ -83,7 +83,7 @@
 
     /// Returns `true` if an account that holds bytes would get more than its share, while another
     /// one waits or holds some.
-    pub(super) fn is_beyond_share(&self, now: Millis, holder: &Holder, bytes: u64) -> bool {
+    pub(super) fn is_beyond_share(&self, now: Millis, holder: &Reservation, bytes: u64) -> bool {
         if holder.kind != Kind::RequestBody || holder.is_small_with(bytes) {
             return false;
         }
