--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/accountant.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::eviction::Shortage;
-use super::holder::{Claim, Reservation, ReservationId};
+use super::holder::{Requester, Reservation, ReservationId};
 use super::kind::Kind;
 use super::pressure::draw_level;
 use super::release::Releases;
@@ -45,10 +45,10 @@
     /// # Examples
     ///
     /// ```
-    /// use keeljunction_core::serving::memory::{MemoryBudget, Claim, Kind};
+    /// use keeljunction_core::serving::memory::{MemoryBudget, Requester, Kind};
     ///
     /// let mut memory = MemoryBudget::new(1_000, 2_500, 0.5);
-    /// let claim = Claim { kind: Kind::RequestBody, account: "acme", urgency: 0 };
+    /// let claim = Requester { kind: Kind::RequestBody, account: "acme", urgency: 0 };
     /// let holder = memory.open(0, &claim);
     /// assert!(memory.grow(0, holder, 500).is_ok());
     /// assert!(memory.grow(0, holder, 500).is_err());
@@ -83,7 +83,7 @@
     }
 
     /// Begins to count a holder, which holds nothing yet.
-    pub fn open(&mut self, now: Millis, claim: &Claim<'_>) -> ReservationId {
+    pub fn open(&mut self, now: Millis, claim: &Requester<'_>) -> ReservationId {
         let id = ReservationId(self.next_id);
         self.next_id += 1;
         let holder = Reservation {
--- a/crates/core/src/serving/memory/holder.rs
+++ b/crates/core/src/serving/memory/holder.rs
@@ -14,7 +14,7 @@
 
 /// Who wants to hold bytes, and what for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim<'a> {
+pub struct Requester<'a> {
     /// What for.
     pub kind: Kind,
     /// The client account; empty where there is none.
--- a/crates/core/src/serving/memory/mod.rs
+++ b/crates/core/src/serving/memory/mod.rs
@@ -37,6 +37,6 @@
 
 pub use accountant::MemoryBudget;
 pub use eviction::Shortage;
-pub use holder::{Claim, ReservationId};
+pub use holder::{Requester, ReservationId};
 pub use kind::Kind;
 pub use pressure::Use;
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -1,5 +1,5 @@
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, Kind, MemoryBudget, ReservationId, Shortage};
+use keeljunction_core::serving::memory::{Kind, MemoryBudget, Requester, ReservationId, Shortage};
 use proptest::prelude::*;
 
 /// What a node of 160 MB may hold, and its limit.
@@ -14,18 +14,18 @@
     MemoryBudget::new(CAPACITY, LIMIT, 1.0)
 }
 
-fn body(account: &str) -> Claim<'_> {
-    Claim { kind: Kind::RequestBody, account, urgency: 0 }
+fn body(account: &str) -> Requester<'_> {
+    Requester { kind: Kind::RequestBody, account, urgency: 0 }
 }
 
-fn answer() -> Claim<'static> {
-    Claim { kind: Kind::ReadAhead, account: "", urgency: 0 }
+fn answer() -> Requester<'static> {
+    Requester { kind: Kind::ReadAhead, account: "", urgency: 0 }
 }
 
 fn begin(
     memory: &mut MemoryBudget,
     now: Millis,
-    claim: &Claim<'_>,
+    claim: &Requester<'_>,
     bytes: u64,
 ) -> Result<ReservationId, Shortage> {
     let id = memory.open(now, claim);
@@ -40,7 +40,7 @@
 fn fill(
     memory: &mut MemoryBudget,
     now: Millis,
-    claim: &Claim<'_>,
+    claim: &Requester<'_>,
     bytes: u64,
 ) -> Vec<ReservationId> {
     std::iter::from_fn(|| begin(memory, now, claim, bytes).ok()).collect()
@@ -54,7 +54,7 @@
     assert!(memory.get_held(Kind::RequestBody) <= 44_800_000);
     fill(&mut memory, 0, &answer(), SMALL);
     assert!(memory.get_held(Kind::ReadAhead) >= 12_000_000);
-    let control = Claim { kind: Kind::Control, ..answer() };
+    let control = Requester { kind: Kind::Control, ..answer() };
     assert!(begin(&mut memory, 0, &control, 6_000_000).is_ok());
     assert!(memory.get_total() <= CAPACITY);
 }
@@ -118,7 +118,7 @@
 #[test]
 fn less_urgent_bodies_leave_room_to_the_most_urgent() {
     let mut memory = accountant();
-    let later = Claim { urgency: 3, ..body("acme") };
+    let later = Requester { urgency: 3, ..body("acme") };
     assert_eq!(fill(&mut memory, 0, &later, LARGE).len(), 7);
     assert!(begin(&mut memory, 0, &body("acme"), LARGE).is_ok());
 }
@@ -146,7 +146,7 @@
     let mut memory = accountant();
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
     uploads[1..].iter().for_each(|upload| memory.note_whole(*upload));
-    let later = Claim { urgency: 3, ..body("acme") };
+    let later = Requester { urgency: 3, ..body("acme") };
     let shortage = begin(&mut memory, 5_000, &later, LARGE).expect_err("no room");
     assert_eq!(shortage.evicted, []);
     let shortage = begin(&mut memory, 5_000, &body("acme"), LARGE).expect_err("no room");
@@ -304,7 +304,7 @@
                 Step::Open(account, kind, bytes) => {
                     let kind = [Kind::RequestBody, Kind::RequestBody, Kind::ReadAhead, Kind::Control]
                         [usize::from(kind)];
-                    let claim = Claim { kind, account: ACCOUNTS[account], urgency: account as u32 };
+                    let claim = Requester { kind, account: ACCOUNTS[account], urgency: account as u32 };
                     if let Ok(id) = begin(&mut memory, now, &claim, bytes) {
                         prop_assert!(memory.get_total() <= memory.get_capacity());
                         held.push((id, bytes));
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -15,7 +15,7 @@
 use hyper::body::{Body as HttpBody, Incoming};
 use hyper::header::EXPECT;
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, Kind};
+use keeljunction_core::serving::memory::{Kind, Requester};
 use keeljunction_core::serving::refusal::Refusal;
 use keeljunction_core::serving::upload::Pace;
 
@@ -85,7 +85,7 @@
             Some(0) => None,
             Some(length) if length > bounds.bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
-                let claim = Claim { kind: Kind::RequestBody, account, urgency };
+                let claim = Requester { kind: Kind::RequestBody, account, urgency };
                 let mut reservation = Reservation::for_claim(node, &claim);
                 grow(&mut reservation, length.unwrap_or(LEAST_STEP.min(bounds.bytes))).await?;
                 Some(reservation)
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, Kind, ReservationId, Use};
+use keeljunction_core::serving::memory::{Kind, Requester, ReservationId, Use};
 
 use super::Node;
 use crate::event::{self, Event};
@@ -33,11 +33,11 @@
 impl Reservation {
     /// Makes a reservation of no bytes, for no client account in particular.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
-        Self::for_claim(node, &Claim { kind, account: "", urgency: 0 })
+        Self::for_claim(node, &Requester { kind, account: "", urgency: 0 })
     }
 
     /// Makes a reservation of no bytes for a claim.
-    pub fn for_claim(node: &Arc<Node>, claim: &Claim<'_>) -> Self {
+    pub fn for_claim(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
         Self { node: node.clone(), id, bytes: 0, has_stop: false }
