--- a/crates/core/src/serving/memory/mod.rs
+++ b/crates/core/src/serving/memory/mod.rs
@@ -39,4 +39,4 @@
 pub use eviction::Shortage;
 pub use holder::{Requester, ReservationId};
 pub use kind::Kind;
-pub use pressure::Use;
+pub use pressure::Usage;
--- a/crates/core/src/serving/memory/pressure.rs
+++ b/crates/core/src/serving/memory/pressure.rs
@@ -20,7 +20,7 @@
 
 /// How much of a node's memory is in use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Use {
+pub struct Usage {
     /// Bytes that are reserved.
     pub reserved: u64,
     /// Bytes that may be reserved now.
@@ -44,14 +44,14 @@
     }
 
     /// Returns how much of the memory is in use.
-    pub fn get_use(&self) -> Use {
+    pub fn get_use(&self) -> Usage {
         let (reserved, capacity) = (self.get_total(), self.get_capacity());
         let bodies = self.get_held(Kind::RequestBody) as f64;
         let of_bodies = bodies / (self.capacity as f64 * BODY_PART).max(1.0);
         let of_all = reserved as f64 / (self.capacity as f64 * (1.0 - CONTROL_PART)).max(1.0);
         let of_resident = self.resident.unwrap_or(0) as f64 / (self.limit as f64 * RESIDENT_PART);
         let part = of_bodies.max(of_all).max(of_resident).min(1.0);
-        Use { reserved, capacity, resident: self.resident, part }
+        Usage { reserved, capacity, resident: self.resident, part }
     }
 
     /// Returns `true` if callers should go to other nodes, for want of memory.
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Kind, Requester, ReservationId, Use};
+use keeljunction_core::serving::memory::{Kind, Requester, ReservationId, Usage};
 
 use super::Node;
 use crate::event::{self, Event};
@@ -159,7 +159,7 @@
     });
     node.uploads.evict(&evicted);
     if was_short != is_short {
-        let Use { reserved, capacity, resident, part } = used;
+        let Usage { reserved, capacity, resident, part } = used;
         event::emit(&Event::MemoryPressureChanged { is_short, part, reserved, capacity, resident });
     }
 }
