--- a/crates/core/src/serving/memory/pressure.rs
+++ b/crates/core/src/serving/memory/pressure.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns how much of the memory is in use.
-    pub fn get_use(&self) -> Usage {
+    pub fn get_usage(&self) -> Usage {
         let (reserved, capacity) = (self.get_total(), self.get_capacity());
         let bodies = self.get_held(Kind::RequestBody) as f64;
         let of_bodies = bodies / (self.capacity as f64 * BODY_PART).max(1.0);
@@ -67,7 +67,7 @@
         self.resident = resident;
         self.unreserved = resident.unwrap_or(0).saturating_sub(touched);
         self.shares.retain(|_, share| share.held > 0 || share.is_waiting(now));
-        let part = self.get_use().part;
+        let part = self.get_usage().part;
         let bound = if self.is_short { self.leaves_at * RELIEF_PART } else { self.leaves_at };
         self.is_short = part >= bound;
         let excess = self.get_total().saturating_sub(self.get_capacity());
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -172,7 +172,7 @@
             let version = state.configuration.as_ref().map_or(0, |known| known.version);
             self.configuration_version.set(version as i64);
             self.memory_capacity.set(state.memory.get_capacity() as i64);
-            self.memory_part.set(state.memory.get_use().part);
+            self.memory_part.set(state.memory.get_usage().part);
             self.is_short_of_memory.set(state.memory.is_short().into());
             for kind in Kind::ALL {
                 let labels = KindLabels { kind: kind.as_str().to_owned() };
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -155,7 +155,7 @@
     let (was_short, is_short, used, evicted) = node.with(|state| {
         let was_short = state.memory.is_short();
         let evicted = state.memory.observe(now, resident);
-        (was_short, state.memory.is_short(), state.memory.get_use(), evicted)
+        (was_short, state.memory.is_short(), state.memory.get_usage(), evicted)
     });
     node.uploads.evict(&evicted);
     if was_short != is_short {
