--- a/crates/core/src/serving/memory/pressure.rs
+++ b/crates/core/src/serving/memory/pressure.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns `true` if callers should go to other nodes, for want of memory.
-    pub fn is_short(&self) -> bool {
+    pub fn is_under_pressure(&self) -> bool {
         self.is_short
     }
 
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -216,15 +216,18 @@
             held.extend(begin(&mut memory, 0, &body("acme"), SMALL * 5));
             held.extend(begin(&mut memory, 0, &body("acme"), SMALL));
             memory.observe(*step, None);
-            memory.is_short()
+            memory.is_under_pressure()
         });
         if left_at.is_some() {
             held.drain(..5).for_each(|id| memory.close(0, id));
             memory.observe(0, None);
-            assert!(memory.is_short(), "one that comes and goes moves its callers each time");
+            assert!(
+                memory.is_under_pressure(),
+                "one that comes and goes moves its callers each time"
+            );
             held.drain(..).for_each(|id| memory.close(0, id));
             memory.observe(0, None);
-            assert!(!memory.is_short());
+            assert!(!memory.is_under_pressure());
         }
         left_at
     });
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -173,7 +173,7 @@
             self.configuration_version.set(version as i64);
             self.memory_capacity.set(state.memory.get_capacity() as i64);
             self.memory_part.set(state.memory.get_usage().part);
-            self.is_short_of_memory.set(state.memory.is_short().into());
+            self.is_short_of_memory.set(state.memory.is_under_pressure().into());
             for kind in Kind::ALL {
                 let labels = KindLabels { kind: kind.as_str().to_owned() };
                 let held = state.memory.get_held(kind) as i64;
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -153,9 +153,9 @@
 fn observe(node: &Node) {
     let (now, resident) = (node.now(), read_resident_bytes());
     let (was_short, is_short, used, evicted) = node.with(|state| {
-        let was_short = state.memory.is_short();
+        let was_short = state.memory.is_under_pressure();
         let evicted = state.memory.observe(now, resident);
-        (was_short, state.memory.is_short(), state.memory.get_usage(), evicted)
+        (was_short, state.memory.is_under_pressure(), state.memory.get_usage(), evicted)
     });
     node.uploads.evict(&evicted);
     if was_short != is_short {
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -386,7 +386,7 @@
 
     /// Returns `true` if callers should go to other nodes, for want of memory.
     pub fn is_short_of_memory(&self) -> bool {
-        self.with(|state| state.memory.is_short())
+        self.with(|state| state.memory.is_under_pressure())
     }
 
     /// Returns `true` if the node is about to end.
