--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/accountant.rs
@@ -135,7 +135,7 @@
     }
 
     /// Notes that bytes of a body came.
-    pub fn note_received(&mut self, now: Millis, id: ReservationId, bytes: u64) {
+    pub fn record_received(&mut self, now: Millis, id: ReservationId, bytes: u64) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.received += bytes;
             holder.progressed_at = now;
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -129,7 +129,7 @@
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
     for now in (0..2_000).step_by(100) {
         for upload in &uploads[1..] {
-            memory.note_received(now, *upload, 1_000);
+            memory.record_received(now, *upload, 1_000);
         }
     }
     let shortage = begin(&mut memory, 2_000, &body("acme"), LARGE).expect_err("no room");
@@ -192,7 +192,7 @@
     let id = begin(&mut memory, 0, &body("acme"), LARGE).expect("room");
     memory.observe(0, Some(100_000_000));
     assert_eq!(memory.get_capacity(), 36_000_000);
-    memory.note_received(100, id, LARGE);
+    memory.record_received(100, id, LARGE);
     memory.observe(250, Some(100_000_000 + LARGE));
     assert_eq!(memory.get_capacity(), 36_000_000);
 }
@@ -246,7 +246,7 @@
         let now = upload * 30;
         match begin(&mut memory, now, &body("archive"), LARGE) {
             Ok(id) => {
-                memory.note_received(now, id, LARGE * 9 / 10);
+                memory.record_received(now, id, LARGE * 9 / 10);
                 resting.push(id);
             }
             Err(shortage) => {
@@ -322,7 +322,7 @@
                 }
                 Step::Receive(at, bytes) => {
                     let Some((id, _)) = held.get(at) else { continue };
-                    memory.note_received(now, *id, bytes);
+                    memory.record_received(now, *id, bytes);
                 }
                 Step::Shrink(at, bytes) => {
                     let Some((id, known)) = held.get_mut(at) else { continue };
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -101,7 +101,7 @@
     /// Notes that bytes of a body came.
     pub(crate) fn note_received(&self, bytes: u64) {
         let now = self.node.now();
-        self.node.with(|state| state.memory.note_received(now, self.id, bytes));
+        self.node.with(|state| state.memory.record_received(now, self.id, bytes));
     }
 
     /// Notes that a body is whole: it is not evicted any more.
