--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/accountant.rs
@@ -143,7 +143,7 @@
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub fn note_whole(&mut self, id: ReservationId) {
+    pub fn complete_upload(&mut self, id: ReservationId) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.is_uploading = false;
             // Its memory stays in use for the request, and counts no longer as about to be free.
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -93,7 +93,7 @@
     fill(&mut memory, 0, &body("acme"), LARGE);
     let shortage = begin(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
     for id in &shortage.evicted {
-        memory.note_whole(*id);
+        memory.complete_upload(*id);
     }
     let next = begin(&mut memory, 510, &body("blue"), LARGE).expect_err("no room");
     assert!(!next.evicted.is_empty());
@@ -145,7 +145,7 @@
 fn a_whole_body_and_one_that_is_more_urgent_are_not_evicted() {
     let mut memory = accountant();
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
-    uploads[1..].iter().for_each(|upload| memory.note_whole(*upload));
+    uploads[1..].iter().for_each(|upload| memory.complete_upload(*upload));
     let later = Requester { urgency: 3, ..body("acme") };
     let shortage = begin(&mut memory, 5_000, &later, LARGE).expect_err("no room");
     assert_eq!(shortage.evicted, []);
@@ -157,7 +157,7 @@
 fn an_account_that_waits_gets_room_before_those_that_hold_their_share() {
     let mut memory = accountant();
     let held = fill(&mut memory, 0, &body("heavy"), LARGE);
-    held.iter().for_each(|id| memory.note_whole(*id));
+    held.iter().for_each(|id| memory.complete_upload(*id));
     assert!(begin(&mut memory, 100, &body("light"), LARGE).is_err());
     memory.close(200, held[0]);
     assert!(begin(&mut memory, 200, &body("heavy"), LARGE).is_err());
@@ -372,7 +372,7 @@
             for (account, length) in lengths.iter().enumerate() {
                 let claim = body(["a", "b", "c", "d", "e"][account % 5]);
                 for id in fill(&mut memory, now, &claim, *length) {
-                    memory.note_whole(id);
+                    memory.complete_upload(id);
                     running.push((now + ends_after, id));
                 }
             }
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -106,7 +106,7 @@
 
     /// Notes that a body is whole: it is not evicted any more.
     pub(crate) fn note_whole(&self) {
-        self.node.with(|state| state.memory.note_whole(self.id));
+        self.node.with(|state| state.memory.complete_upload(self.id));
     }
 
     /// Releases some of the bytes.
