--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -13,7 +13,7 @@
 use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
 use keeljunction_core::serving::members::{self, Members};
 use keeljunction_core::serving::quarantine::{
-    Book, Content, Crash, Fingerprint, Run, Standing, Verdict,
+    Content, Crash, Fingerprint, Run, Standing, Tracker, Verdict,
 };
 use keeljunction_core::serving::quota::{Limit, Quotas, Reach, Report, Source, Tolerance, Units};
 use keeljunction_core::serving::spill::Offer;
@@ -273,7 +273,7 @@
     criterion.bench_function("quarantine, fingerprint of 4 KB", |bencher| {
         bencher.iter(|| black_box(Fingerprint::new(&content)));
     });
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     for number in 0..256 {
         let verdict = Verdict {
             fingerprint: Fingerprint::from_number(number * 7),
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -12,7 +12,7 @@
 
 /// All that a node knows of requests that crash servers.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     list: List,
     answered: Answered,
     outbox: Outbox,
@@ -30,7 +30,7 @@
     pub is_answered_here: bool,
 }
 
-impl Book {
+impl Tracker {
     /// Notes that a server crashed under requests of this node. Those that were answered whole lately do
     /// not crash servers.
     pub fn note_crash(&mut self, now: Millis, mut crash: Crash) {
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -4,7 +4,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Book, Content, Crash, Fingerprint, QUARANTINED_FOR, Run, Standing, Verdict,
+    Content, Crash, Fingerprint, QUARANTINED_FOR, Run, Standing, Tracker, Verdict,
 };
 
 const SERVICE: u64 = 7;
@@ -22,7 +22,7 @@
 }
 
 /// Lets servers crash one after the other, and returns the requests that are refused then.
-fn judge(keeper: &mut Book, crashes: &[(Millis, Crash)]) -> Vec<u64> {
+fn judge(keeper: &mut Tracker, crashes: &[(Millis, Crash)]) -> Vec<u64> {
     let mut refused = Vec::new();
     let last = crashes.iter().map(|(at, _)| *at).max().unwrap_or(0);
     for now in (0..=last + SETTLED).step_by(10) {
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_request_is_refused_after_three_ends_in_a_row() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     let crashes =
         [(1_000, crash(1, &[5, 11])), (2_000, crash(2, &[5, 12])), (3_000, crash(3, &[5, 13]))];
     assert_eq!(judge(&mut keeper, &crashes[..2]), Vec::<u64>::new());
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_request_that_ran_beside_each_time_is_refused_only_once_nothing_else_can_be_the_cause() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     // The second request goes to the same three servers as the cause, and then elsewhere.
     let crashes = [
         (1_000, crash(1, &[5, 11])),
@@ -67,14 +67,14 @@
 
 #[test]
 fn requests_that_run_together_at_five_servers_that_end_are_both_refused() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     let crashes: Vec<_> = (1..=5).map(|n| (n * 1_000, crash(n, &[5, 6]))).collect();
     assert_eq!(judge(&mut keeper, &crashes), [5, 6]);
 }
 
 #[test]
 fn two_causes_at_different_servers_are_both_refused_and_none_between_them() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     // Request 11 ran beside either cause, and at three servers in all.
     let crashes = [
         (1_000, crash(1, &[5, 11])),
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_popular_request_is_not_refused_where_a_data_centre_is_lost() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     // All its runs had been sent before the loss: together they are one crash in the row.
     let crashes: Vec<_> = (1..=40).map(|n| (1_000 + n * 10, crash(n, &[9]))).collect();
     let long = |(at, mut crash): (Millis, Crash)| {
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_request_that_was_answered_whole_is_neither_reported_nor_refused() {
-    let mut node = Book::default();
+    let mut node = Tracker::default();
     assert_eq!(node.note_answered(500, fingerprint(9)), None);
     for (n, at) in [1_000, 2_000, 3_000].into_iter().enumerate() {
         node.note_crash(at, crash(n as u64, &[9]));
@@ -117,7 +117,7 @@
 
 #[test]
 fn an_answer_at_any_node_clears_a_request_that_is_suspected() {
-    let (mut keeper, mut node) = (Book::default(), Book::default());
+    let (mut keeper, mut node) = (Tracker::default(), Tracker::default());
     keeper.take_report(1_000, &crash(1, &[9]));
     keeper.take_report(2_000, &crash(2, &[9]));
     let suspected = keeper.judge(2_000);
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_node_that_has_served_a_suspected_request_says_so() {
-    let mut node = Book::default();
+    let mut node = Tracker::default();
     node.note_answered(1_000, fingerprint(9));
     let verdict = verdict(9, Standing::Suspected, 60_000);
     assert!(node.merge(2_000, verdict).is_answered_here);
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_request_that_is_answered_after_all_is_served_again() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
     assert_eq!(judge(&mut keeper, &crashes), [5]);
     // It was running at another server meanwhile.
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_refusal_ends_with_time_and_comes_back_after_one_more_end() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
     assert_eq!(judge(&mut keeper, &crashes), [5]);
     let later = 3_700 + QUARANTINED_FOR;
@@ -167,7 +167,7 @@
 
 #[test]
 fn the_reports_of_several_nodes_are_one_end_and_a_server_that_is_back_ends_anew() {
-    let mut keeper = Book::default();
+    let mut keeper = Tracker::default();
     let same = [(1_000, crash(1, &[5])), (1_100, crash(1, &[5])), (1_300, crash(1, &[5]))];
     assert_eq!(judge(&mut keeper, &same), Vec::<u64>::new());
     // The server comes back under its name, and crashes twice more.
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_keeper_that_takes_the_place_of_another_gets_the_reports_of_the_last_minute() {
-    let mut node = Book::default();
+    let mut node = Tracker::default();
     let first = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let second = SocketAddr::from((Ipv4Addr::LOCALHOST, 2));
     node.note_crash(1_000, crash(1, &[5]));
@@ -195,7 +195,7 @@
 
 #[test]
 fn verdicts_do_not_outlive_their_time_by_being_passed_on() {
-    let (mut one, mut other) = (Book::default(), Book::default());
+    let (mut one, mut other) = (Tracker::default(), Tracker::default());
     one.merge(0, verdict(5, Standing::Quarantined, 60_000));
     for now in (100..120_000).step_by(100) {
         for verdict in one.get_gossip_batch(now - 90, 0) {
@@ -210,7 +210,7 @@
 
 #[test]
 fn what_is_kept_is_bounded() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     for number in 0..5_000 {
         book.merge(1_000, verdict(number, Standing::Quarantined, 60_000 + number));
         book.take_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Book, Crash, Fingerprint, Run, SUSPECTED_FOR, Standing, Verdict,
+    Crash, Fingerprint, Run, SUSPECTED_FOR, Standing, Tracker, Verdict,
 };
 
 /// Who decides which request is refused.
@@ -86,8 +86,8 @@
     now: Millis,
     next_request: u64,
     servers: Vec<Server>,
-    nodes: Vec<Book>,
-    keeper: Book,
+    nodes: Vec<Tracker>,
+    keeper: Tracker,
     /// What counting knows: servers that crashed under a request, by node.
     counts: BTreeMap<(usize, u64), BTreeSet<(usize, Millis)>>,
     to_keeper: VecDeque<(Millis, Crash)>,
@@ -106,8 +106,8 @@
             now: 0,
             next_request: 10_000,
             servers: vec![Server::default(); setup.servers],
-            nodes: vec![Book::default(); setup.nodes],
-            keeper: Book::default(),
+            nodes: vec![Tracker::default(); setup.nodes],
+            keeper: Tracker::default(),
             counts: BTreeMap::new(),
             to_keeper: VecDeque::new(),
             to_nodes: VecDeque::new(),
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::health::Health;
 use keeljunction_core::serving::members::{Entry, Heard, Members, Role};
-use keeljunction_core::serving::quarantine::{Book, Fingerprint, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{Fingerprint, Standing, Tracker, Verdict};
 use proptest::prelude::*;
 
 const LEASE: u64 = 3_000;
@@ -65,7 +65,7 @@
         health.fail_to_connect(SLEEPS_AT, "s");
         prop_assert!(health.is_ejected(SLEEPS_AT, "s"));
         prop_assert!(!health.is_ejected(SLEEPS_AT + slept, "s"));
-        let mut book = Book::default();
+        let mut book = Tracker::default();
         let fingerprint = Fingerprint::from_number(5);
         let standing = Standing::Quarantined;
         book.merge(SLEEPS_AT, Verdict { fingerprint, service: 1, standing, left: 20_000, servers_crashed: 3 });
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -162,7 +162,7 @@
     /// Bytes of requests that each server holds for this node.
     pub held: in_flight_bytes::Book,
     /// Requests that crash servers.
-    pub quarantine: quarantine::Book,
+    pub quarantine: quarantine::Tracker,
     /// What client accounts have used.
     pub quotas: Quotas,
     /// Repeats.
@@ -278,7 +278,7 @@
             health: Health::default(),
             backpressure: backpressure::Tracker::new(fastrand::f64()),
             held: in_flight_bytes::Book::default(),
-            quarantine: quarantine::Book::default(),
+            quarantine: quarantine::Tracker::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             budget: Budget::new(allowance),
             usage: Ledger::default(),
