--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -23,7 +23,7 @@
 
 /// What came of a verdict that another node sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Merged {
+pub struct MergeOutcome {
     /// Whether it is news, to be passed on.
     pub is_news: bool,
     /// Whether this node has answered the request whole, which the keeper must be notified of.
@@ -124,14 +124,14 @@
     }
 
     /// Takes over a verdict of another node, or of the platform's table.
-    pub fn merge(&mut self, now: Millis, verdict: Verdict) -> Merged {
+    pub fn merge(&mut self, now: Millis, verdict: Verdict) -> MergeOutcome {
         let is_answered_here = self.answered.is_known(now, verdict.fingerprint);
         let is_news = self.list.merge(now, verdict);
         if is_news {
             self.evidence.note_refused(now, &verdict);
         }
         let is_doubted = is_news && verdict.standing != Standing::Cleared;
-        Merged { is_news, is_answered_here: is_answered_here && is_doubted }
+        MergeOutcome { is_news, is_answered_here: is_answered_here && is_doubted }
     }
 
     /// Returns the milliseconds for which a request is still refused; `None` where it is served.
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -32,7 +32,7 @@
 mod verdict;
 
 pub use answered::Answered;
-pub use book::{Merged, Tracker};
+pub use book::{MergeOutcome, Tracker};
 pub use evidence::Evidence;
 pub use fingerprint::{Content, Fingerprint};
 pub use list::List;
