--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -13,7 +13,7 @@
 use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
 use keeljunction_core::serving::members::{self, Members};
 use keeljunction_core::serving::quarantine::{
-    Content, Crash, Fingerprint, Run, Standing, Tracker, Verdict,
+    Content, Crash, Fingerprint, InterruptedRequest, Standing, Tracker, Verdict,
 };
 use keeljunction_core::serving::quota::{Limit, Quotas, Reach, Report, Source, Tolerance, Units};
 use keeljunction_core::serving::spill::Offer;
@@ -291,7 +291,10 @@
         });
     });
     let end = |server: u64| {
-        let run = |number| Run { fingerprint: Fingerprint::from_number(number), ran_for: 50 };
+        let run = |number| InterruptedRequest {
+            fingerprint: Fingerprint::from_number(number),
+            ran_for: 50,
+        };
         Crash {
             service: 1,
             server,
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -36,7 +36,7 @@
 pub use evidence::Evidence;
 pub use fingerprint::{Content, Fingerprint};
 pub use list::List;
-pub use report::{Crash, Outbox, Run};
+pub use report::{Crash, InterruptedRequest, Outbox};
 pub use verdict::{Standing, Verdict};
 
 use crate::Millis;
--- a/crates/core/src/serving/quarantine/report.rs
+++ b/crates/core/src/serving/quarantine/report.rs
@@ -18,7 +18,7 @@
 
 /// A request that was cut off where a server crashed. Its time is a span, since nodes' clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
+pub struct InterruptedRequest {
     /// Names the request's content.
     pub fingerprint: Fingerprint,
     /// Milliseconds between its being sent to the server and the server's crash.
@@ -35,7 +35,7 @@
     /// Milliseconds since the crash.
     pub age: Millis,
     /// The requests.
-    pub runs: Vec<Run>,
+    pub runs: Vec<InterruptedRequest>,
 }
 
 /// The crashes that this node has noticed, until their keepers have them.
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -4,7 +4,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Content, Crash, Fingerprint, QUARANTINED_FOR, Run, Standing, Tracker, Verdict,
+    Content, Crash, Fingerprint, InterruptedRequest, QUARANTINED_FOR, Standing, Tracker, Verdict,
 };
 
 const SERVICE: u64 = 7;
@@ -17,7 +17,7 @@
 
 /// A server that crashed just now, with requests that were sent to it 50 ms before.
 fn crash(server: u64, requests: &[u64]) -> Crash {
-    let run = |number: &u64| Run { fingerprint: fingerprint(*number), ran_for: 50 };
+    let run = |number: &u64| InterruptedRequest { fingerprint: fingerprint(*number), ran_for: 50 };
     Crash { service: SERVICE, server, age: 0, runs: requests.iter().map(run).collect() }
 }
 
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Crash, Fingerprint, Run, SUSPECTED_FOR, Standing, Tracker, Verdict,
+    Crash, Fingerprint, InterruptedRequest, SUSPECTED_FOR, Standing, Tracker, Verdict,
 };
 
 /// Who decides which request is refused.
@@ -203,12 +203,15 @@
     fn crash(&mut self, server: usize, cause: Option<u64>) {
         self.servers[server].away_until = self.now + AWAY;
         let cut = std::mem::take(&mut self.servers[server].attempts);
-        let mut by_node: BTreeMap<usize, Vec<Run>> = BTreeMap::new();
+        let mut by_node: BTreeMap<usize, Vec<InterruptedRequest>> = BTreeMap::new();
         for attempt in &cut {
             if self.now < attempt.first_at + SUSPECTED_FOR {
                 let fingerprint = Fingerprint::from_number(attempt.request);
                 let ran_for = self.now - attempt.sent_at;
-                by_node.entry(attempt.node).or_default().push(Run { fingerprint, ran_for });
+                by_node
+                    .entry(attempt.node)
+                    .or_default()
+                    .push(InterruptedRequest { fingerprint, ran_for });
                 let counter = if self.way == Way::EachNode { attempt.node } else { 0 };
                 let counted = self.counts.entry((counter, attempt.request)).or_default();
                 counted.insert((server, self.now));
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Crash, Run, SUSPECTED_FOR};
+use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPECTED_FOR};
 
 use super::cut_runs::CutRun;
 use super::{Node, peers};
@@ -74,7 +74,8 @@
 fn make_report(now: Millis, server: &Server, runs: &[CutRun]) -> Crash {
     let crashed_at = runs.iter().map(|run| run.cut_at).min().unwrap_or(now);
     let runs = runs.iter();
-    let runs = runs.map(|run| Run { fingerprint: run.fingerprint, ran_for: run.get_span() });
+    let runs = runs
+        .map(|run| InterruptedRequest { fingerprint: run.fingerprint, ran_for: run.get_span() });
     Crash {
         service: short_id(&server.service),
         server: short_id(&server.id),
