--- a/crates/core/src/serving/quarantine/answered.rs
+++ b/crates/core/src/serving/quarantine/answered.rs
@@ -15,17 +15,17 @@
 /// Each fingerprint has one place, which another one may take: a request that is repeated comes back into
 /// its place, so that the popular ones are known. Time and memory do not depend on the requests.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct CompletedRequests {
     places: Vec<Option<(Fingerprint, Millis)>>,
 }
 
-impl Default for Answered {
+impl Default for CompletedRequests {
     fn default() -> Self {
         Self { places: vec![None; PLACES] }
     }
 }
 
-impl Answered {
+impl CompletedRequests {
     /// Notes that a request was answered whole.
     pub fn record(&mut self, now: Millis, fingerprint: Fingerprint) {
         self.places[place_of(fingerprint)] = Some((fingerprint, now));
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::answered::SHOWN_FOR;
-use super::{Answered, Crash, Evidence, Fingerprint, List, Outbox, Standing, Verdict};
+use super::{CompletedRequests, Crash, Evidence, Fingerprint, List, Outbox, Standing, Verdict};
 use crate::Millis;
 
 /// The most verdicts that wait to be written to the platform's table.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     list: List,
-    answered: Answered,
+    answered: CompletedRequests,
     outbox: Outbox,
     evidence: Evidence,
     /// Verdicts of this node, as the keeper, that the platform's table does not hold yet.
--- a/crates/core/src/serving/quarantine/evidence.rs
+++ b/crates/core/src/serving/quarantine/evidence.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{Answered, Crash, Fingerprint, QUARANTINED_FOR, Standing, Verdict};
+use super::{CompletedRequests, Crash, Fingerprint, QUARANTINED_FOR, Standing, Verdict};
 use crate::Millis;
 
 /// Crashes in a row under a request that nothing else explains, before it is refused. One may happen by
@@ -76,7 +76,7 @@
 
 impl Evidence {
     /// Takes a report of a node, without the requests that were answered whole lately.
-    pub fn record(&mut self, now: Millis, crash: &Crash, answered: &Answered) {
+    pub fn record(&mut self, now: Millis, crash: &Crash, answered: &CompletedRequests) {
         let at = now.saturating_sub(crash.age);
         let runs: Vec<(Fingerprint, Millis)> = crash
             .runs
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -31,7 +31,7 @@
 mod report;
 mod verdict;
 
-pub use answered::Answered;
+pub use answered::CompletedRequests;
 pub use book::{MergeOutcome, Tracker};
 pub use evidence::Evidence;
 pub use fingerprint::{Content, Fingerprint};
