--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use super::answered::SHOWN_FOR;
-use super::{CompletedRequests, Crash, Evidence, Fingerprint, List, Outbox, Standing, Verdict};
+use super::{
+    CompletedRequests, Crash, Evidence, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
+};
 use crate::Millis;
 
 /// The most verdicts that wait to be written to the platform's table.
@@ -13,7 +15,7 @@
 /// All that a node knows of requests that crash servers.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
-    list: List,
+    list: VerdictCache,
     answered: CompletedRequests,
     outbox: Outbox,
     evidence: Evidence,
--- a/crates/core/src/serving/quarantine/list.rs
+++ b/crates/core/src/serving/quarantine/list.rs
@@ -16,7 +16,7 @@
 
 /// The verdicts that a node knows, until they end.
 #[derive(Clone, Debug, Default)]
-pub struct List {
+pub struct VerdictCache {
     entries: BTreeMap<Fingerprint, Entry>,
 }
 
@@ -26,7 +26,7 @@
     until: Millis,
 }
 
-impl List {
+impl VerdictCache {
     /// Takes over a verdict; returns `true` if it is news.
     ///
     /// A standing takes the place of a lower one, and of the same one where it was decided anew.
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -35,7 +35,7 @@
 pub use book::{MergeOutcome, Tracker};
 pub use evidence::Evidence;
 pub use fingerprint::{Content, Fingerprint};
-pub use list::List;
+pub use list::VerdictCache;
 pub use report::{Crash, InterruptedRequest, Outbox};
 pub use verdict::{Standing, Verdict};
 
