--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -5,7 +5,7 @@
 
 use super::answered::SHOWN_FOR;
 use super::{
-    CompletedRequests, Crash, Evidence, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
+    CompletedRequests, Crash, CrashAnalyzer, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
 };
 use crate::Millis;
 
@@ -18,7 +18,7 @@
     list: VerdictCache,
     answered: CompletedRequests,
     outbox: Outbox,
-    evidence: Evidence,
+    evidence: CrashAnalyzer,
     /// Verdicts of this node, as the keeper, that the platform's table does not hold yet.
     unsaved: VecDeque<Verdict>,
 }
--- a/crates/core/src/serving/quarantine/evidence.rs
+++ b/crates/core/src/serving/quarantine/evidence.rs
@@ -44,7 +44,7 @@
 
 /// What the keeper knows of servers that crashed.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct CrashAnalyzer {
     crashes: VecDeque<Case>,
     /// Requests that are or were refused, with the time until which that is remembered.
     refused: BTreeMap<Fingerprint, Millis>,
@@ -74,7 +74,7 @@
     last_crash: Option<Millis>,
 }
 
-impl Evidence {
+impl CrashAnalyzer {
     /// Takes a report of a node, without the requests that were answered whole lately.
     pub fn record(&mut self, now: Millis, crash: &Crash, answered: &CompletedRequests) {
         let at = now.saturating_sub(crash.age);
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -33,7 +33,7 @@
 
 pub use answered::CompletedRequests;
 pub use book::{MergeOutcome, Tracker};
-pub use evidence::Evidence;
+pub use evidence::CrashAnalyzer;
 pub use fingerprint::{Content, Fingerprint};
 pub use list::VerdictCache;
 pub use report::{Crash, InterruptedRequest, Outbox};
