--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -45,7 +45,7 @@
 /// milliseconds. A request that crashes a server does so when the server begins to run it: in 19 crashes of a
 /// recorded day that had one request in common, its first piece had not come. Long streams beside it are
 /// not suspected.
-pub const SUSPECTED_FOR: Millis = 1_000;
+pub const SUSPICION_PERIOD: Millis = 1_000;
 /// How long a request is refused, in milliseconds: a caller that repeats it costs three servers in ten
 /// minutes at the most, and a request that a new version of the servers can run waits no longer.
 pub const QUARANTINED_FOR: Millis = 600_000;
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Crash, Fingerprint, InterruptedRequest, SUSPECTED_FOR, Standing, Tracker, Verdict,
+    Crash, Fingerprint, InterruptedRequest, SUSPICION_PERIOD, Standing, Tracker, Verdict,
 };
 
 /// Who decides which request is refused.
@@ -205,7 +205,7 @@
         let cut = std::mem::take(&mut self.servers[server].attempts);
         let mut by_node: BTreeMap<usize, Vec<InterruptedRequest>> = BTreeMap::new();
         for attempt in &cut {
-            if self.now < attempt.first_at + SUSPECTED_FOR {
+            if self.now < attempt.first_at + SUSPICION_PERIOD {
                 let fingerprint = Fingerprint::from_number(attempt.request);
                 let ran_for = self.now - attempt.sent_at;
                 by_node
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPECTED_FOR};
+use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPICION_PERIOD};
 
 use super::cut_runs::CutRun;
 use super::{Node, peers};
@@ -28,7 +28,7 @@
 ///
 /// A server that is leaving or gone breaks off for another reason.
 pub(crate) fn note_cut(node: &Arc<Node>, server: &Server, run: CutRun) {
-    let is_suspect = run.answering_since.is_none_or(|since| run.cut_at < since + SUSPECTED_FOR);
+    let is_suspect = run.answering_since.is_none_or(|since| run.cut_at < since + SUSPICION_PERIOD);
     if !is_suspect || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
