--- a/crates/core/src/serving/quarantine/evidence.rs
+++ b/crates/core/src/serving/quarantine/evidence.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{CompletedRequests, Crash, Fingerprint, QUARANTINED_FOR, Standing, Verdict};
+use super::{CompletedRequests, Crash, Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
 use crate::Millis;
 
 /// Crashes in a row under a request that nothing else explains, before it is refused. One may happen by
@@ -31,7 +31,7 @@
 /// longer to start.
 const SAME_CRASH: Millis = 1_000;
 /// How long a crash is remembered, in milliseconds: as long as a request is refused.
-const REMEMBERED_FOR: Millis = QUARANTINED_FOR;
+const REMEMBERED_FOR: Millis = QUARANTINE_PERIOD;
 /// How long a suspicion is repeated, in milliseconds: some times what an answer takes.
 const SUSPICION_TOLD_FOR: Millis = 60_000;
 /// The most crashes that are remembered, which is most of the servers of the two-year size.
@@ -168,8 +168,8 @@
                 return verdicts;
             }
             for fingerprint in found {
-                self.remember_refused(now, fingerprint, now + QUARANTINED_FOR + REMEMBERED_FOR);
-                let (standing, left) = (Standing::Quarantined, QUARANTINED_FOR);
+                self.remember_refused(now, fingerprint, now + QUARANTINE_PERIOD + REMEMBERED_FOR);
+                let (standing, left) = (Standing::Quarantined, QUARANTINE_PERIOD);
                 verdicts.push(make_verdict(fingerprint, &suspects, standing, left));
             }
         }
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -48,4 +48,4 @@
 pub const SUSPICION_PERIOD: Millis = 1_000;
 /// How long a request is refused, in milliseconds: a caller that repeats it costs three servers in ten
 /// minutes at the most, and a request that a new version of the servers can run waits no longer.
-pub const QUARANTINED_FOR: Millis = 600_000;
+pub const QUARANTINE_PERIOD: Millis = 600_000;
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -4,7 +4,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Content, Crash, Fingerprint, InterruptedRequest, QUARANTINED_FOR, Standing, Tracker, Verdict,
+    Content, Crash, Fingerprint, InterruptedRequest, QUARANTINE_PERIOD, Standing, Tracker, Verdict,
 };
 
 const SERVICE: u64 = 7;
@@ -47,7 +47,7 @@
     assert_eq!(judge(&mut keeper, &crashes[..2]), Vec::<u64>::new());
     assert_eq!(judge(&mut keeper, &crashes[2..]), [5]);
     let refused_for = keeper.get_refused_for(4_000, fingerprint(5)).unwrap_or(0);
-    assert!(refused_for > QUARANTINED_FOR - 1_000, "{refused_for}");
+    assert!(refused_for > QUARANTINE_PERIOD - 1_000, "{refused_for}");
     assert_eq!(keeper.get_refused_for(4_000, fingerprint(11)), None);
 }
 
@@ -158,7 +158,7 @@
     let mut keeper = Tracker::default();
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
     assert_eq!(judge(&mut keeper, &crashes), [5]);
-    let later = 3_700 + QUARANTINED_FOR;
+    let later = 3_700 + QUARANTINE_PERIOD;
     assert_eq!(keeper.get_refused_for(later, fingerprint(5)), None);
     keeper.take_report(later, &crash(9, &[5, 11]));
     assert_eq!(list_refused(&keeper.judge(later + SETTLED)), [5]);
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -11,7 +11,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINED_FOR, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
 use serde::{Deserialize, Serialize};
 
 use super::pause::Pause;
@@ -113,7 +113,7 @@
         match decode(row) {
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
                 // The clock of an older copy may be behind the one that the row was written by.
-                let left = (refused.until - rows.table_time).min(QUARANTINED_FOR);
+                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD);
                 peers::quarantine::take_kept(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
