--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -35,7 +35,7 @@
 impl Tracker {
     /// Notes that a server crashed under requests of this node. Those that were answered whole lately do
     /// not crash servers.
-    pub fn note_crash(&mut self, now: Millis, mut crash: Crash) {
+    pub fn record_crash(&mut self, now: Millis, mut crash: Crash) {
         crash.runs.retain(|run| !self.answered.is_known(now, run.fingerprint));
         if !crash.runs.is_empty() {
             self.outbox.push(now, crash);
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -109,7 +109,7 @@
     let mut node = Tracker::default();
     assert_eq!(node.note_answered(500, fingerprint(9)), None);
     for (n, at) in [1_000, 2_000, 3_000].into_iter().enumerate() {
-        node.note_crash(at, crash(n as u64, &[9]));
+        node.record_crash(at, crash(n as u64, &[9]));
     }
     let keeper = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     assert_eq!(node.take_due(3_000, |_| Some(keeper)), []);
@@ -180,8 +180,8 @@
     let mut node = Tracker::default();
     let first = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let second = SocketAddr::from((Ipv4Addr::LOCALHOST, 2));
-    node.note_crash(1_000, crash(1, &[5]));
-    node.note_crash(2_000, crash(2, &[5]));
+    node.record_crash(1_000, crash(1, &[5]));
+    node.record_crash(2_000, crash(2, &[5]));
     for now in [2_000, 2_200, 2_400] {
         let due = node.take_due(now, |_| Some(first));
         assert_eq!(due.len(), 2, "each report is sent three times");
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -219,7 +219,7 @@
         }
         for (node, runs) in by_node {
             let crash = Crash { service: SERVICE, server: server as u64, age: 0, runs };
-            self.nodes[node].note_crash(self.now, crash);
+            self.nodes[node].record_crash(self.now, crash);
             let keeper = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
             for (_, crash) in self.nodes[node].take_due(self.now, |_| Some(keeper)) {
                 self.to_keeper.push_back((self.now + ON_THE_WAY, crash));
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -66,7 +66,7 @@
         .map(|run| Running { fingerprint: run.fingerprint.to_string(), ran_ms: run.get_span() });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
-    node.with(|state| state.quarantine.note_crash(now, make_report(now, &server, &runs)));
+    node.with(|state| state.quarantine.record_crash(now, make_report(now, &server, &runs)));
     peers::quarantine::send_reports(&node).await;
 }
 
