--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -303,13 +303,13 @@
         }
     };
     for server in 0..512 {
-        book.take_report(10_000 + server, &end(server));
+        book.merge_report(10_000 + server, &end(server));
     }
     let mut server = 512;
     criterion.bench_function("quarantine, an end at a full keeper", |bencher| {
         bencher.iter(|| {
             server += 1;
-            book.take_report(20_000 + server, &end(server));
+            book.merge_report(20_000 + server, &end(server));
             black_box(book.judge(20_000 + server))
         });
     });
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -61,7 +61,7 @@
     }
 
     /// Takes a report, as the keeper.
-    pub fn take_report(&mut self, now: Millis, crash: &Crash) {
+    pub fn merge_report(&mut self, now: Millis, crash: &Crash) {
         self.evidence.record(now, crash, &self.answered);
     }
 
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -27,7 +27,7 @@
     let last = crashes.iter().map(|(at, _)| *at).max().unwrap_or(0);
     for now in (0..=last + SETTLED).step_by(10) {
         for (_, crash) in crashes.iter().filter(|(at, _)| *at == now) {
-            keeper.take_report(now, crash);
+            keeper.merge_report(now, crash);
         }
         refused.extend(list_refused(&keeper.judge(now)));
     }
@@ -118,8 +118,8 @@
 #[test]
 fn an_answer_at_any_node_clears_a_request_that_is_suspected() {
     let (mut keeper, mut node) = (Tracker::default(), Tracker::default());
-    keeper.take_report(1_000, &crash(1, &[9]));
-    keeper.take_report(2_000, &crash(2, &[9]));
+    keeper.merge_report(1_000, &crash(1, &[9]));
+    keeper.merge_report(2_000, &crash(2, &[9]));
     let suspected = keeper.judge(2_000);
     assert_eq!(suspected.len(), 1);
     assert_eq!(suspected[0].standing, Standing::Suspected);
@@ -160,7 +160,7 @@
     assert_eq!(judge(&mut keeper, &crashes), [5]);
     let later = 3_700 + QUARANTINE_PERIOD;
     assert_eq!(keeper.get_refused_for(later, fingerprint(5)), None);
-    keeper.take_report(later, &crash(9, &[5, 11]));
+    keeper.merge_report(later, &crash(9, &[5, 11]));
     assert_eq!(list_refused(&keeper.judge(later + SETTLED)), [5]);
     assert!(keeper.get_refused_for(later + SETTLED, fingerprint(5)).is_some());
 }
@@ -213,7 +213,7 @@
     let mut book = Tracker::default();
     for number in 0..5_000 {
         book.merge(1_000, verdict(number, Standing::Quarantined, 60_000 + number));
-        book.take_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
+        book.merge_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
     }
     assert_eq!(book.count_refused(1_001), 256);
     assert_eq!(book.get_gossip_batch(1_001, 3).len(), 8);
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -253,7 +253,7 @@
     fn deliver(&mut self) {
         while self.to_keeper.front().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, crash)) = self.to_keeper.pop_front() else { break };
-            self.keeper.take_report(self.now, &Crash { age: ON_THE_WAY, ..crash });
+            self.keeper.merge_report(self.now, &Crash { age: ON_THE_WAY, ..crash });
         }
         while self.to_nodes.front().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, verdict)) = self.to_nodes.pop_front() else { break };
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -39,7 +39,7 @@
 /// Takes the report of a server that crashed, as the keeper.
 pub(super) fn take_report(node: &Node, crash: &Crash) {
     let now = node.now();
-    node.with(|state| state.quarantine.take_report(now, crash));
+    node.with(|state| state.quarantine.merge_report(now, crash));
 }
 
 /// Notes that a server answered a request whole, and notifies the keeper where the request is suspected.
