--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -67,7 +67,7 @@
 
     /// Notes that a server answered a request whole at this node; returns the short name of its service
     /// where the keeper must be notified, once.
-    pub fn note_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
+    pub fn record_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
         self.answered.record(now, fingerprint);
         let verdict = self.list.get(now, fingerprint)?;
         if verdict.standing == Standing::Cleared {
@@ -81,7 +81,7 @@
     /// that all nodes are notified of.
     pub fn take_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
         self.answered.record(now, fingerprint);
-        if !self.evidence.note_answered(fingerprint) {
+        if !self.evidence.record_completion(fingerprint) {
             return None;
         }
         let known = self.list.get(now, fingerprint)?;
--- a/crates/core/src/serving/quarantine/evidence.rs
+++ b/crates/core/src/serving/quarantine/evidence.rs
@@ -119,7 +119,7 @@
 
     /// Notes that a server answered a request whole; returns `true` if the request was suspected or is
     /// refused.
-    pub fn note_answered(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_completion(&mut self, fingerprint: Fingerprint) -> bool {
         for crash in &mut self.crashes {
             crash.runs.remove(&fingerprint);
         }
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -107,7 +107,7 @@
 #[test]
 fn a_request_that_was_answered_whole_is_neither_reported_nor_refused() {
     let mut node = Tracker::default();
-    assert_eq!(node.note_answered(500, fingerprint(9)), None);
+    assert_eq!(node.record_completion(500, fingerprint(9)), None);
     for (n, at) in [1_000, 2_000, 3_000].into_iter().enumerate() {
         node.record_crash(at, crash(n as u64, &[9]));
     }
@@ -125,8 +125,8 @@
     assert_eq!(suspected[0].standing, Standing::Suspected);
     assert!(node.merge(50_000, suspected[0]).is_news);
     // It is told once.
-    assert_eq!(node.note_answered(50_100, fingerprint(9)), Some(SERVICE));
-    assert_eq!(node.note_answered(50_200, fingerprint(9)), None);
+    assert_eq!(node.record_completion(50_100, fingerprint(9)), Some(SERVICE));
+    assert_eq!(node.record_completion(50_200, fingerprint(9)), None);
     let cleared = keeper.take_answered(2_300, fingerprint(9)).map(|verdict| verdict.standing);
     assert_eq!(cleared, Some(Standing::Cleared));
     let later = [(3_000, crash(3, &[9])), (4_000, crash(4, &[9]))];
@@ -136,7 +136,7 @@
 #[test]
 fn a_node_that_has_served_a_suspected_request_says_so() {
     let mut node = Tracker::default();
-    node.note_answered(1_000, fingerprint(9));
+    node.record_completion(1_000, fingerprint(9));
     let verdict = verdict(9, Standing::Suspected, 60_000);
     assert!(node.merge(2_000, verdict).is_answered_here);
     assert!(!node.merge(2_100, verdict).is_news);
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -239,7 +239,7 @@
             let done = server.attempts.extract_if(.., |attempt| now >= attempt.done_at);
             for attempt in done {
                 let fingerprint = Fingerprint::from_number(attempt.request);
-                let told = self.nodes[attempt.node].note_answered(now, fingerprint);
+                let told = self.nodes[attempt.node].record_completion(now, fingerprint);
                 if told.is_some()
                     && let Some(verdict) = self.keeper.take_answered(now, fingerprint)
                 {
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -45,7 +45,7 @@
 /// Notes that a server answered a request whole, and notifies the keeper where the request is suspected.
 pub(crate) fn note_answered(node: &Arc<Node>, fingerprint: Fingerprint) {
     let now = node.now();
-    let service = node.with(|state| state.quarantine.note_answered(now, fingerprint));
+    let service = node.with(|state| state.quarantine.record_completion(now, fingerprint));
     if let Some(service) = service {
         runtime::spawn(tell_answered(node.clone(), service, fingerprint));
     }
