--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -79,7 +79,7 @@
 
     /// Takes the word of a node that a request was answered whole, as the keeper; returns the verdict
     /// that all nodes are notified of.
-    pub fn take_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
+    pub fn merge_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
         self.answered.record(now, fingerprint);
         if !self.evidence.record_completion(fingerprint) {
             return None;
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -127,7 +127,7 @@
     // It is told once.
     assert_eq!(node.record_completion(50_100, fingerprint(9)), Some(SERVICE));
     assert_eq!(node.record_completion(50_200, fingerprint(9)), None);
-    let cleared = keeper.take_answered(2_300, fingerprint(9)).map(|verdict| verdict.standing);
+    let cleared = keeper.merge_completion(2_300, fingerprint(9)).map(|verdict| verdict.standing);
     assert_eq!(cleared, Some(Standing::Cleared));
     let later = [(3_000, crash(3, &[9])), (4_000, crash(4, &[9]))];
     assert_eq!(judge(&mut keeper, &later), Vec::<u64>::new());
@@ -148,7 +148,7 @@
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
     assert_eq!(judge(&mut keeper, &crashes), [5]);
     // It was running at another server meanwhile.
-    let cleared = keeper.take_answered(4_000, fingerprint(5));
+    let cleared = keeper.merge_completion(4_000, fingerprint(5));
     assert_eq!(cleared.map(|verdict| verdict.standing), Some(Standing::Cleared));
     assert_eq!(keeper.get_refused_for(4_000, fingerprint(5)), None);
 }
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -241,7 +241,7 @@
                 let fingerprint = Fingerprint::from_number(attempt.request);
                 let told = self.nodes[attempt.node].record_completion(now, fingerprint);
                 if told.is_some()
-                    && let Some(verdict) = self.keeper.take_answered(now, fingerprint)
+                    && let Some(verdict) = self.keeper.merge_completion(now, fingerprint)
                 {
                     self.to_nodes.push_back((now + ON_THE_WAY, verdict));
                 }
@@ -259,7 +259,7 @@
             let Some((_, verdict)) = self.to_nodes.pop_front() else { break };
             for node in &mut self.nodes {
                 if node.merge(self.now, verdict).is_answered_here {
-                    self.keeper.take_answered(self.now, verdict.fingerprint);
+                    self.keeper.merge_completion(self.now, verdict.fingerprint);
                 }
             }
         }
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -64,7 +64,7 @@
 /// Takes the word of a node that a request was answered whole, as the keeper.
 pub(super) fn take_answered(node: &Node, fingerprint: Fingerprint) {
     let now = node.now();
-    let cleared = node.with(|state| state.quarantine.take_answered(now, fingerprint));
+    let cleared = node.with(|state| state.quarantine.merge_completion(now, fingerprint));
     if let Some(verdict) = cleared {
         announce(node, verdict);
     }
