--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -147,8 +147,8 @@
     }
 
     /// Counts the requests that are refused.
-    pub fn count_refused(&self, now: Millis) -> usize {
-        self.list.count_refused(now)
+    pub fn count_quarantined(&self, now: Millis) -> usize {
+        self.list.count_quarantined(now)
     }
 }
 
--- a/crates/core/src/serving/quarantine/list.rs
+++ b/crates/core/src/serving/quarantine/list.rs
@@ -69,7 +69,7 @@
     }
 
     /// Counts the requests that are refused.
-    pub fn count_refused(&self, now: Millis) -> usize {
+    pub fn count_quarantined(&self, now: Millis) -> usize {
         self.iter_refused(now).count()
     }
 
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -205,7 +205,7 @@
             one.merge(now + 9, verdict);
         }
     }
-    assert_eq!((one.count_refused(80_100), other.count_refused(80_100)), (0, 0));
+    assert_eq!((one.count_quarantined(80_100), other.count_quarantined(80_100)), (0, 0));
 }
 
 #[test]
@@ -215,7 +215,7 @@
         book.merge(1_000, verdict(number, Standing::Quarantined, 60_000 + number));
         book.merge_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
     }
-    assert_eq!(book.count_refused(1_001), 256);
+    assert_eq!(book.count_quarantined(1_001), 256);
     assert_eq!(book.get_gossip_batch(1_001, 3).len(), 8);
 }
 
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -164,7 +164,7 @@
             self.read_ahead.set(state.memory.get_held(Kind::ReadAhead) as i64);
             self.held_at_servers.set(state.held.get_total() as i64);
             self.skipped_entries.set(state.skipped_entries.count() as i64);
-            self.quarantined.set(state.quarantine.count_refused(now) as i64);
+            self.quarantined.set(state.quarantine.count_quarantined(now) as i64);
             self.in_back_off.set(state.backpressure.count_in_back_off(now) as i64);
             self.limited.set(state.backpressure.count_limited() as i64);
             let age = state.freshness.get_age(now);
