--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/book.rs
@@ -104,7 +104,7 @@
 
     /// Keeps all requests that are refused to be written to the platform's table again, which has lost rows.
     pub fn save_all(&mut self, now: Millis) {
-        let refused: Vec<Verdict> = self.list.iter_refused(now).collect();
+        let refused: Vec<Verdict> = self.list.iter_quarantined(now).collect();
         refused.into_iter().for_each(|verdict| self.save(verdict));
     }
 
--- a/crates/core/src/serving/quarantine/list.rs
+++ b/crates/core/src/serving/quarantine/list.rs
@@ -70,11 +70,11 @@
 
     /// Counts the requests that are refused.
     pub fn count_quarantined(&self, now: Millis) -> usize {
-        self.iter_refused(now).count()
+        self.iter_quarantined(now).count()
     }
 
     /// Lists the requests that are refused.
-    pub fn iter_refused(&self, now: Millis) -> impl Iterator<Item = Verdict> {
+    pub fn iter_quarantined(&self, now: Millis) -> impl Iterator<Item = Verdict> {
         let valid = self.entries.values().filter(move |entry| now < entry.until);
         let valid = valid.map(move |entry| Verdict { left: entry.until - now, ..entry.verdict });
         valid.filter(|verdict| verdict.standing == Standing::Quarantined)
