--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -26,7 +26,7 @@
 pub enum Side {
     /// All of them: there is no roll-out.
     Any,
-    /// A few of the new version, given by [`Book::list_canaries`].
+    /// A few of the new version, given by [`Registry::list_canaries`].
     Canary,
     /// Those of the new version.
     Target,
@@ -89,7 +89,7 @@
 
 /// All roll-outs that a node knows of.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Registry {
     rollouts: BTreeMap<String, Rollout>,
     /// Orders that count once the era is settled, by service.
     deferred: BTreeMap<String, Order>,
@@ -154,7 +154,7 @@
     }
 }
 
-impl Book {
+impl Registry {
     /// Takes an order; returns `true` if it is newer than what is known.
     ///
     /// It ends an earlier one for the service: the version of that one is barred unless it was
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -3,7 +3,7 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Book, Next, Order, Phase, Progress, Report, Series, Side, Snapshot, Stage,
+    Announcement, Next, Order, Phase, Progress, Registry, Report, Series, Side, Snapshot, Stage,
     Tallies, Tolerance,
 };
 use keeljunction_core::serving::table_version::TableVersion;
@@ -29,22 +29,22 @@
     Server { version: version.to_owned(), service: "llm".to_owned(), ..server(version, "a") }
 }
 
-fn book_at(stage: Stage) -> Book {
-    let mut book = Book::default();
+fn book_at(stage: Stage) -> Registry {
+    let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, stage, Some(0)), true);
     book
 }
 
 #[test]
 fn without_an_order_requests_go_to_all_servers() {
-    let book = Book::default();
+    let book = Registry::default();
     assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), Side::Any);
     assert!(book.is_allowed(Side::Any, &server_of("v2")));
 }
 
 #[test]
 fn an_order_that_nobody_has_begun_sends_nothing_to_the_new_version() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     assert!(book.take_order(order(7), true));
     assert!(!book.take_order(order(7), true));
     assert!(!book.take_order(order(6), true));
@@ -258,7 +258,7 @@
         assert_eq!(book.is_on_trial(&server_of("v2")), is_barred);
         assert!(book.is_allowed(Side::Rest, &server_of("v1")));
         // Nodes that know the newest order only are told.
-        let mut other = Book::default();
+        let mut other = Registry::default();
         for announcement in book.list_announcements(10_000) {
             other.merge_announcement(10_000, &announcement, true);
         }
@@ -279,7 +279,7 @@
 // table service from an older copy.
 #[test]
 fn an_order_that_is_written_again_after_a_return_goes_on() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::RolledBack, Some(0)), true);
     for number in [3, 5] {
         assert!(book.take_order(returned("v2", number), false));
@@ -297,7 +297,7 @@
 // Guards against an earlier order that an older copy still holds.
 #[test]
 fn another_order_counts_after_a_return_once_the_operator_has_written_again() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
     assert!(!book.take_order(returned("v1", 3), false));
     assert_eq!(book.list_orders()[0].0.target_version, "v2");
@@ -309,14 +309,14 @@
 #[test]
 fn an_order_that_is_read_before_an_era_is_settled_counts_later_unless_the_known_one_is_written_again()
  {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
     assert!(!book.take_order(returned("v3", 4), false));
     assert_eq!(book.take_deferred(), [returned("v3", 4)]);
     assert_eq!(book.list_orders()[0].0.target_version, "v3");
     assert!(book.take_deferred().is_empty());
 
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
     assert!(!book.take_order(returned("v1", 3), false));
     assert!(book.take_order(returned("v2", 5), false));
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -176,7 +176,7 @@
     /// Tokens requested, by service.
     pub demand: DemandBook,
     /// Moves of services to other versions.
-    pub rollouts: rollout::Book,
+    pub rollouts: rollout::Registry,
     /// How fast the servers of each service read prompts.
     pub throughputs: HashMap<String, Throughput>,
     /// Other nodes.
@@ -268,7 +268,7 @@
             configuration_document: None,
             configuration_row: None,
             demand: DemandBook::new(topology.get_own()),
-            rollouts: rollout::Book::default(),
+            rollouts: rollout::Registry::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
             directory: Directory::default(),
