--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -23,7 +23,7 @@
 
 /// Which servers a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum VersionFilter {
     /// All of them: there is no roll-out.
     Any,
     /// A few of the new version, given by [`Registry::list_canaries`].
@@ -128,9 +128,9 @@
 
     /// Decides which servers a request may go to once the roll-out has completed: the others stop
     /// at once, and are listed for some time after that.
-    fn pick_side_completed(&self, now: Millis) -> Side {
+    fn pick_side_completed(&self, now: Millis) -> VersionFilter {
         let is_recent = now < self.stage_since + OTHERS_LISTED_FOR;
-        if is_recent { Side::TargetFirst } else { Side::Any }
+        if is_recent { VersionFilter::TargetFirst } else { VersionFilter::Any }
     }
 
     /// Returns the stage to act on: one that was not confirmed lately may have changed.
@@ -302,15 +302,17 @@
     }
 
     /// Returns `true` if a request may go to a server, given the side that was picked for it.
-    pub fn is_allowed(&self, side: Side, server: &Server) -> bool {
+    pub fn is_allowed(&self, side: VersionFilter, server: &Server) -> bool {
         let rollout = self.rollouts.get(&server.service);
         if rollout.is_some_and(|rollout| rollout.barred.contains(&server.version)) {
             return false;
         }
         match side {
-            Side::Any => true,
-            Side::Canary | Side::Target | Side::TargetFirst => self.is_target(server),
-            Side::Rest | Side::RestFirst => !self.is_target(server),
+            VersionFilter::Any => true,
+            VersionFilter::Canary | VersionFilter::Target | VersionFilter::TargetFirst => {
+                self.is_target(server)
+            }
+            VersionFilter::Rest | VersionFilter::RestFirst => !self.is_target(server),
         }
     }
 
@@ -338,14 +340,14 @@
         service: &str,
         tolerance: &Tolerance,
         random: f64,
-    ) -> Side {
-        let Some(rollout) = self.rollouts.get(service) else { return Side::Any };
+    ) -> VersionFilter {
+        let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
-            Stage::Pending => Side::RestFirst,
-            Stage::Canary if rollout.exposure.has_room(tolerance) => Side::Canary,
-            Stage::Ramp if random < RAMP_SHARE => Side::Target,
-            Stage::Canary | Stage::Ramp | Stage::RolledBack => Side::Rest,
-            Stage::Shifting => Side::Target,
+            Stage::Pending => VersionFilter::RestFirst,
+            Stage::Canary if rollout.exposure.has_room(tolerance) => VersionFilter::Canary,
+            Stage::Ramp if random < RAMP_SHARE => VersionFilter::Target,
+            Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Rest,
+            Stage::Shifting => VersionFilter::Target,
             Stage::Completed => rollout.pick_side_completed(now),
         }
     }
@@ -360,12 +362,12 @@
 
     /// Decides which servers of a service a further attempt of a request may go to: after a failure
     /// the version that is known to work is preferred.
-    pub fn pick_retry_side(&self, now: Millis, service: &str) -> Side {
-        let Some(rollout) = self.rollouts.get(service) else { return Side::Any };
+    pub fn pick_retry_side(&self, now: Millis, service: &str) -> VersionFilter {
+        let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
             Stage::Completed => rollout.pick_side_completed(now),
-            Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => Side::Rest,
-            Stage::Shifting => Side::RestFirst,
+            Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Rest,
+            Stage::Shifting => VersionFilter::RestFirst,
         }
     }
 
--- a/crates/core/src/serving/rollout/mod.rs
+++ b/crates/core/src/serving/rollout/mod.rs
@@ -25,7 +25,7 @@
 mod progress;
 mod tally;
 
-pub use self::book::{Registry, Report, Side, Summary};
+pub use self::book::{Registry, Report, Summary, VersionFilter};
 pub use self::exposure::{Exposure, Tolerance};
 pub use self::judge::{Fault, Judge, Symptom};
 pub use self::order::{Announcement, Order, Stage, Status};
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -3,8 +3,8 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Next, Order, Phase, Progress, Registry, Report, Series, Side, Snapshot, Stage,
-    Tallies, Tolerance,
+    Announcement, Next, Order, Phase, Progress, Registry, Report, Series, Snapshot, Stage, Tallies,
+    Tolerance, VersionFilter,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
@@ -38,8 +38,8 @@
 #[test]
 fn without_an_order_requests_go_to_all_servers() {
     let book = Registry::default();
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), Side::Any);
-    assert!(book.is_allowed(Side::Any, &server_of("v2")));
+    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
+    assert!(book.is_allowed(VersionFilter::Any, &server_of("v2")));
 }
 
 #[test]
@@ -48,9 +48,9 @@
     assert!(book.take_order(order(7), true));
     assert!(!book.take_order(order(7), true));
     assert!(!book.take_order(order(6), true));
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), Side::RestFirst);
-    assert!(!book.is_allowed(Side::RestFirst, &server_of("v2")));
-    assert!(book.is_allowed(Side::RestFirst, &server_of("v1")));
+    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::RestFirst);
+    assert!(!book.is_allowed(VersionFilter::RestFirst, &server_of("v2")));
+    assert!(book.is_allowed(VersionFilter::RestFirst, &server_of("v1")));
     assert!(book.is_on_trial(&server_of("v2")));
 }
 
@@ -60,8 +60,8 @@
     let mut sent = 0;
     for _ in 0..1_000 {
         let side = book.pick_side(10_000, "llm", &TOLERANCE, 0.5);
-        let version = if side == Side::Canary { "v2" } else { "v1" };
-        sent += u64::from(side == Side::Canary);
+        let version = if side == VersionFilter::Canary { "v2" } else { "v1" };
+        sent += u64::from(side == VersionFilter::Canary);
         book.count_sent(&server_of(version));
     }
     assert_eq!(sent, 80);
@@ -72,7 +72,7 @@
     let mut book = book_at(Stage::Canary);
     let tolerance = Tolerance { slack: 50.0, nodes: 5, ..TOLERANCE };
     let mut sent = 0;
-    while book.pick_side(10_000, "llm", &tolerance, 0.5) == Side::Canary {
+    while book.pick_side(10_000, "llm", &tolerance, 0.5) == VersionFilter::Canary {
         book.count_sent(&server_of("v2"));
         sent += 1;
     }
@@ -85,30 +85,36 @@
     for stage in [Stage::Canary, Stage::Shifting] {
         let book = book_at(stage);
         assert_eq!(
-            book.pick_side(12_000, "llm", &TOLERANCE, 0.5) == Side::Target,
+            book.pick_side(12_000, "llm", &TOLERANCE, 0.5) == VersionFilter::Target,
             stage == Stage::Shifting
         );
-        assert_eq!(book.pick_side(12_600, "llm", &TOLERANCE, 0.5), Side::RestFirst);
+        assert_eq!(book.pick_side(12_600, "llm", &TOLERANCE, 0.5), VersionFilter::RestFirst);
     }
     // A verdict stands.
-    assert_eq!(book_at(Stage::RolledBack).pick_side(90_000, "llm", &TOLERANCE, 0.5), Side::Rest);
-    assert_eq!(book_at(Stage::Completed).pick_side(90_000, "llm", &TOLERANCE, 0.5), Side::Any);
+    assert_eq!(
+        book_at(Stage::RolledBack).pick_side(90_000, "llm", &TOLERANCE, 0.5),
+        VersionFilter::Rest
+    );
+    assert_eq!(
+        book_at(Stage::Completed).pick_side(90_000, "llm", &TOLERANCE, 0.5),
+        VersionFilter::Any
+    );
 }
 
 #[test]
 fn servers_that_stop_with_the_completion_get_nothing_while_they_are_still_listed() {
     let book = book_at(Stage::Completed);
-    assert_eq!(book.pick_side(14_900, "llm", &TOLERANCE, 0.5), Side::TargetFirst);
-    assert_eq!(book.pick_retry_side(14_900, "llm"), Side::TargetFirst);
-    assert!(!book.is_allowed(Side::TargetFirst, &server_of("v1")));
-    assert_eq!(book.pick_side(15_000, "llm", &TOLERANCE, 0.5), Side::Any);
+    assert_eq!(book.pick_side(14_900, "llm", &TOLERANCE, 0.5), VersionFilter::TargetFirst);
+    assert_eq!(book.pick_retry_side(14_900, "llm"), VersionFilter::TargetFirst);
+    assert!(!book.is_allowed(VersionFilter::TargetFirst, &server_of("v1")));
+    assert_eq!(book.pick_side(15_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
 }
 
 #[test]
 fn a_stage_never_goes_back() {
     let mut book = book_at(Stage::RolledBack);
     assert_eq!(book.merge_announcement(10_100, &told(7, Stage::Shifting, Some(0)), true), None);
-    assert_eq!(book.pick_side(10_100, "llm", &TOLERANCE, 0.5), Side::Rest);
+    assert_eq!(book.pick_side(10_100, "llm", &TOLERANCE, 0.5), VersionFilter::Rest);
     // An older order neither; a newer one begins anew.
     assert_eq!(book.merge_announcement(10_100, &told(6, Stage::Completed, Some(0)), true), None);
     assert_eq!(
@@ -119,9 +125,9 @@
 
 #[test]
 fn a_retry_goes_to_the_version_that_is_known_to_work() {
-    assert_eq!(book_at(Stage::Canary).pick_retry_side(10_000, "llm"), Side::Rest);
-    assert_eq!(book_at(Stage::RolledBack).pick_retry_side(10_000, "llm"), Side::Rest);
-    assert_eq!(book_at(Stage::Shifting).pick_retry_side(10_000, "llm"), Side::RestFirst);
+    assert_eq!(book_at(Stage::Canary).pick_retry_side(10_000, "llm"), VersionFilter::Rest);
+    assert_eq!(book_at(Stage::RolledBack).pick_retry_side(10_000, "llm"), VersionFilter::Rest);
+    assert_eq!(book_at(Stage::Shifting).pick_retry_side(10_000, "llm"), VersionFilter::RestFirst);
 }
 
 fn series() -> Series {
@@ -229,8 +235,8 @@
 #[test]
 fn a_larger_share_is_drawn_before_all_requests_go_to_the_new_version() {
     let book = book_at(Stage::Ramp);
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.29), Side::Target);
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.31), Side::Rest);
+    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.29), VersionFilter::Target);
+    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.31), VersionFilter::Rest);
 }
 
 #[test]
@@ -254,19 +260,19 @@
     {
         let mut book = book_at(stage);
         assert!(book.take_order(order_for("v3", 8), true));
-        assert_eq!(book.is_allowed(Side::Rest, &server_of("v2")), !is_barred, "{stage:?}");
+        assert_eq!(book.is_allowed(VersionFilter::Rest, &server_of("v2")), !is_barred, "{stage:?}");
         assert_eq!(book.is_on_trial(&server_of("v2")), is_barred);
-        assert!(book.is_allowed(Side::Rest, &server_of("v1")));
+        assert!(book.is_allowed(VersionFilter::Rest, &server_of("v1")));
         // Nodes that know the newest order only are told.
         let mut other = Registry::default();
         for announcement in book.list_announcements(10_000) {
             other.merge_announcement(10_000, &announcement, true);
         }
-        assert_eq!(other.is_allowed(Side::Any, &server_of("v2")), !is_barred);
+        assert_eq!(other.is_allowed(VersionFilter::Any, &server_of("v2")), !is_barred);
         // Ordered again it is on trial again.
         assert!(book.take_order(order_for("v2", 9), true));
         assert_eq!(book.list_barred("llm"), ["v3"]);
-        assert!(book.is_allowed(Side::Target, &server_of("v2")));
+        assert!(book.is_allowed(VersionFilter::Target, &server_of("v2")));
     }
 }
 
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -3,7 +3,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::rollout::Side;
+use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{Cause, Offer, Settled, Way, get_region, list_far, settle};
 
 use super::region::{Found, Place, pick_in};
@@ -22,7 +22,7 @@
     /// The attempts so far.
     pub attempts: Attempts<'a>,
     /// The versions that the request may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// Why the request leaves its region.
     pub cause: Cause,
     /// How the servers of its own region are considered.
--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -17,7 +17,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::rollout::Side;
+use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{Cause, Offer};
 
 use super::admission::Exchange;
@@ -93,8 +93,10 @@
 ///
 /// The servers of other versions stop as soon as the roll-out is completed, without a drain. A region
 /// that used them until then would lose the requests that it sends before it hears of that.
-fn is_version_elsewhere(node: &Node, exchange: &Exchange, side: Side) -> bool {
-    if !node.topology.is_multi_region() || !matches!(side, Side::Target | Side::TargetFirst) {
+fn is_version_elsewhere(node: &Node, exchange: &Exchange, side: VersionFilter) -> bool {
+    if !node.topology.is_multi_region()
+        || !matches!(side, VersionFilter::Target | VersionFilter::TargetFirst)
+    {
         return false;
     }
     let now = node.now();
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -4,7 +4,7 @@
 use keeljunction_core::serving::choice::{Candidate, Choice, Criteria, choose, shortlist};
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::rollout::Side;
+use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{Cause, Offer, get_region};
 use keeljunction_core::serving::throughput::Throughput;
 
@@ -62,7 +62,7 @@
     node: &Node,
     exchange: &Exchange,
     attempts: Attempts<'_>,
-    side: Side,
+    side: VersionFilter,
     place: &Place<'_>,
 ) -> Found {
     let allowed = Allowed::new(node, exchange, attempts, side);
@@ -71,9 +71,11 @@
         return found;
     }
     let other = match (side, found.offer) {
-        (Side::Canary | Side::Target, Offer::Busy(_) | Offer::None) => Side::Rest,
-        (Side::TargetFirst, Offer::None) => Side::Rest,
-        (Side::RestFirst, Offer::None) => Side::Target,
+        (VersionFilter::Canary | VersionFilter::Target, Offer::Busy(_) | Offer::None) => {
+            VersionFilter::Rest
+        }
+        (VersionFilter::TargetFirst, Offer::None) => VersionFilter::Rest,
+        (VersionFilter::RestFirst, Offer::None) => VersionFilter::Target,
         _ => return found,
     };
     let allowed = Allowed::new(node, exchange, attempts, other);
@@ -84,24 +86,24 @@
 
 /// Which servers a request may go to.
 struct Allowed<'a> {
-    side: Side,
-    /// The only ones, where the side is [`Side::Canary`].
+    side: VersionFilter,
+    /// The only ones, where the side is [`VersionFilter::Canary`].
     canaries: Vec<String>,
     attempts: Attempts<'a>,
     now: Millis,
 }
 
 impl<'a> Allowed<'a> {
-    fn new(node: &Node, exchange: &Exchange, attempts: Attempts<'a>, side: Side) -> Self {
+    fn new(node: &Node, exchange: &Exchange, attempts: Attempts<'a>, side: VersionFilter) -> Self {
         let canaries = match side {
-            Side::Canary => rollouts::list_canaries(node, &exchange.service),
+            VersionFilter::Canary => rollouts::list_canaries(node, &exchange.service),
             _ => Vec::new(),
         };
         Self { side, canaries, attempts, now: node.now() }
     }
 
     fn is_allowed(&self, state: &State, server: &Server) -> bool {
-        let is_chosen = self.side != Side::Canary || self.canaries.contains(&server.id);
+        let is_chosen = self.side != VersionFilter::Canary || self.canaries.contains(&server.id);
         let is_of_side = state.rollouts.is_allowed(self.side, server);
         let is_tried = self.attempts.tried.contains(&server.id);
         is_chosen && is_of_side && !is_tried && !self.is_barred(state, server)
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -16,7 +16,7 @@
 use keeljunction_core::serving::duty_lease::TableClock;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Next, Order, Progress, Report, Side, Snapshot, Stage,
+    Announcement, Next, Order, Progress, Report, Snapshot, Stage, VersionFilter,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 use serde::{Deserialize, Serialize};
@@ -312,7 +312,7 @@
         let ready = state.directory.iter_ready(&order.service);
         let (target, others): (Vec<_>, Vec<_>) =
             ready.partition(|server| state.rollouts.is_target(server));
-        let is_usable = |server: &&&_| state.rollouts.is_allowed(Side::Rest, server);
+        let is_usable = |server: &&&_| state.rollouts.is_allowed(VersionFilter::Rest, server);
         (target.len(), others.iter().filter(is_usable).count())
     })
 }
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -2,7 +2,9 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::rollout::{Announcement, Order, Phase, Side, Stage, Tolerance};
+use keeljunction_core::serving::rollout::{
+    Announcement, Order, Phase, Stage, Tolerance, VersionFilter,
+};
 
 use super::Node;
 use super::peers::message::News;
@@ -66,7 +68,7 @@
 }
 
 /// Decides which servers of a service a request may go to.
-pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> Side {
+pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> VersionFilter {
     let now = node.now();
     node.with(|state| {
         if !is_first {
