--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -33,7 +33,7 @@
     /// Those of the new version, or all others where there are none of it.
     TargetFirst,
     /// All others.
-    Rest,
+    Others,
     /// All others, or those of the new version where there are no others.
     RestFirst,
 }
@@ -312,7 +312,7 @@
             VersionFilter::Canary | VersionFilter::Target | VersionFilter::TargetFirst => {
                 self.is_target(server)
             }
-            VersionFilter::Rest | VersionFilter::RestFirst => !self.is_target(server),
+            VersionFilter::Others | VersionFilter::RestFirst => !self.is_target(server),
         }
     }
 
@@ -346,7 +346,7 @@
             Stage::Pending => VersionFilter::RestFirst,
             Stage::Canary if rollout.exposure.has_room(tolerance) => VersionFilter::Canary,
             Stage::Ramp if random < RAMP_SHARE => VersionFilter::Target,
-            Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Rest,
+            Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Others,
             Stage::Shifting => VersionFilter::Target,
             Stage::Completed => rollout.pick_side_completed(now),
         }
@@ -366,7 +366,9 @@
         let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
             Stage::Completed => rollout.pick_side_completed(now),
-            Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Rest,
+            Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => {
+                VersionFilter::Others
+            }
             Stage::Shifting => VersionFilter::RestFirst,
         }
     }
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -93,7 +93,7 @@
     // A verdict stands.
     assert_eq!(
         book_at(Stage::RolledBack).pick_side(90_000, "llm", &TOLERANCE, 0.5),
-        VersionFilter::Rest
+        VersionFilter::Others
     );
     assert_eq!(
         book_at(Stage::Completed).pick_side(90_000, "llm", &TOLERANCE, 0.5),
@@ -114,7 +114,7 @@
 fn a_stage_never_goes_back() {
     let mut book = book_at(Stage::RolledBack);
     assert_eq!(book.merge_announcement(10_100, &told(7, Stage::Shifting, Some(0)), true), None);
-    assert_eq!(book.pick_side(10_100, "llm", &TOLERANCE, 0.5), VersionFilter::Rest);
+    assert_eq!(book.pick_side(10_100, "llm", &TOLERANCE, 0.5), VersionFilter::Others);
     // An older order neither; a newer one begins anew.
     assert_eq!(book.merge_announcement(10_100, &told(6, Stage::Completed, Some(0)), true), None);
     assert_eq!(
@@ -125,8 +125,8 @@
 
 #[test]
 fn a_retry_goes_to_the_version_that_is_known_to_work() {
-    assert_eq!(book_at(Stage::Canary).pick_retry_side(10_000, "llm"), VersionFilter::Rest);
-    assert_eq!(book_at(Stage::RolledBack).pick_retry_side(10_000, "llm"), VersionFilter::Rest);
+    assert_eq!(book_at(Stage::Canary).pick_retry_side(10_000, "llm"), VersionFilter::Others);
+    assert_eq!(book_at(Stage::RolledBack).pick_retry_side(10_000, "llm"), VersionFilter::Others);
     assert_eq!(book_at(Stage::Shifting).pick_retry_side(10_000, "llm"), VersionFilter::RestFirst);
 }
 
@@ -236,7 +236,7 @@
 fn a_larger_share_is_drawn_before_all_requests_go_to_the_new_version() {
     let book = book_at(Stage::Ramp);
     assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.29), VersionFilter::Target);
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.31), VersionFilter::Rest);
+    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.31), VersionFilter::Others);
 }
 
 #[test]
@@ -260,9 +260,13 @@
     {
         let mut book = book_at(stage);
         assert!(book.take_order(order_for("v3", 8), true));
-        assert_eq!(book.is_allowed(VersionFilter::Rest, &server_of("v2")), !is_barred, "{stage:?}");
+        assert_eq!(
+            book.is_allowed(VersionFilter::Others, &server_of("v2")),
+            !is_barred,
+            "{stage:?}"
+        );
         assert_eq!(book.is_on_trial(&server_of("v2")), is_barred);
-        assert!(book.is_allowed(VersionFilter::Rest, &server_of("v1")));
+        assert!(book.is_allowed(VersionFilter::Others, &server_of("v1")));
         // Nodes that know the newest order only are told.
         let mut other = Registry::default();
         for announcement in book.list_announcements(10_000) {
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -72,9 +72,9 @@
     }
     let other = match (side, found.offer) {
         (VersionFilter::Canary | VersionFilter::Target, Offer::Busy(_) | Offer::None) => {
-            VersionFilter::Rest
+            VersionFilter::Others
         }
-        (VersionFilter::TargetFirst, Offer::None) => VersionFilter::Rest,
+        (VersionFilter::TargetFirst, Offer::None) => VersionFilter::Others,
         (VersionFilter::RestFirst, Offer::None) => VersionFilter::Target,
         _ => return found,
     };
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -312,7 +312,7 @@
         let ready = state.directory.iter_ready(&order.service);
         let (target, others): (Vec<_>, Vec<_>) =
             ready.partition(|server| state.rollouts.is_target(server));
-        let is_usable = |server: &&&_| state.rollouts.is_allowed(VersionFilter::Rest, server);
+        let is_usable = |server: &&&_| state.rollouts.is_allowed(VersionFilter::Others, server);
         (target.len(), others.iter().filter(is_usable).count())
     })
 }
