--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -35,7 +35,7 @@
     /// All others.
     Others,
     /// All others, or those of the new version where there are no others.
-    RestFirst,
+    PreferOthers,
 }
 
 /// What a node, or a group of nodes, counted of one roll-out.
@@ -312,7 +312,7 @@
             VersionFilter::Canary | VersionFilter::Target | VersionFilter::TargetFirst => {
                 self.is_target(server)
             }
-            VersionFilter::Others | VersionFilter::RestFirst => !self.is_target(server),
+            VersionFilter::Others | VersionFilter::PreferOthers => !self.is_target(server),
         }
     }
 
@@ -343,7 +343,7 @@
     ) -> VersionFilter {
         let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
-            Stage::Pending => VersionFilter::RestFirst,
+            Stage::Pending => VersionFilter::PreferOthers,
             Stage::Canary if rollout.exposure.has_room(tolerance) => VersionFilter::Canary,
             Stage::Ramp if random < RAMP_SHARE => VersionFilter::Target,
             Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Others,
@@ -369,7 +369,7 @@
             Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => {
                 VersionFilter::Others
             }
-            Stage::Shifting => VersionFilter::RestFirst,
+            Stage::Shifting => VersionFilter::PreferOthers,
         }
     }
 
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -48,9 +48,9 @@
     assert!(book.take_order(order(7), true));
     assert!(!book.take_order(order(7), true));
     assert!(!book.take_order(order(6), true));
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::RestFirst);
-    assert!(!book.is_allowed(VersionFilter::RestFirst, &server_of("v2")));
-    assert!(book.is_allowed(VersionFilter::RestFirst, &server_of("v1")));
+    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
+    assert!(!book.is_allowed(VersionFilter::PreferOthers, &server_of("v2")));
+    assert!(book.is_allowed(VersionFilter::PreferOthers, &server_of("v1")));
     assert!(book.is_on_trial(&server_of("v2")));
 }
 
@@ -88,7 +88,7 @@
             book.pick_side(12_000, "llm", &TOLERANCE, 0.5) == VersionFilter::Target,
             stage == Stage::Shifting
         );
-        assert_eq!(book.pick_side(12_600, "llm", &TOLERANCE, 0.5), VersionFilter::RestFirst);
+        assert_eq!(book.pick_side(12_600, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
     }
     // A verdict stands.
     assert_eq!(
@@ -127,7 +127,10 @@
 fn a_retry_goes_to_the_version_that_is_known_to_work() {
     assert_eq!(book_at(Stage::Canary).pick_retry_side(10_000, "llm"), VersionFilter::Others);
     assert_eq!(book_at(Stage::RolledBack).pick_retry_side(10_000, "llm"), VersionFilter::Others);
-    assert_eq!(book_at(Stage::Shifting).pick_retry_side(10_000, "llm"), VersionFilter::RestFirst);
+    assert_eq!(
+        book_at(Stage::Shifting).pick_retry_side(10_000, "llm"),
+        VersionFilter::PreferOthers
+    );
 }
 
 fn series() -> Series {
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -75,7 +75,7 @@
             VersionFilter::Others
         }
         (VersionFilter::TargetFirst, Offer::None) => VersionFilter::Others,
-        (VersionFilter::RestFirst, Offer::None) => VersionFilter::Target,
+        (VersionFilter::PreferOthers, Offer::None) => VersionFilter::Target,
         _ => return found,
     };
     let allowed = Allowed::new(node, exchange, attempts, other);
