--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -31,7 +31,7 @@
     /// Those of the new version.
     Target,
     /// Those of the new version, or all others where there are none of it.
-    TargetFirst,
+    PreferTarget,
     /// All others.
     Others,
     /// All others, or those of the new version where there are no others.
@@ -130,7 +130,7 @@
     /// at once, and are listed for some time after that.
     fn pick_side_completed(&self, now: Millis) -> VersionFilter {
         let is_recent = now < self.stage_since + OTHERS_LISTED_FOR;
-        if is_recent { VersionFilter::TargetFirst } else { VersionFilter::Any }
+        if is_recent { VersionFilter::PreferTarget } else { VersionFilter::Any }
     }
 
     /// Returns the stage to act on: one that was not confirmed lately may have changed.
@@ -309,7 +309,7 @@
         }
         match side {
             VersionFilter::Any => true,
-            VersionFilter::Canary | VersionFilter::Target | VersionFilter::TargetFirst => {
+            VersionFilter::Canary | VersionFilter::Target | VersionFilter::PreferTarget => {
                 self.is_target(server)
             }
             VersionFilter::Others | VersionFilter::PreferOthers => !self.is_target(server),
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -104,9 +104,9 @@
 #[test]
 fn servers_that_stop_with_the_completion_get_nothing_while_they_are_still_listed() {
     let book = book_at(Stage::Completed);
-    assert_eq!(book.pick_side(14_900, "llm", &TOLERANCE, 0.5), VersionFilter::TargetFirst);
-    assert_eq!(book.pick_retry_side(14_900, "llm"), VersionFilter::TargetFirst);
-    assert!(!book.is_allowed(VersionFilter::TargetFirst, &server_of("v1")));
+    assert_eq!(book.pick_side(14_900, "llm", &TOLERANCE, 0.5), VersionFilter::PreferTarget);
+    assert_eq!(book.pick_retry_side(14_900, "llm"), VersionFilter::PreferTarget);
+    assert!(!book.is_allowed(VersionFilter::PreferTarget, &server_of("v1")));
     assert_eq!(book.pick_side(15_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
 }
 
--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -95,7 +95,7 @@
 /// that used them until then would lose the requests that it sends before it hears of that.
 fn is_version_elsewhere(node: &Node, exchange: &Exchange, side: VersionFilter) -> bool {
     if !node.topology.is_multi_region()
-        || !matches!(side, VersionFilter::Target | VersionFilter::TargetFirst)
+        || !matches!(side, VersionFilter::Target | VersionFilter::PreferTarget)
     {
         return false;
     }
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -74,7 +74,7 @@
         (VersionFilter::Canary | VersionFilter::Target, Offer::Busy(_) | Offer::None) => {
             VersionFilter::Others
         }
-        (VersionFilter::TargetFirst, Offer::None) => VersionFilter::Others,
+        (VersionFilter::PreferTarget, Offer::None) => VersionFilter::Others,
         (VersionFilter::PreferOthers, Offer::None) => VersionFilter::Target,
         _ => return found,
     };
