--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -334,7 +334,7 @@
 
     /// Decides which servers of a service the first attempt of a request may go to.
     /// `random` is drawn evenly from 0 to 1.
-    pub fn pick_side(
+    pub fn pick_filter(
         &self,
         now: Millis,
         service: &str,
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -38,7 +38,7 @@
 #[test]
 fn without_an_order_requests_go_to_all_servers() {
     let book = Registry::default();
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
+    assert_eq!(book.pick_filter(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
     assert!(book.is_allowed(VersionFilter::Any, &server_of("v2")));
 }
 
@@ -48,7 +48,7 @@
     assert!(book.take_order(order(7), true));
     assert!(!book.take_order(order(7), true));
     assert!(!book.take_order(order(6), true));
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
+    assert_eq!(book.pick_filter(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
     assert!(!book.is_allowed(VersionFilter::PreferOthers, &server_of("v2")));
     assert!(book.is_allowed(VersionFilter::PreferOthers, &server_of("v1")));
     assert!(book.is_on_trial(&server_of("v2")));
@@ -59,7 +59,7 @@
     let mut book = book_at(Stage::Canary);
     let mut sent = 0;
     for _ in 0..1_000 {
-        let side = book.pick_side(10_000, "llm", &TOLERANCE, 0.5);
+        let side = book.pick_filter(10_000, "llm", &TOLERANCE, 0.5);
         let version = if side == VersionFilter::Canary { "v2" } else { "v1" };
         sent += u64::from(side == VersionFilter::Canary);
         book.count_sent(&server_of(version));
@@ -72,7 +72,7 @@
     let mut book = book_at(Stage::Canary);
     let tolerance = Tolerance { slack: 50.0, nodes: 5, ..TOLERANCE };
     let mut sent = 0;
-    while book.pick_side(10_000, "llm", &tolerance, 0.5) == VersionFilter::Canary {
+    while book.pick_filter(10_000, "llm", &tolerance, 0.5) == VersionFilter::Canary {
         book.count_sent(&server_of("v2"));
         sent += 1;
     }
@@ -85,18 +85,18 @@
     for stage in [Stage::Canary, Stage::Shifting] {
         let book = book_at(stage);
         assert_eq!(
-            book.pick_side(12_000, "llm", &TOLERANCE, 0.5) == VersionFilter::Target,
+            book.pick_filter(12_000, "llm", &TOLERANCE, 0.5) == VersionFilter::Target,
             stage == Stage::Shifting
         );
-        assert_eq!(book.pick_side(12_600, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
+        assert_eq!(book.pick_filter(12_600, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
     }
     // A verdict stands.
     assert_eq!(
-        book_at(Stage::RolledBack).pick_side(90_000, "llm", &TOLERANCE, 0.5),
+        book_at(Stage::RolledBack).pick_filter(90_000, "llm", &TOLERANCE, 0.5),
         VersionFilter::Others
     );
     assert_eq!(
-        book_at(Stage::Completed).pick_side(90_000, "llm", &TOLERANCE, 0.5),
+        book_at(Stage::Completed).pick_filter(90_000, "llm", &TOLERANCE, 0.5),
         VersionFilter::Any
     );
 }
@@ -104,17 +104,17 @@
 #[test]
 fn servers_that_stop_with_the_completion_get_nothing_while_they_are_still_listed() {
     let book = book_at(Stage::Completed);
-    assert_eq!(book.pick_side(14_900, "llm", &TOLERANCE, 0.5), VersionFilter::PreferTarget);
+    assert_eq!(book.pick_filter(14_900, "llm", &TOLERANCE, 0.5), VersionFilter::PreferTarget);
     assert_eq!(book.pick_retry_side(14_900, "llm"), VersionFilter::PreferTarget);
     assert!(!book.is_allowed(VersionFilter::PreferTarget, &server_of("v1")));
-    assert_eq!(book.pick_side(15_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
+    assert_eq!(book.pick_filter(15_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
 }
 
 #[test]
 fn a_stage_never_goes_back() {
     let mut book = book_at(Stage::RolledBack);
     assert_eq!(book.merge_announcement(10_100, &told(7, Stage::Shifting, Some(0)), true), None);
-    assert_eq!(book.pick_side(10_100, "llm", &TOLERANCE, 0.5), VersionFilter::Others);
+    assert_eq!(book.pick_filter(10_100, "llm", &TOLERANCE, 0.5), VersionFilter::Others);
     // An older order neither; a newer one begins anew.
     assert_eq!(book.merge_announcement(10_100, &told(6, Stage::Completed, Some(0)), true), None);
     assert_eq!(
@@ -238,8 +238,8 @@
 #[test]
 fn a_larger_share_is_drawn_before_all_requests_go_to_the_new_version() {
     let book = book_at(Stage::Ramp);
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.29), VersionFilter::Target);
-    assert_eq!(book.pick_side(10_000, "llm", &TOLERANCE, 0.31), VersionFilter::Others);
+    assert_eq!(book.pick_filter(10_000, "llm", &TOLERANCE, 0.29), VersionFilter::Target);
+    assert_eq!(book.pick_filter(10_000, "llm", &TOLERANCE, 0.31), VersionFilter::Others);
 }
 
 #[test]
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -75,7 +75,7 @@
             return state.rollouts.pick_retry_side(now, service);
         }
         let tolerance = get_tolerance(node, state, now);
-        state.rollouts.pick_side(now, service, &tolerance, fastrand::f64())
+        state.rollouts.pick_filter(now, service, &tolerance, fastrand::f64())
     })
 }
 
