--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -362,7 +362,7 @@
 
     /// Decides which servers of a service a further attempt of a request may go to: after a failure
     /// the version that is known to work is preferred.
-    pub fn pick_retry_side(&self, now: Millis, service: &str) -> VersionFilter {
+    pub fn pick_retry_filter(&self, now: Millis, service: &str) -> VersionFilter {
         let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
             Stage::Completed => rollout.pick_side_completed(now),
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -105,7 +105,7 @@
 fn servers_that_stop_with_the_completion_get_nothing_while_they_are_still_listed() {
     let book = book_at(Stage::Completed);
     assert_eq!(book.pick_filter(14_900, "llm", &TOLERANCE, 0.5), VersionFilter::PreferTarget);
-    assert_eq!(book.pick_retry_side(14_900, "llm"), VersionFilter::PreferTarget);
+    assert_eq!(book.pick_retry_filter(14_900, "llm"), VersionFilter::PreferTarget);
     assert!(!book.is_allowed(VersionFilter::PreferTarget, &server_of("v1")));
     assert_eq!(book.pick_filter(15_000, "llm", &TOLERANCE, 0.5), VersionFilter::Any);
 }
@@ -125,10 +125,10 @@
 
 #[test]
 fn a_retry_goes_to_the_version_that_is_known_to_work() {
-    assert_eq!(book_at(Stage::Canary).pick_retry_side(10_000, "llm"), VersionFilter::Others);
-    assert_eq!(book_at(Stage::RolledBack).pick_retry_side(10_000, "llm"), VersionFilter::Others);
+    assert_eq!(book_at(Stage::Canary).pick_retry_filter(10_000, "llm"), VersionFilter::Others);
+    assert_eq!(book_at(Stage::RolledBack).pick_retry_filter(10_000, "llm"), VersionFilter::Others);
     assert_eq!(
-        book_at(Stage::Shifting).pick_retry_side(10_000, "llm"),
+        book_at(Stage::Shifting).pick_retry_filter(10_000, "llm"),
         VersionFilter::PreferOthers
     );
 }
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -72,7 +72,7 @@
     let now = node.now();
     node.with(|state| {
         if !is_first {
-            return state.rollouts.pick_retry_side(now, service);
+            return state.rollouts.pick_retry_filter(now, service);
         }
         let tolerance = get_tolerance(node, state, now);
         state.rollouts.pick_filter(now, service, &tolerance, fastrand::f64())
