--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -163,7 +163,7 @@
     /// After a return of the table service from an older copy, the known order gets another number where
     /// its row is still there or is written again. A different one may be an earlier order that the copy
     /// holds, and counts only once the era `is_settled`: see [`Self::take_deferred`].
-    pub fn take_order(&mut self, order: Order, is_settled: bool) -> bool {
+    pub fn apply_order(&mut self, order: Order, is_settled: bool) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             if known.order.number >= order.number {
                 return false;
@@ -190,7 +190,7 @@
     /// that are newer than what is known.
     pub fn take_deferred(&mut self) -> Vec<Order> {
         let deferred = std::mem::take(&mut self.deferred).into_values();
-        deferred.filter(|order| self.take_order(order.clone(), true)).collect()
+        deferred.filter(|order| self.apply_order(order.clone(), true)).collect()
     }
 
     /// Bars versions of earlier orders, in the roll-out of an order.
@@ -214,7 +214,7 @@
         announcement: &Announcement,
         is_settled: bool,
     ) -> Option<Stage> {
-        self.take_order(announcement.order.clone(), is_settled);
+        self.apply_order(announcement.order.clone(), is_settled);
         let rollout = self.rollouts.get_mut(&announcement.order.service)?;
         if rollout.order.number != announcement.order.number {
             return None;
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -45,9 +45,9 @@
 #[test]
 fn an_order_that_nobody_has_begun_sends_nothing_to_the_new_version() {
     let mut book = Registry::default();
-    assert!(book.take_order(order(7), true));
-    assert!(!book.take_order(order(7), true));
-    assert!(!book.take_order(order(6), true));
+    assert!(book.apply_order(order(7), true));
+    assert!(!book.apply_order(order(7), true));
+    assert!(!book.apply_order(order(6), true));
     assert_eq!(book.pick_filter(10_000, "llm", &TOLERANCE, 0.5), VersionFilter::PreferOthers);
     assert!(!book.is_allowed(VersionFilter::PreferOthers, &server_of("v2")));
     assert!(book.is_allowed(VersionFilter::PreferOthers, &server_of("v1")));
@@ -262,7 +262,7 @@
         [(Stage::Canary, true), (Stage::RolledBack, true), (Stage::Completed, false)]
     {
         let mut book = book_at(stage);
-        assert!(book.take_order(order_for("v3", 8), true));
+        assert!(book.apply_order(order_for("v3", 8), true));
         assert_eq!(
             book.is_allowed(VersionFilter::Others, &server_of("v2")),
             !is_barred,
@@ -277,7 +277,7 @@
         }
         assert_eq!(other.is_allowed(VersionFilter::Any, &server_of("v2")), !is_barred);
         // Ordered again it is on trial again.
-        assert!(book.take_order(order_for("v2", 9), true));
+        assert!(book.apply_order(order_for("v2", 9), true));
         assert_eq!(book.list_barred("llm"), ["v3"]);
         assert!(book.is_allowed(VersionFilter::Target, &server_of("v2")));
     }
@@ -295,7 +295,7 @@
     let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::RolledBack, Some(0)), true);
     for number in [3, 5] {
-        assert!(book.take_order(returned("v2", number), false));
+        assert!(book.apply_order(returned("v2", number), false));
         let (order, stage) = book.list_orders().remove(0);
         assert_eq!(
             (order.number, stage),
@@ -303,7 +303,7 @@
         );
     }
     // Once all is written again, the same order is a further one.
-    assert!(book.take_order(returned("v2", 9), true));
+    assert!(book.apply_order(returned("v2", 9), true));
     assert_eq!(book.list_orders()[0].1, Stage::Pending);
 }
 
@@ -312,9 +312,9 @@
 fn another_order_counts_after_a_return_once_the_operator_has_written_again() {
     let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
-    assert!(!book.take_order(returned("v1", 3), false));
+    assert!(!book.apply_order(returned("v1", 3), false));
     assert_eq!(book.list_orders()[0].0.target_version, "v2");
-    assert!(book.take_order(returned("v3", 4), true));
+    assert!(book.apply_order(returned("v3", 4), true));
     assert_eq!(book.list_orders()[0].0.target_version, "v3");
 }
 
@@ -324,15 +324,15 @@
  {
     let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
-    assert!(!book.take_order(returned("v3", 4), false));
+    assert!(!book.apply_order(returned("v3", 4), false));
     assert_eq!(book.take_deferred(), [returned("v3", 4)]);
     assert_eq!(book.list_orders()[0].0.target_version, "v3");
     assert!(book.take_deferred().is_empty());
 
     let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
-    assert!(!book.take_order(returned("v1", 3), false));
-    assert!(book.take_order(returned("v2", 5), false));
+    assert!(!book.apply_order(returned("v1", 3), false));
+    assert!(book.apply_order(returned("v2", 5), false));
     assert!(book.take_deferred().is_empty());
     assert_eq!(book.list_orders(), [(returned("v2", 5), Stage::Shifting)]);
 }
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -49,7 +49,7 @@
 /// Merges what another node announces of a roll-out; returns `true` if that was new.
 pub(super) fn merge(state: &mut State, now: Millis, announcement: &Announcement) -> bool {
     let is_settled = state.eras.is_settled(now);
-    let is_new = state.rollouts.take_order(announcement.order.clone(), is_settled);
+    let is_new = state.rollouts.apply_order(announcement.order.clone(), is_settled);
     let advanced = state.rollouts.merge_announcement(now, announcement, is_settled);
     if !is_new && advanced.is_none() {
         return false;
