--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -162,7 +162,7 @@
     ///
     /// After a return of the table service from an older copy, the known order gets another number where
     /// its row is still there or is written again. A different one may be an earlier order that the copy
-    /// holds, and counts only once the era `is_settled`: see [`Self::take_deferred`].
+    /// holds, and counts only once the era `is_settled`: see [`Self::apply_deferred`].
     pub fn apply_order(&mut self, order: Order, is_settled: bool) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             if known.order.number >= order.number {
@@ -188,7 +188,7 @@
 
     /// Takes the orders that were seen before the era was settled, and that no later one has replaced; returns those
     /// that are newer than what is known.
-    pub fn take_deferred(&mut self) -> Vec<Order> {
+    pub fn apply_deferred(&mut self) -> Vec<Order> {
         let deferred = std::mem::take(&mut self.deferred).into_values();
         deferred.filter(|order| self.apply_order(order.clone(), true)).collect()
     }
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -325,14 +325,14 @@
     let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
     assert!(!book.apply_order(returned("v3", 4), false));
-    assert_eq!(book.take_deferred(), [returned("v3", 4)]);
+    assert_eq!(book.apply_deferred(), [returned("v3", 4)]);
     assert_eq!(book.list_orders()[0].0.target_version, "v3");
-    assert!(book.take_deferred().is_empty());
+    assert!(book.apply_deferred().is_empty());
 
     let mut book = Registry::default();
     book.merge_announcement(10_000, &told(7, Stage::Shifting, Some(0)), true);
     assert!(!book.apply_order(returned("v1", 3), false));
     assert!(book.apply_order(returned("v2", 5), false));
-    assert!(book.take_deferred().is_empty());
+    assert!(book.apply_deferred().is_empty());
     assert_eq!(book.list_orders(), [(returned("v2", 5), Stage::Shifting)]);
 }
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -35,7 +35,7 @@
 pub(super) fn take_deferred(node: &Node) {
     let now = node.now();
     let orders = node.with(|state| match state.eras.is_settled(now) {
-        true => state.rollouts.take_deferred(),
+        true => state.rollouts.apply_deferred(),
         false => Vec::new(),
     });
     for order in orders {
