--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -457,7 +457,7 @@
     }
 
     /// Begins to count anew, for another aggregator: the former one has what was counted.
-    pub fn hand_over(&mut self) {
+    pub fn reset_counts(&mut self) {
         for rollout in self.rollouts.values_mut() {
             rollout.own = Tallies::default();
             rollout.members.clear();
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -103,7 +103,7 @@
     let next = state.handover.get_incarnation().clone();
     state.quotas.hand_over(now, &arrived.quota);
     state.usage.hand_over(&former, &next, &arrived.usage, was_own_sum);
-    state.rollouts.hand_over();
+    state.rollouts.reset_counts();
     state.samples.clear();
 }
 
