--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -419,7 +419,7 @@
     }
 
     /// Notes when a server that has just started is as fast as others.
-    pub fn note_joined(&mut self, now: Millis, server: &Server) {
+    pub fn record_joined(&mut self, now: Millis, server: &Server) {
         if let Some(left) = server.warm_within.filter(|left| *left > 0) {
             self.warm_at.insert(server.id.clone(), now + left);
         }
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -141,7 +141,7 @@
 fn answers_of_all_nodes_add_up_and_those_of_servers_that_just_started_have_no_latency() {
     let mut book = book_at(Stage::Canary);
     let cold = Server { warm_within: Some(4_000), id: "cold".to_owned(), ..server_of("v2") };
-    book.note_joined(10_000, &cold);
+    book.record_joined(10_000, &cold);
     book.succeed(11_000, &cold, "brief", Phase::FirstToken, 900);
     book.succeed(14_000, &cold, "brief", Phase::FirstToken, 300);
     book.fail(&server_of("v1"), "brief", Phase::FirstToken);
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -225,7 +225,7 @@
                 node.servers.forget(server.address);
                 node.with(|known| known.forget_server(server));
             }
-            Change::Joined(server) => node.with(|known| known.rollouts.note_joined(now, server)),
+            Change::Joined(server) => node.with(|known| known.rollouts.record_joined(now, server)),
             Change::Leaving(_) => {}
         }
     }
