--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes a failure; returns the time for which the server is ejected, if it now is.
-    pub fn fail(&mut self, now: Millis, id: &str) -> Option<Millis> {
+    pub fn record_failure(&mut self, now: Millis, id: &str) -> Option<Millis> {
         let record = self.servers.entry(id.to_owned()).or_default();
         record.failures += 1;
         let beyond = record.failures.checked_sub(TOLERATED + 1)?;
@@ -57,7 +57,7 @@
     /// Notes that no connection to the server came up, which ejects it at once.
     pub fn fail_to_connect(&mut self, now: Millis, id: &str) {
         self.servers.entry(id.to_owned()).or_default().failures += TOLERATED;
-        if let Some(ejected_for) = self.fail(now, id) {
+        if let Some(ejected_for) = self.record_failure(now, id) {
             let record = self.servers.entry(id.to_owned()).or_default();
             record.ramped_at = now + ejected_for + RAMP;
         }
--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -397,9 +397,9 @@
     }
 
     /// Counts an answer of a server that failed in a phase.
-    pub fn fail(&mut self, server: &Server, route: &str, phase: Phase) {
+    pub fn record_failure(&mut self, server: &Server, route: &str, phase: Phase) {
         if let Some(tally) = self.get_tally(server, route, phase) {
-            tally.fail();
+            tally.record_failure();
         }
     }
 
--- a/crates/core/src/serving/rollout/tally.rs
+++ b/crates/core/src/serving/rollout/tally.rs
@@ -119,7 +119,7 @@
     }
 
     /// Counts a failed answer.
-    pub fn fail(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failed += 1;
     }
 
--- a/crates/core/tests/serving/health.rs
+++ b/crates/core/tests/serving/health.rs
@@ -3,14 +3,14 @@
 #[test]
 fn one_failure_is_tolerated() {
     let mut health = Health::default();
-    assert_eq!(health.fail(1_000, "a"), None);
+    assert_eq!(health.record_failure(1_000, "a"), None);
     assert!(!health.is_ejected(1_000, "a"));
 }
 
 #[test]
 fn failures_in_a_row_double_the_pause_up_to_a_bound() {
     let mut health = Health::default();
-    let pauses: Vec<Option<u64>> = (0..8).map(|_| health.fail(1_000, "a")).collect();
+    let pauses: Vec<Option<u64>> = (0..8).map(|_| health.record_failure(1_000, "a")).collect();
     let expected = [
         None,
         Some(250),
@@ -29,11 +29,11 @@
 #[test]
 fn a_good_answer_ends_the_pause() {
     let mut health = Health::default();
-    health.fail(1_000, "a");
-    health.fail(1_000, "a");
+    health.record_failure(1_000, "a");
+    health.record_failure(1_000, "a");
     health.succeed("a");
     assert!(!health.is_ejected(1_000, "a"));
-    assert_eq!(health.fail(1_000, "a"), None);
+    assert_eq!(health.record_failure(1_000, "a"), None);
 }
 
 #[test]
@@ -59,8 +59,8 @@
 #[test]
 fn a_server_that_failed_requests_only_gets_its_work_back_at_once() {
     let mut health = Health::default();
-    health.fail(1_000, "a");
-    health.fail(1_000, "a");
+    health.record_failure(1_000, "a");
+    health.record_failure(1_000, "a");
     assert!(!health.is_ramping(1_250, "a", 0.0));
 }
 
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -144,7 +144,7 @@
     book.record_joined(10_000, &cold);
     book.succeed(11_000, &cold, "brief", Phase::FirstToken, 900);
     book.succeed(14_000, &cold, "brief", Phase::FirstToken, 300);
-    book.fail(&server_of("v1"), "brief", Phase::FirstToken);
+    book.record_failure(&server_of("v1"), "brief", Phase::FirstToken);
     let mut member = Tallies::default();
     member.get_mut(series(), true).succeed(Some(200));
     let report = Report { service: "llm".to_owned(), number: at(7), tallies: member, in_flight: 2 };
@@ -168,7 +168,7 @@
     let mut tallies = Tallies::default();
     for number in 0..target {
         let tally = tallies.get_mut(series(), true);
-        if number < failed { tally.fail() } else { tally.succeed(Some(100)) }
+        if number < failed { tally.record_failure() } else { tally.succeed(Some(100)) }
     }
     (0..rest).for_each(|_| tallies.get_mut(series(), false).succeed(Some(100)));
     tallies
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -241,7 +241,7 @@
     let series = Series { route: drawn.0.to_owned(), phase: Phase::FirstToken };
     let tally = tallies.get_mut(series, is_target);
     if is_made_to_fail || random.f64() < FAILING {
-        tally.fail();
+        tally.record_failure();
     } else {
         let is_cold = kind == Kind::Cold && drawn.0 == "brief";
         let slowed = if is_made_slow { 4.0 } else { 1.0 } * if is_cold { 1.7 } else { 1.0 };
--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -69,7 +69,7 @@
         }
         Failed::Declined | Failed::OtherServer => None,
         Failed::Ended | Failed::Cut | Failed::Broken | Failed::ServerError | Failed::Timeout => {
-            state.health.fail(now, &server.id)
+            state.health.record_failure(now, &server.id)
         }
     });
     if let Some(ejected_for_ms) = pause {
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -110,5 +110,5 @@
 
 /// Counts an answer of a server that failed.
 pub(crate) fn note_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
-    node.with(|state| state.rollouts.fail(server, route, phase));
+    node.with(|state| state.rollouts.record_failure(server, route, phase));
 }
