--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -36,7 +36,7 @@
 
 impl Health {
     /// Notes a good answer.
-    pub fn succeed(&mut self, id: &str) {
+    pub fn record_success(&mut self, id: &str) {
         let Some(record) = self.servers.get_mut(id) else { return };
         match record.ramped_at {
             0 => drop(self.servers.remove(id)),
--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/book.rs
@@ -382,7 +382,7 @@
     }
 
     /// Counts a good answer of a server, or a phase of it.
-    pub fn succeed(
+    pub fn record_success(
         &mut self,
         now: Millis,
         server: &Server,
@@ -392,7 +392,7 @@
     ) {
         let is_warm = self.warm_at.get(&server.id).is_none_or(|at| now >= *at);
         if let Some(tally) = self.get_tally(server, route, phase) {
-            tally.succeed(is_warm.then_some(latency));
+            tally.record_success(is_warm.then_some(latency));
         }
     }
 
--- a/crates/core/src/serving/rollout/tally.rs
+++ b/crates/core/src/serving/rollout/tally.rs
@@ -111,7 +111,7 @@
 
 impl Tally {
     /// Counts a good answer, with its latency where that is known to be typical.
-    pub fn succeed(&mut self, latency: Option<Millis>) {
+    pub fn record_success(&mut self, latency: Option<Millis>) {
         self.good += 1;
         if let Some(latency) = latency {
             self.latencies.record(latency);
--- a/crates/core/tests/serving/health.rs
+++ b/crates/core/tests/serving/health.rs
@@ -31,7 +31,7 @@
     let mut health = Health::default();
     health.record_failure(1_000, "a");
     health.record_failure(1_000, "a");
-    health.succeed("a");
+    health.record_success("a");
     assert!(!health.is_ejected(1_000, "a"));
     assert_eq!(health.record_failure(1_000, "a"), None);
 }
@@ -47,7 +47,7 @@
 fn a_server_that_was_out_of_reach_gets_its_work_back_within_two_seconds() {
     let mut health = Health::default();
     health.fail_to_connect(1_000, "a");
-    health.succeed("a");
+    health.record_success("a");
     assert!(!health.is_ejected(1_000, "a"));
     let is_ramping = |now| [0.0, 0.3, 0.7, 1.0].map(|draw| health.is_ramping(now, "a", draw));
     assert_eq!(is_ramping(1_250), [true, true, true, false]);
@@ -73,6 +73,6 @@
     assert!(!health.is_ramping(4_500, "a", 0.5));
     assert!(!health.is_ramping(5_000, "a", 0.0001));
     // A good answer does not shorten that.
-    health.succeed("a");
+    health.record_success("a");
     assert!(health.is_ramping(3_000, "a", 0.5));
 }
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -142,11 +142,11 @@
     let mut book = book_at(Stage::Canary);
     let cold = Server { warm_within: Some(4_000), id: "cold".to_owned(), ..server_of("v2") };
     book.record_joined(10_000, &cold);
-    book.succeed(11_000, &cold, "brief", Phase::FirstToken, 900);
-    book.succeed(14_000, &cold, "brief", Phase::FirstToken, 300);
+    book.record_success(11_000, &cold, "brief", Phase::FirstToken, 900);
+    book.record_success(14_000, &cold, "brief", Phase::FirstToken, 300);
     book.record_failure(&server_of("v1"), "brief", Phase::FirstToken);
     let mut member = Tallies::default();
-    member.get_mut(series(), true).succeed(Some(200));
+    member.get_mut(series(), true).record_success(Some(200));
     let report = Report { service: "llm".to_owned(), number: at(7), tallies: member, in_flight: 2 };
     book.merge(true, ("n-2", 1), std::slice::from_ref(&report));
     // A repeated report counts once; one of another order not at all.
@@ -168,9 +168,9 @@
     let mut tallies = Tallies::default();
     for number in 0..target {
         let tally = tallies.get_mut(series(), true);
-        if number < failed { tally.record_failure() } else { tally.succeed(Some(100)) }
+        if number < failed { tally.record_failure() } else { tally.record_success(Some(100)) }
     }
-    (0..rest).for_each(|_| tallies.get_mut(series(), false).succeed(Some(100)));
+    (0..rest).for_each(|_| tallies.get_mut(series(), false).record_success(Some(100)));
     tallies
 }
 
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -245,11 +245,11 @@
     } else {
         let is_cold = kind == Kind::Cold && drawn.0 == "brief";
         let slowed = if is_made_slow { 4.0 } else { 1.0 } * if is_cold { 1.7 } else { 1.0 };
-        tally.succeed(Some((drawn.2 * slowed * draw_factor(SPREAD, random)) as u64));
+        tally.record_success(Some((drawn.2 * slowed * draw_factor(SPREAD, random)) as u64));
         let series = Series { route: drawn.0.to_owned(), phase: Phase::Stream };
         let slowed = if is_made_slow { 4.0 } else { 1.0 };
         let pace = PACE * slowed * draw_factor(PACE_SPREAD, random);
-        tallies.get_mut(series, is_target).succeed(Some(pace as u64));
+        tallies.get_mut(series, is_target).record_success(Some(pace as u64));
     }
     is_made_to_fail || is_made_slow
 }
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -70,7 +70,7 @@
         Ok(answer) => {
             node.with(|state| {
                 if !state.directory.is_superseded(server) {
-                    state.health.succeed(&server.id);
+                    state.health.record_success(&server.id);
                 }
             });
             let on_the_way = node.get_round_trip(&server.data_centre);
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -105,7 +105,7 @@
     latency: Millis,
 ) {
     let now = node.now();
-    node.with(|state| state.rollouts.succeed(now, server, route, phase, latency));
+    node.with(|state| state.rollouts.record_success(now, server, route, phase, latency));
 }
 
 /// Counts an answer of a server that failed.
