--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes that no connection to the server came up, which ejects it at once.
-    pub fn fail_to_connect(&mut self, now: Millis, id: &str) {
+    pub fn record_connect_failure(&mut self, now: Millis, id: &str) {
         self.servers.entry(id.to_owned()).or_default().failures += TOLERATED;
         if let Some(ejected_for) = self.record_failure(now, id) {
             let record = self.servers.entry(id.to_owned()).or_default();
--- a/crates/core/tests/serving/health.rs
+++ b/crates/core/tests/serving/health.rs
@@ -39,14 +39,14 @@
 #[test]
 fn a_server_that_cannot_be_reached_is_passed_over_at_once() {
     let mut health = Health::default();
-    health.fail_to_connect(1_000, "a");
+    health.record_connect_failure(1_000, "a");
     assert!(health.is_ejected(1_000, "a"));
 }
 
 #[test]
 fn a_server_that_was_out_of_reach_gets_its_work_back_within_two_seconds() {
     let mut health = Health::default();
-    health.fail_to_connect(1_000, "a");
+    health.record_connect_failure(1_000, "a");
     health.record_success("a");
     assert!(!health.is_ejected(1_000, "a"));
     let is_ramping = |now| [0.0, 0.3, 0.7, 1.0].map(|draw| health.is_ramping(now, "a", draw));
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -62,7 +62,7 @@
     #[test]
     fn ejections_and_refusals_end_while_the_machine_is_suspended(slept in 500_u64..60_000) {
         let mut health = Health::default();
-        health.fail_to_connect(SLEEPS_AT, "s");
+        health.record_connect_failure(SLEEPS_AT, "s");
         prop_assert!(health.is_ejected(SLEEPS_AT, "s"));
         prop_assert!(!health.is_ejected(SLEEPS_AT + slept, "s"));
         let mut book = Tracker::default();
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -205,7 +205,9 @@
         false => {
             if note_end(node, order.server) {
                 // The server's other requests fail with it: it is ejected at once.
-                node.with(|state| state.health.fail_to_connect(node.now(), &order.server.id));
+                node.with(|state| {
+                    state.health.record_connect_failure(node.now(), &order.server.id)
+                });
             }
             crashes::note_cut(node, order.server, exchange.cut_run(node.now(), sent_at, None));
             (Failed::Ended, None)
--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -64,7 +64,7 @@
         // What came of an earlier start of the server says nothing of this one.
         _ if state.directory.is_superseded(server) => None,
         Failed::NotConnected => {
-            state.health.fail_to_connect(now, &server.id);
+            state.health.record_connect_failure(now, &server.id);
             None
         }
         Failed::Declined | Failed::OtherServer => None,
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -58,7 +58,7 @@
         return;
     }
     let now = node.now();
-    node.with(|state| state.health.fail_to_connect(now, &server.id));
+    node.with(|state| state.health.record_connect_failure(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
     let running = runs
