--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -65,7 +65,7 @@
 
     /// Notes that the server takes no requests until a time. All nodes may return to it then, so that it
     /// gets its work back gradually.
-    pub fn note_back_off(&mut self, id: &str, until: Millis) {
+    pub fn record_back_off(&mut self, id: &str, until: Millis) {
         let record = self.servers.entry(id.to_owned()).or_default();
         record.ramped_at = record.ramped_at.max(until.saturating_add(RAMP));
     }
--- a/crates/core/tests/serving/health.rs
+++ b/crates/core/tests/serving/health.rs
@@ -67,7 +67,7 @@
 #[test]
 fn a_server_gets_its_work_back_gradually_after_a_back_off() {
     let mut health = Health::default();
-    health.note_back_off("a", 3_000);
+    health.record_back_off("a", 3_000);
     assert!(!health.is_ejected(1_000, "a"));
     assert!(health.is_ramping(3_000, "a", 0.5));
     assert!(!health.is_ramping(4_500, "a", 0.5));
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -35,7 +35,7 @@
     let noted = node.with(|state| {
         let noted = state.backpressure.record(now, sent_at, server, signal);
         if let Some(until) = noted.back_off_until {
-            state.health.note_back_off(&server.id, until);
+            state.health.record_back_off(&server.id, until);
         }
         noted
     });
