--- a/crates/core/src/serving/rollout/judge.rs
+++ b/crates/core/src/serving/rollout/judge.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use super::tally::{Pair, Phase, Series, Tallies, Tally};
+use super::tally::{Comparison, Phase, Series, Tallies, Tally};
 
 /// The evidence at which a series is found bad: of 2,000 simulated good versions none was found bad
 /// (`rollout_trials`).
@@ -109,7 +109,7 @@
     weigh(new.failed, new.good, expected, expected + FAILING_STEP)
 }
 
-fn weigh_latencies(phase: Phase, new: &Tally, pair: &Pair) -> f64 {
+fn weigh_latencies(phase: Phase, new: &Tally, pair: &Comparison) -> f64 {
     let rest = &pair.rest.latencies;
     if rest.len() < LEAST_COMPARED || new.latencies.is_empty() {
         return 0.0;
--- a/crates/core/src/serving/rollout/mod.rs
+++ b/crates/core/src/serving/rollout/mod.rs
@@ -30,4 +30,4 @@
 pub use self::judge::{Fault, Judge, Symptom};
 pub use self::order::{Announcement, Order, Stage, Status};
 pub use self::progress::{Next, Progress, Snapshot};
-pub use self::tally::{Latencies, Pair, Phase, Series, Tallies, Tally};
+pub use self::tally::{Comparison, Latencies, Phase, Series, Tallies, Tally};
--- a/crates/core/src/serving/rollout/tally.rs
+++ b/crates/core/src/serving/rollout/tally.rs
@@ -169,7 +169,7 @@
 
 /// Answers of the new version and of the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct Comparison {
     /// Those of the new version.
     pub target: Tally,
     /// Those of all others.
@@ -178,7 +178,7 @@
 
 /// Answers of a service since a roll-out was ordered.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tallies(BTreeMap<Series, Pair>);
+pub struct Tallies(BTreeMap<Series, Comparison>);
 
 impl Tallies {
     /// Returns the tally of a series for the new version, or for the others.
@@ -197,7 +197,7 @@
     }
 
     /// Lists all series.
-    pub fn iter(&self) -> impl Iterator<Item = (&Series, &Pair)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Series, &Comparison)> {
         self.0.iter()
     }
 
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use keeljunction_core::serving::rollout::{
-    Exposure, Next, Pair, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
+    Comparison, Exposure, Next, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
 };
 
 /// How a version is bad.
@@ -181,7 +181,7 @@
     }
 }
 
-fn is_beyond((_, pair): (&Series, &Pair)) -> bool {
+fn is_beyond((_, pair): (&Series, &Comparison)) -> bool {
     let rate = |failed: u64, all: u64| failed as f64 / all.max(1) as f64;
     let target = rate(pair.target.failed, pair.target.len());
     let rest = rate(pair.rest.failed, pair.rest.len());
