--- a/crates/core/src/serving/rollout/judge.rs
+++ b/crates/core/src/serving/rollout/judge.rs
@@ -84,7 +84,7 @@
             let seen = self.seen.entry(series.clone()).or_default();
             let new = pair.target.since(seen);
             seen.clone_from(&pair.target);
-            self.add(Symptom::Failing, series, weigh_failures(&new, &pair.rest));
+            self.add(Symptom::Failing, series, weigh_failures(&new, &pair.baseline));
             self.add(Symptom::Slow, series, weigh_latencies(series.phase, &new, pair));
         }
         let found = self.evidence.iter().find(|(_, evidence)| **evidence >= BAD_AT);
@@ -110,7 +110,7 @@
 }
 
 fn weigh_latencies(phase: Phase, new: &Tally, pair: &Comparison) -> f64 {
-    let rest = &pair.rest.latencies;
+    let rest = &pair.baseline.latencies;
     if rest.len() < LEAST_COMPARED || new.latencies.is_empty() {
         return 0.0;
     }
--- a/crates/core/src/serving/rollout/tally.rs
+++ b/crates/core/src/serving/rollout/tally.rs
@@ -173,7 +173,7 @@
     /// Those of the new version.
     pub target: Tally,
     /// Those of all others.
-    pub rest: Tally,
+    pub baseline: Tally,
 }
 
 /// Answers of a service since a roll-out was ordered.
@@ -184,7 +184,7 @@
     /// Returns the tally of a series for the new version, or for the others.
     pub fn get_mut(&mut self, series: Series, is_target: bool) -> &mut Tally {
         let pair = self.0.entry(series).or_default();
-        if is_target { &mut pair.target } else { &mut pair.rest }
+        if is_target { &mut pair.target } else { &mut pair.baseline }
     }
 
     /// Adds what others counted.
@@ -192,7 +192,7 @@
         for (series, pair) in &other.0 {
             let sum = self.0.entry(series.clone()).or_default();
             sum.target.add(&pair.target);
-            sum.rest.add(&pair.rest);
+            sum.baseline.add(&pair.baseline);
         }
     }
 
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -156,7 +156,7 @@
     assert_eq!((sum.tallies.count_target(), sum.in_flight), (3, 5));
     let (_, pair) = sum.tallies.iter().next().expect("a series");
     assert_eq!((pair.target.good, pair.target.latencies.len()), (3, 2));
-    assert_eq!((pair.rest.good, pair.rest.failed), (0, 1));
+    assert_eq!((pair.baseline.good, pair.baseline.failed), (0, 1));
     // What a node counted still counts when it is gone; it has nothing in flight.
     book.forget("n-2", 1);
     let sum = book.sum_all("llm", |_| 3).expect("an order");
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -184,11 +184,12 @@
 fn is_beyond((_, pair): (&Series, &Comparison)) -> bool {
     let rate = |failed: u64, all: u64| failed as f64 / all.max(1) as f64;
     let target = rate(pair.target.failed, pair.target.len());
-    let rest = rate(pair.rest.failed, pair.rest.len());
+    let rest = rate(pair.baseline.failed, pair.baseline.len());
     let median =
         |latencies: &keeljunction_core::serving::rollout::Latencies| latencies.get_quantile(0.5);
-    let is_compared = pair.target.latencies.len() >= 10 && pair.rest.latencies.len() >= 50;
-    let is_slow = is_compared && median(&pair.target.latencies) > 2 * median(&pair.rest.latencies);
+    let is_compared = pair.target.latencies.len() >= 10 && pair.baseline.latencies.len() >= 50;
+    let is_slow =
+        is_compared && median(&pair.target.latencies) > 2 * median(&pair.baseline.latencies);
     (pair.target.failed >= 5 && target > 3.0 * rest) || is_slow
 }
 
