--- a/crates/core/src/serving/rollout/judge.rs
+++ b/crates/core/src/serving/rollout/judge.rs
@@ -61,7 +61,7 @@
 
 /// What was found.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct Regression {
     /// How the version is worse.
     pub symptom: Symptom,
     /// Where; `None` over all series together.
@@ -79,7 +79,7 @@
 
 impl Judge {
     /// Weighs the answers that came since the last time; returns what was found.
-    pub fn weigh(&mut self, tallies: &Tallies) -> Option<Fault> {
+    pub fn weigh(&mut self, tallies: &Tallies) -> Option<Regression> {
         for (series, pair) in tallies.iter() {
             let seen = self.seen.entry(series.clone()).or_default();
             let new = pair.target.since(seen);
@@ -88,7 +88,7 @@
             self.add(Symptom::Slow, series, weigh_latencies(series.phase, &new, pair));
         }
         let found = self.evidence.iter().find(|(_, evidence)| **evidence >= BAD_AT);
-        found.map(|((symptom, series), _)| Fault {
+        found.map(|((symptom, series), _)| Regression {
             symptom: *symptom,
             series: series.clone(),
             answers: tallies.count_target(),
--- a/crates/core/src/serving/rollout/mod.rs
+++ b/crates/core/src/serving/rollout/mod.rs
@@ -27,7 +27,7 @@
 
 pub use self::book::{Registry, Report, Summary, VersionFilter};
 pub use self::exposure::{Exposure, Tolerance};
-pub use self::judge::{Fault, Judge, Symptom};
+pub use self::judge::{Judge, Regression, Symptom};
 pub use self::order::{Announcement, Order, Stage, Status};
 pub use self::progress::{Next, Progress, Snapshot};
 pub use self::tally::{Comparison, Latencies, Phase, Series, Tallies, Tally};
--- a/crates/core/src/serving/rollout/progress.rs
+++ b/crates/core/src/serving/rollout/progress.rs
@@ -3,7 +3,7 @@
 //! The canary is watched for as long as the order leaves time: a version may turn bad late. What is
 //! left of the time is for requests on other versions to end, and for a slow table service.
 
-use super::judge::{Fault, Judge};
+use super::judge::{Judge, Regression};
 use super::order::Stage;
 use super::tally::Tallies;
 use crate::Millis;
@@ -72,7 +72,7 @@
         cut: u32,
     },
     /// Take the new version out of service: it is worse.
-    RollBack(Fault),
+    RollBack(Regression),
     /// Take it out because the time is over without enough answers or servers to judge by.
     GiveUp,
 }
