--- a/crates/core/src/serving/rollout/mod.rs
+++ b/crates/core/src/serving/rollout/mod.rs
@@ -29,5 +29,5 @@
 pub use self::exposure::{Exposure, Tolerance};
 pub use self::judge::{Judge, Regression, Symptom};
 pub use self::order::{Announcement, Order, Stage, Status};
-pub use self::progress::{Next, Progress, Snapshot};
+pub use self::progress::{Action, Progress, Snapshot};
 pub use self::tally::{Comparison, Latencies, Phase, Series, Tallies, Tally};
--- a/crates/core/src/serving/rollout/progress.rs
+++ b/crates/core/src/serving/rollout/progress.rs
@@ -57,7 +57,7 @@
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum Action {
     /// Nothing yet.
     Wait,
     /// Let the new version have a small share.
@@ -87,51 +87,51 @@
 
 impl Progress {
     /// Decides what to do next.
-    pub fn step(&mut self, snapshot: &Snapshot<'_>) -> Next {
+    pub fn step(&mut self, snapshot: &Snapshot<'_>) -> Action {
         match snapshot.stage {
             Stage::Pending if snapshot.other_servers == 0 && snapshot.target_servers > 0 => {
-                Next::Complete { cut: 0 }
+                Action::Complete { cut: 0 }
             }
-            Stage::Pending => Next::Begin,
+            Stage::Pending => Action::Begin,
             Stage::Canary => self.watch_canary(snapshot),
             Stage::Ramp => self.watch_ramp(snapshot),
             Stage::Shifting => self.watch_shift(snapshot),
-            Stage::RolledBack | Stage::Completed => Next::Wait,
+            Stage::RolledBack | Stage::Completed => Action::Wait,
         }
     }
 
-    fn watch_canary(&mut self, snapshot: &Snapshot<'_>) -> Next {
+    fn watch_canary(&mut self, snapshot: &Snapshot<'_>) -> Action {
         if let Some(fault) = self.judge.weigh(snapshot.tallies) {
-            return Next::RollBack(fault);
+            return Action::RollBack(fault);
         }
         let is_tried = snapshot.tallies.count_target() >= LEAST_ANSWERS;
         if snapshot.is_past(CANARY_PART) && is_tried && snapshot.has_enough_servers() {
-            return Next::Ramp;
+            return Action::Ramp;
         }
         if snapshot.is_past(FORCED_PART) {
-            return Next::GiveUp;
+            return Action::GiveUp;
         }
-        Next::Wait
+        Action::Wait
     }
 
-    fn watch_ramp(&mut self, snapshot: &Snapshot<'_>) -> Next {
+    fn watch_ramp(&mut self, snapshot: &Snapshot<'_>) -> Action {
         match self.judge.weigh(snapshot.tallies) {
-            Some(fault) => Next::RollBack(fault),
-            None if snapshot.is_past(RAMP_PART) => Next::Shift,
-            None => Next::Wait,
+            Some(fault) => Action::RollBack(fault),
+            None if snapshot.is_past(RAMP_PART) => Action::Shift,
+            None => Action::Wait,
         }
     }
 
-    fn watch_shift(&mut self, snapshot: &Snapshot<'_>) -> Next {
+    fn watch_shift(&mut self, snapshot: &Snapshot<'_>) -> Action {
         if let Some(fault) = self.judge.weigh(snapshot.tallies) {
-            return Next::RollBack(fault);
+            return Action::RollBack(fault);
         }
         let shifted_at = *self.shifted_at.get_or_insert(snapshot.elapsed);
         let least = (snapshot.duration as f64 * LEAST_SHIFT_PART) as Millis;
         let is_watched = snapshot.elapsed >= shifted_at + least;
         if (is_watched && snapshot.in_flight == 0) || snapshot.is_past(FORCED_PART) {
-            return Next::Complete { cut: snapshot.in_flight };
+            return Action::Complete { cut: snapshot.in_flight };
         }
-        Next::Wait
+        Action::Wait
     }
 }
--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -3,8 +3,8 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Next, Order, Phase, Progress, Registry, Report, Series, Snapshot, Stage, Tallies,
-    Tolerance, VersionFilter,
+    Action, Announcement, Order, Phase, Progress, Registry, Report, Series, Snapshot, Stage,
+    Tallies, Tolerance, VersionFilter,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
@@ -193,30 +193,30 @@
     let step = |progress: &mut Progress, stage, elapsed| {
         progress.step(&snapshot(stage, elapsed, &tallies))
     };
-    assert_eq!(step(&mut progress, Stage::Pending, 0), Next::Begin);
-    assert_eq!(step(&mut progress, Stage::Canary, 6_500), Next::Wait);
-    assert_eq!(step(&mut progress, Stage::Canary, 6_610), Next::Ramp);
-    assert_eq!(step(&mut progress, Stage::Ramp, 8_150), Next::Wait);
-    assert_eq!(step(&mut progress, Stage::Ramp, 8_170), Next::Shift);
-    assert_eq!(step(&mut progress, Stage::Shifting, 8_200), Next::Wait);
+    assert_eq!(step(&mut progress, Stage::Pending, 0), Action::Begin);
+    assert_eq!(step(&mut progress, Stage::Canary, 6_500), Action::Wait);
+    assert_eq!(step(&mut progress, Stage::Canary, 6_610), Action::Ramp);
+    assert_eq!(step(&mut progress, Stage::Ramp, 8_150), Action::Wait);
+    assert_eq!(step(&mut progress, Stage::Ramp, 8_170), Action::Shift);
+    assert_eq!(step(&mut progress, Stage::Shifting, 8_200), Action::Wait);
     let drained =
         |elapsed| Snapshot { in_flight: 0, ..snapshot(Stage::Shifting, elapsed, &tallies) };
     // A version that is bad under its whole load must have the time to show.
-    assert_eq!(progress.step(&drained(9_600)), Next::Wait);
-    assert_eq!(progress.step(&drained(9_640)), Next::Complete { cut: 0 });
-    assert_eq!(step(&mut progress, Stage::Shifting, 10_200), Next::Complete { cut: 3 });
-    assert_eq!(step(&mut progress, Stage::Completed, 12_000), Next::Wait);
+    assert_eq!(progress.step(&drained(9_600)), Action::Wait);
+    assert_eq!(progress.step(&drained(9_640)), Action::Complete { cut: 0 });
+    assert_eq!(step(&mut progress, Stage::Shifting, 10_200), Action::Complete { cut: 3 });
+    assert_eq!(step(&mut progress, Stage::Completed, 12_000), Action::Wait);
 }
 
 #[test]
 fn a_version_with_too_few_answers_or_servers_is_given_up() {
     let few = answers(29, 0, 600);
     let mut progress = Progress::default();
-    assert_eq!(progress.step(&snapshot(Stage::Canary, 10_000, &few)), Next::Wait);
-    assert_eq!(progress.step(&snapshot(Stage::Canary, 10_200, &few)), Next::GiveUp);
+    assert_eq!(progress.step(&snapshot(Stage::Canary, 10_000, &few)), Action::Wait);
+    assert_eq!(progress.step(&snapshot(Stage::Canary, 10_200, &few)), Action::GiveUp);
     let enough = answers(60, 0, 600);
     let alone = Snapshot { target_servers: 2, ..snapshot(Stage::Canary, 8_000, &enough) };
-    assert_eq!(Progress::default().step(&alone), Next::Wait);
+    assert_eq!(Progress::default().step(&alone), Action::Wait);
 }
 
 #[test]
@@ -224,7 +224,7 @@
     for stage in [Stage::Canary, Stage::Ramp, Stage::Shifting] {
         let tallies = answers(20, 8, 600);
         let next = Progress::default().step(&snapshot(stage, 1_000, &tallies));
-        assert!(matches!(next, Next::RollBack(_)), "{next:?}");
+        assert!(matches!(next, Action::RollBack(_)), "{next:?}");
     }
 }
 
@@ -232,7 +232,7 @@
 fn an_order_for_the_version_that_runs_is_complete_at_once() {
     let tallies = Tallies::default();
     let all = Snapshot { other_servers: 0, ..snapshot(Stage::Pending, 0, &tallies) };
-    assert_eq!(Progress::default().step(&all), Next::Complete { cut: 0 });
+    assert_eq!(Progress::default().step(&all), Action::Complete { cut: 0 });
 }
 
 #[test]
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use keeljunction_core::serving::rollout::{
-    Comparison, Exposure, Next, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
+    Action, Comparison, Exposure, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
 };
 
 /// How a version is bad.
@@ -163,20 +163,20 @@
             }
             Decider::Thresholds if stage == Stage::Canary => {
                 if elapsed >= 7_200 {
-                    Next::Shift
+                    Action::Shift
                 } else {
-                    Next::Wait
+                    Action::Wait
                 }
             }
             Decider::Thresholds => progress.step(&Snapshot { tallies: &nothing, ..snapshot }),
         };
         match next {
-            Next::Wait => None,
-            Next::Begin => Some(Stage::Canary),
-            Next::Ramp => Some(Stage::Ramp),
-            Next::Shift => Some(Stage::Shifting),
-            Next::Complete { .. } => Some(Stage::Completed),
-            Next::RollBack(_) | Next::GiveUp => Some(Stage::RolledBack),
+            Action::Wait => None,
+            Action::Begin => Some(Stage::Canary),
+            Action::Ramp => Some(Stage::Ramp),
+            Action::Shift => Some(Stage::Shifting),
+            Action::Complete { .. } => Some(Stage::Completed),
+            Action::RollBack(_) | Action::GiveUp => Some(Stage::RolledBack),
         }
     }
 }
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -16,7 +16,7 @@
 use keeljunction_core::serving::duty_lease::TableClock;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Next, Order, Progress, Report, Snapshot, Stage, VersionFilter,
+    Action, Announcement, Order, Progress, Report, Snapshot, Stage, VersionFilter,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 use serde::{Deserialize, Serialize};
@@ -262,21 +262,23 @@
 }
 
 /// Returns the stage that follows, and why; `None` where it stays.
-fn get_stage(next: Next) -> Option<(Stage, Reason)> {
+fn get_stage(next: Action) -> Option<(Stage, Reason)> {
     let reason = |why| Reason { why, route: None, in_flight: 0 };
     match next {
-        Next::Wait => None,
-        Next::Begin => Some((Stage::Canary, reason("ordered"))),
-        Next::Ramp => Some((Stage::Ramp, reason("as good as the others"))),
-        Next::Shift => Some((Stage::Shifting, reason("as good as the others under load"))),
-        Next::Complete { cut } => {
+        Action::Wait => None,
+        Action::Begin => Some((Stage::Canary, reason("ordered"))),
+        Action::Ramp => Some((Stage::Ramp, reason("as good as the others"))),
+        Action::Shift => Some((Stage::Shifting, reason("as good as the others under load"))),
+        Action::Complete { cut } => {
             Some((Stage::Completed, Reason { in_flight: cut, ..reason("carries the load") }))
         }
-        Next::RollBack(fault) => {
+        Action::RollBack(fault) => {
             let route = fault.series.map(|series| series.route);
             Some((Stage::RolledBack, Reason { route, ..reason(fault.symptom.as_str()) }))
         }
-        Next::GiveUp => Some((Stage::RolledBack, reason("too few answers or servers to judge by"))),
+        Action::GiveUp => {
+            Some((Stage::RolledBack, reason("too few answers or servers to judge by")))
+        }
     }
 }
 
