--- a/crates/core/src/serving/summary_pacer.rs
+++ b/crates/core/src/serving/summary_pacer.rs
@@ -16,19 +16,19 @@
 
 /// Paces what one aggregator sends to other regions.
 #[derive(Clone, Debug)]
-pub struct Crossing {
+pub struct SummaryPacer {
     /// The budget of the whole region, in bits a millisecond.
     bits_per_ms: f64,
     /// Bits that this aggregator may send by now; below 0 where it sent more than its part.
     available: f64,
     filled_at: Millis,
-    /// Bytes that it had sent to other regions at the last call of [`Crossing::is_due`].
+    /// Bytes that it had sent to other regions at the last call of [`SummaryPacer::is_due`].
     crossed: u64,
     sent_at: Option<Millis>,
     period: Millis,
 }
 
-impl Crossing {
+impl SummaryPacer {
     /// Makes the pace for a region that may send so many kilobits a second to the others.
     pub fn new(kbps: f64) -> Self {
         Self {
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -9,7 +9,7 @@
 use keeljunction_core::serving::members::{Entry, Heard, Members, Overview, Role};
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Report, Source, Tolerance};
 use keeljunction_core::serving::report_log::{Handover, Snapshot};
-use keeljunction_core::serving::summary_pacer::Crossing;
+use keeljunction_core::serving::summary_pacer::SummaryPacer;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
@@ -87,7 +87,7 @@
     handover: Handover,
     /// The aggregator that it reports to; `None` where it aggregates.
     audience: Option<String>,
-    pace: Crossing,
+    pace: SummaryPacer,
     crossed: u64,
     sent: usize,
     /// The newest report of each node that arrived here, by its time there.
@@ -191,7 +191,7 @@
             quotas: Quotas::new(now, TOLERANCE),
             ledger: Ledger::default(),
             handover: Handover::new(incarnation),
-            pace: Crossing::new(scenario.control_kbps),
+            pace: SummaryPacer::new(scenario.control_kbps),
             crossed: 0,
             sent: 0,
             newest: BTreeMap::new(),
--- a/crates/gateway/src/node/peers/carrying.rs
+++ b/crates/gateway/src/node/peers/carrying.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use keeljunction_core::serving::summary_pacer::Crossing;
+use keeljunction_core::serving::summary_pacer::SummaryPacer;
 
 use super::audience::Samples;
 
 /// What this node sends to other regions.
 #[derive(Debug)]
 pub(in crate::node) struct Carrying {
-    pub(super) pace: Crossing,
+    pub(super) pace: SummaryPacer,
     /// Summaries that crossed, which are sent to the carriers by turns.
     pub(super) sent: usize,
     /// Samples that wait for the next summary that crosses.
@@ -22,7 +22,7 @@
     /// Makes the state of a node whose region may send so many kilobits a second to the others.
     pub(in crate::node) fn new(control_kbps: f64) -> Self {
         Self {
-            pace: Crossing::new(control_kbps),
+            pace: SummaryPacer::new(control_kbps),
             sent: 0,
             samples: Samples::new(),
             lost: BTreeSet::new(),
