--- a/crates/core/src/serving/summary_pacer.rs
+++ b/crates/core/src/serving/summary_pacer.rs
@@ -56,7 +56,7 @@
     }
 
     /// Notes that a summary crosses now.
-    pub fn note_sent(&mut self, now: Millis) {
+    pub fn record_sent(&mut self, now: Millis) {
         if let Some(sent_at) = self.sent_at.replace(now) {
             self.period = now.saturating_sub(sent_at).min(LONGEST_PERIOD);
         }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -360,7 +360,7 @@
         if !self.pace.is_due(now, self.crossed, senders) {
             return Vec::new();
         }
-        self.pace.note_sent(now);
+        self.pace.record_sent(now);
         self.sent += 1;
         self.members.pick_carriers(now, self.sent)
     }
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -65,7 +65,7 @@
         if !state.carrying.pace.is_due(now, crossed, senders) {
             return Vec::new();
         }
-        state.carrying.pace.note_sent(now);
+        state.carrying.pace.record_sent(now);
         state.carrying.sent += 1;
         let turn = state.carrying.sent;
         summary.totals.throughputs = std::mem::take(&mut state.carrying.samples);
