--- a/crates/core/src/serving/round_trip.rs
+++ b/crates/core/src/serving/round_trip.rs
@@ -23,7 +23,7 @@
 
 /// Round trips from this node to the other regions.
 #[derive(Clone, Debug, Default)]
-pub struct Distances {
+pub struct RoundTrips {
     by_region: BTreeMap<String, Estimate>,
 }
 
@@ -34,7 +34,7 @@
     deviation: f64,
 }
 
-impl Distances {
+impl RoundTrips {
     /// Notes the time between a question to a node of a region and its answer.
     pub fn record(&mut self, region: &str, round_trip: Millis) {
         let newest = round_trip as f64;
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use keeljunction_core::ErrorKind;
-use keeljunction_core::serving::round_trip::Distances;
+use keeljunction_core::serving::round_trip::RoundTrips;
 use keeljunction_core::serving::topology::Topology;
 
 fn two_regions() -> BTreeMap<String, String> {
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_region_that_was_not_measured_is_waited_for_longer_than_one_round_trip() {
-    let distances = Distances::default();
+    let distances = RoundTrips::default();
 
     assert_eq!(distances.get_round_trip("b"), 100);
     assert_eq!(distances.get_wait("b", 25), 150);
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_wait_follows_the_measured_round_trips_and_is_bounded() {
-    let mut distances = Distances::default();
+    let mut distances = RoundTrips::default();
     for _ in 0..50 {
         distances.record("b", 60);
     }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -24,7 +24,7 @@
 use keeljunction_core::serving::quota::{self, Quotas, Tolerance};
 use keeljunction_core::serving::report_log::Handover;
 use keeljunction_core::serving::rollout;
-use keeljunction_core::serving::round_trip::Distances;
+use keeljunction_core::serving::round_trip::RoundTrips;
 use keeljunction_core::serving::spill::Links;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::throughput::Throughput;
@@ -182,7 +182,7 @@
     /// Other nodes.
     pub members: Members,
     /// Round trips to other regions.
-    pub distances: Distances,
+    pub distances: RoundTrips,
     /// The budgets of the links to other regions.
     pub links: Links,
     /// Summaries that this node sends to other regions.
@@ -286,7 +286,7 @@
             outgoing_usage: Outgoing::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
-            distances: Distances::default(),
+            distances: RoundTrips::default(),
             links: Links::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
