--- a/crates/core/src/serving/round_trip.rs
+++ b/crates/core/src/serving/round_trip.rs
@@ -55,7 +55,7 @@
 
     /// Returns how long to wait for an answer from a node of another region; `least` where that is
     /// longer.
-    pub fn get_wait(&self, region: &str, least: Millis) -> Millis {
+    pub fn get_timeout(&self, region: &str, least: Millis) -> Millis {
         let known = self.by_region.get(region);
         let wait = known.map_or(UNMEASURED as f64 * 1.5, |known| {
             known.round_trip + DEVIATIONS * known.deviation
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -43,7 +43,7 @@
     let distances = RoundTrips::default();
 
     assert_eq!(distances.get_round_trip("b"), 100);
-    assert_eq!(distances.get_wait("b", 25), 150);
+    assert_eq!(distances.get_timeout("b", 25), 150);
 }
 
 #[test]
@@ -54,11 +54,11 @@
     }
 
     assert_eq!(distances.get_round_trip("b"), 60);
-    assert_eq!(distances.get_wait("b", 25), 61);
-    assert_eq!(distances.get_wait("b", 90), 90);
+    assert_eq!(distances.get_timeout("b", 25), 61);
+    assert_eq!(distances.get_timeout("b", 90), 90);
 
     for _ in 0..50 {
         distances.record("b", 2_000);
     }
-    assert_eq!(distances.get_wait("b", 25), 300);
+    assert_eq!(distances.get_timeout("b", 25), 300);
 }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -77,7 +77,8 @@
 fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, Kept>) -> Duration {
     let near = ANSWERS_WITHIN.as_millis() as Millis;
     let far = by_owner.values().filter_map(|kept| kept.far_region.as_deref());
-    let longest = node.with(|state| far.map(|region| state.distances.get_wait(region, near)).max());
+    let longest =
+        node.with(|state| far.map(|region| state.distances.get_timeout(region, near)).max());
     longest.map_or(ANSWERS_WITHIN, Duration::from_millis)
 }
 
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -92,7 +92,7 @@
     let message = Message::AskPermit { question: question.number, sighting, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
     let wait = owner.far_region.as_deref().map_or(DECIDED_WITHIN, |region| {
-        node.with(|state| state.distances.get_wait(region, DECIDED_WITHIN))
+        node.with(|state| state.distances.get_timeout(region, DECIDED_WITHIN))
     });
     let decision = question.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
