--- a/crates/core/src/serving/freshness.rs
+++ b/crates/core/src/serving/freshness.rs
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
     /// That of the configuration.
-    pub configuration: Option<Known<u64>>,
+    pub configuration: Option<KnownVersion<u64>>,
     /// That of the list of servers.
-    pub servers: Option<Known<TableVersion>>,
+    pub servers: Option<KnownVersion<TableVersion>>,
 }
 
 /// A version that a node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known<V> {
+pub struct KnownVersion<V> {
     /// The version.
     pub version: V,
     /// Milliseconds since the node knew it to be the newest.
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::freshness::{Known, Versions};
+use keeljunction_core::serving::freshness::{KnownVersion, Versions};
 use keeljunction_core::serving::table_version::TableVersion;
 
 use super::calls;
@@ -130,7 +130,7 @@
     node: Arc<Node>,
     from: SocketAddr,
     asked_at: Option<Millis>,
-    known: Known<u64>,
+    known: KnownVersion<u64>,
 ) {
     calls::get_configuration(node.clone(), from).await;
     confirm_configuration(&node, asked_at, known);
@@ -141,14 +141,14 @@
     node: Arc<Node>,
     from: SocketAddr,
     asked_at: Option<Millis>,
-    known: Known<TableVersion>,
+    known: KnownVersion<TableVersion>,
 ) {
     calls::get_servers(node.clone(), from).await;
     confirm_servers(&node, asked_at, known);
 }
 
 /// Confirms this node's configuration by what a peer knows; one that is older than that stays unconfirmed.
-fn confirm_configuration(node: &Node, asked_at: Option<Millis>, known: Known<u64>) {
+fn confirm_configuration(node: &Node, asked_at: Option<Millis>, known: KnownVersion<u64>) {
     let Some(asked_at) = asked_at.filter(|_| has_configuration(node, known.version)) else {
         return;
     };
@@ -157,7 +157,7 @@
 
 /// Confirms the list of servers by a peer's. The list that was got may be newer than the one that was
 /// reported, and never older; that a list of an earlier era was the newest says nothing of this one.
-fn confirm_servers(node: &Node, asked_at: Option<Millis>, known: Known<TableVersion>) {
+fn confirm_servers(node: &Node, asked_at: Option<Millis>, known: KnownVersion<TableVersion>) {
     let Some(asked_at) = asked_at else { return };
     node.with(|state| {
         let own = state.directory.get_version();
--- a/crates/gateway/src/node/staleness.rs
+++ b/crates/gateway/src/node/staleness.rs
@@ -1,7 +1,7 @@
 //! How old the knowledge of the platform's tables may be, and how old it is.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::freshness::{Known, Versions};
+use keeljunction_core::serving::freshness::{KnownVersion, Versions};
 
 use super::Node;
 
@@ -22,8 +22,9 @@
         let servers_age = state.servers_freshness.get_age(now);
         Versions {
             configuration: configuration
-                .map(|(configuration, age)| Known { version: configuration.version, age }),
-            servers: servers_age.map(|age| Known { version: state.directory.get_version(), age }),
+                .map(|(configuration, age)| KnownVersion { version: configuration.version, age }),
+            servers: servers_age
+                .map(|age| KnownVersion { version: state.directory.get_version(), age }),
         }
     })
 }
