--- a/crates/core/src/serving/report_log.rs
+++ b/crates/core/src/serving/report_log.rs
@@ -27,13 +27,13 @@
 
 /// The reports of one node to those that sum them up.
 #[derive(Clone, Debug)]
-pub struct Handover {
+pub struct ReportLog {
     incarnation: Incarnation,
     reports: VecDeque<(Millis, Snapshot)>,
     arrived: Option<(Millis, Snapshot)>,
 }
 
-impl Handover {
+impl ReportLog {
     /// Begins with the first incarnation of a node.
     pub fn new(incarnation: Incarnation) -> Self {
         Self { incarnation, reports: VecDeque::new(), arrived: None }
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::quota::{
     Decision, Limit, Quotas, Reach, Report, Source, Tolerance,
 };
-use keeljunction_core::serving::report_log::{Handover, Snapshot};
+use keeljunction_core::serving::report_log::{ReportLog, Snapshot};
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
 
@@ -42,7 +42,7 @@
 struct Node {
     number: usize,
     quotas: Quotas,
-    handover: Handover,
+    handover: ReportLog,
     ledger: Ledger,
     aggregator: usize,
     heard_at: u64,
@@ -60,7 +60,7 @@
         Self {
             number,
             quotas: Quotas::new(now, TOLERANCE),
-            handover: Handover::new(incarnation),
+            handover: ReportLog::new(incarnation),
             ledger: Ledger::default(),
             aggregator: number % GROUPS,
             heard_at: now,
@@ -534,7 +534,7 @@
         usage: BTreeMap::from([(WINDOW, Counts::from([("acme".to_owned(), count)]))]),
         ..Snapshot::default()
     };
-    let mut handover = Handover::new(incarnation(1));
+    let mut handover = ReportLog::new(incarnation(1));
     handover.record(400, snapshot(3));
     handover.record(800, snapshot(5));
     handover.record(1_200, snapshot(9));
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -8,7 +8,7 @@
 use keeljunction_core::serving::load::short_id;
 use keeljunction_core::serving::members::{Entry, Heard, Members, Overview, Role};
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Report, Source, Tolerance};
-use keeljunction_core::serving::report_log::{Handover, Snapshot};
+use keeljunction_core::serving::report_log::{ReportLog, Snapshot};
 use keeljunction_core::serving::summary_pacer::SummaryPacer;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
@@ -84,7 +84,7 @@
     members: Members,
     quotas: Quotas,
     ledger: Ledger,
-    handover: Handover,
+    handover: ReportLog,
     /// The aggregator that it reports to; `None` where it aggregates.
     audience: Option<String>,
     pace: SummaryPacer,
@@ -190,7 +190,7 @@
             members,
             quotas: Quotas::new(now, TOLERANCE),
             ledger: Ledger::default(),
-            handover: Handover::new(incarnation),
+            handover: ReportLog::new(incarnation),
             pace: SummaryPacer::new(scenario.control_kbps),
             crossed: 0,
             sent: 0,
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -22,7 +22,7 @@
 use keeljunction_core::serving::memory::MemoryBudget;
 use keeljunction_core::serving::quarantine::{self, Fingerprint};
 use keeljunction_core::serving::quota::{self, Quotas, Tolerance};
-use keeljunction_core::serving::report_log::Handover;
+use keeljunction_core::serving::report_log::ReportLog;
 use keeljunction_core::serving::rollout;
 use keeljunction_core::serving::round_trip::RoundTrips;
 use keeljunction_core::serving::spill::Links;
@@ -192,7 +192,7 @@
     /// Whom this node reports its counts to.
     pub(super) audience: Audience,
     /// Which of its counts have arrived there.
-    pub handover: Handover,
+    pub handover: ReportLog,
     /// Samples of throughput for the nodes of this node's group.
     pub(super) samples: Samples,
     /// The lease of the duties.
@@ -291,7 +291,7 @@
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             audience: Audience::default(),
-            handover: Handover::new(incarnation.clone()),
+            handover: ReportLog::new(incarnation.clone()),
             samples: Samples::new(),
             lease: DutyLease::new(
                 incarnation.node.clone(),
