--- a/crates/core/src/serving/report_log.rs
+++ b/crates/core/src/serving/report_log.rs
@@ -54,7 +54,7 @@
 
     /// Notes that the report of a time arrived, and returns its counts; `None` where it is not
     /// kept any more.
-    pub fn confirm(&mut self, sent_at: Millis) -> Option<&Snapshot> {
+    pub fn acknowledge(&mut self, sent_at: Millis) -> Option<&Snapshot> {
         while self.reports.front().is_some_and(|(at, _)| *at <= sent_at) {
             self.arrived = self.reports.pop_front();
         }
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -281,7 +281,7 @@
             }
             node.heard_at = now;
             node.heard_elsewhere = heard;
-            let arrived = answers.and_then(|at| node.handover.confirm(at).cloned());
+            let arrived = answers.and_then(|at| node.handover.acknowledge(at).cloned());
             if let Some(arrived) = arrived {
                 node.quotas.merge_total(now, (&run.0, run.1), &total, &arrived.quota);
             }
@@ -538,13 +538,13 @@
     handover.record(400, snapshot(3));
     handover.record(800, snapshot(5));
     handover.record(1_200, snapshot(9));
-    assert_eq!(handover.confirm(800), Some(&snapshot(5)));
+    assert_eq!(handover.acknowledge(800), Some(&snapshot(5)));
     // An older confirmation that was late changes nothing.
-    assert_eq!(handover.confirm(400), None);
+    assert_eq!(handover.acknowledge(400), None);
     assert_eq!(handover.get_arrived(), Some(&snapshot(5)));
     assert_eq!(handover.begin(2), snapshot(5));
     assert_eq!(handover.get_incarnation(), &incarnation(2));
     // Reports of the former incarnation are confirmed no more.
-    assert_eq!(handover.confirm(1_200), None);
+    assert_eq!(handover.acknowledge(1_200), None);
     assert_eq!(handover.begin(3), Snapshot::default());
 }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -292,7 +292,7 @@
         if told.is_region_overdue {
             self.quotas.note_overdue_region(now);
         }
-        let arrived = told.answers.and_then(|at| self.handover.confirm(at).cloned());
+        let arrived = told.answers.and_then(|at| self.handover.acknowledge(at).cloned());
         if let Some(arrived) = arrived {
             self.quotas.merge_total(now, (name, told.incarnation), &told.total, &arrived.quota);
         }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -387,5 +387,5 @@
             begin_incarnation(state, now, false);
         }
     }
-    state.handover.confirm(asked_at?).cloned()
+    state.handover.acknowledge(asked_at?).cloned()
 }
