--- a/crates/core/src/serving/report_log.rs
+++ b/crates/core/src/serving/report_log.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the counts that are known to have arrived last.
-    pub fn get_arrived(&self) -> Option<&Snapshot> {
+    pub fn get_acknowledged(&self) -> Option<&Snapshot> {
         self.arrived.as_ref().map(|(_, snapshot)| snapshot)
     }
 
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -541,7 +541,7 @@
     assert_eq!(handover.acknowledge(800), Some(&snapshot(5)));
     // An older confirmation that was late changes nothing.
     assert_eq!(handover.acknowledge(400), None);
-    assert_eq!(handover.get_arrived(), Some(&snapshot(5)));
+    assert_eq!(handover.get_acknowledged(), Some(&snapshot(5)));
     assert_eq!(handover.begin(2), snapshot(5));
     assert_eq!(handover.get_incarnation(), &incarnation(2));
     // Reports of the former incarnation are confirmed no more.
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -139,7 +139,7 @@
         let usage = get_own_usage(state);
         let snapshot =
             Snapshot { quota: quota.accounts.clone(), usage: usage.iter().cloned().collect() };
-        if let Some(arrived) = state.handover.get_arrived() {
+        if let Some(arrived) = state.handover.get_acknowledged() {
             quota.accounts.retain(|account, units| arrived.quota.get(account) != Some(units));
         }
         state.handover.record(now, snapshot);
