--- a/crates/core/src/serving/report_log.rs
+++ b/crates/core/src/serving/report_log.rs
@@ -68,7 +68,7 @@
 
     /// Begins a new incarnation; returns the counts that arrived under the former one, which the
     /// node must no longer report.
-    pub fn begin(&mut self, number: u64) -> Snapshot {
+    pub fn begin_incarnation(&mut self, number: u64) -> Snapshot {
         self.incarnation.number = number;
         self.reports.clear();
         self.arrived.take().map(|(_, snapshot)| snapshot).unwrap_or_default()
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -105,7 +105,7 @@
     /// Turns to another aggregator, or begins anew with one that has started again.
     fn turn(&mut self, now: u64, to: usize, number: u64) {
         let former = self.handover.get_incarnation().clone();
-        let arrived = self.handover.begin(number);
+        let arrived = self.handover.begin_incarnation(number);
         let next = self.handover.get_incarnation().clone();
         self.quotas.hand_over(now, &arrived.quota);
         self.ledger.hand_over(&former, &next, &arrived.usage, false);
@@ -542,9 +542,9 @@
     // An older confirmation that was late changes nothing.
     assert_eq!(handover.acknowledge(400), None);
     assert_eq!(handover.get_acknowledged(), Some(&snapshot(5)));
-    assert_eq!(handover.begin(2), snapshot(5));
+    assert_eq!(handover.begin_incarnation(2), snapshot(5));
     assert_eq!(handover.get_incarnation(), &incarnation(2));
     // Reports of the former incarnation are confirmed no more.
     assert_eq!(handover.acknowledge(1_200), None);
-    assert_eq!(handover.begin(3), Snapshot::default());
+    assert_eq!(handover.begin_incarnation(3), Snapshot::default());
 }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -213,7 +213,7 @@
 
     fn begin(&mut self, now: u64, was_own_sum: bool) {
         let former = self.handover.get_incarnation().clone();
-        let arrived = self.handover.begin(now + 1_000_000);
+        let arrived = self.handover.begin_incarnation(now + 1_000_000);
         let next = self.handover.get_incarnation().clone();
         self.quotas.hand_over(now, &arrived.quota);
         self.ledger.hand_over(&former, &next, &arrived.usage, was_own_sum);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -99,7 +99,7 @@
 /// Begins to count from what did not arrive where this node reported until now.
 fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
     let former = state.handover.get_incarnation().clone();
-    let arrived = state.handover.begin(fastrand::u64(..));
+    let arrived = state.handover.begin_incarnation(fastrand::u64(..));
     let next = state.handover.get_incarnation().clone();
     state.quotas.hand_over(now, &arrived.quota);
     state.usage.hand_over(&former, &next, &arrived.usage, was_own_sum);
