--- a/crates/core/src/serving/in_flight_bytes.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -20,7 +20,7 @@
 
 /// The bytes of this node's requests that each server holds, and the bounds of the services.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Limiter {
     /// The bytes held at each server, by its id.
     servers: HashMap<String, u64>,
     /// The bound for each server of a service, by the service.
@@ -42,7 +42,7 @@
     }
 }
 
-impl Book {
+impl Limiter {
     /// Counts a request that is sent to a server.
     pub fn begin(&mut self, id: &str, bytes: u64) {
         if bytes > 0 {
--- a/crates/core/tests/serving/held.rs
+++ b/crates/core/tests/serving/held.rs
@@ -1,7 +1,7 @@
-use keeljunction_core::serving::in_flight_bytes::{Book, LEAST_SUSPECT};
+use keeljunction_core::serving::in_flight_bytes::{LEAST_SUSPECT, Limiter};
 
-fn book_with(id: &str, bytes: u64) -> Book {
-    let mut book = Book::default();
+fn book_with(id: &str, bytes: u64) -> Limiter {
+    let mut book = Limiter::default();
     book.begin(id, bytes);
     book
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -160,7 +160,7 @@
     /// What servers say about the requests that follow.
     pub backpressure: backpressure::Tracker,
     /// Bytes of requests that each server holds for this node.
-    pub held: in_flight_bytes::Book,
+    pub held: in_flight_bytes::Limiter,
     /// Requests that crash servers.
     pub quarantine: quarantine::Tracker,
     /// What client accounts have used.
@@ -277,7 +277,7 @@
             loads: LoadBook::default(),
             health: Health::default(),
             backpressure: backpressure::Tracker::new(fastrand::f64()),
-            held: in_flight_bytes::Book::default(),
+            held: in_flight_bytes::Limiter::default(),
             quarantine: quarantine::Tracker::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             budget: Budget::new(allowance),
