--- a/crates/core/src/serving/in_flight_bytes.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -11,7 +11,7 @@
 
 /// The least bytes held at a server whose end is taken for a lack of memory: some tens of usual
 /// requests, or a single large one.
-pub const LEAST_SUSPECT: u64 = 32 * 1024;
+pub const MIN_SUSPECT_BYTES: u64 = 32 * 1024;
 /// The time in which a bound doubles, in milliseconds: a server that ended is back by then, and the
 /// node that lowered its bound too far works at it again within a minute.
 const DOUBLES_IN: Millis = 5_000;
@@ -72,14 +72,14 @@
     /// Notes that a server ended a connection before its answer was whole; returns the new bound, or
     /// `None` where the server held too little to lower it.
     ///
-    /// The bound falls to half of what was held, and no lower than [`LEAST_SUSPECT`].
+    /// The bound falls to half of what was held, and no lower than [`MIN_SUSPECT_BYTES`].
     pub fn note_end(&mut self, now: Millis, service: &str, id: &str) -> Option<u64> {
         let held = self.get(id);
-        if held < LEAST_SUSPECT {
+        if held < MIN_SUSPECT_BYTES {
             return None;
         }
         let before = self.get_bound(now, service).unwrap_or(u64::MAX);
-        let bytes = (held / 2).max(LEAST_SUSPECT).min(before);
+        let bytes = (held / 2).max(MIN_SUSPECT_BYTES).min(before);
         self.bounds.insert(service.to_owned(), Bound { bytes, lowered_at: now });
         Some(bytes)
     }
--- a/crates/core/tests/serving/held.rs
+++ b/crates/core/tests/serving/held.rs
@@ -1,4 +1,4 @@
-use keeljunction_core::serving::in_flight_bytes::{LEAST_SUSPECT, Limiter};
+use keeljunction_core::serving::in_flight_bytes::{Limiter, MIN_SUSPECT_BYTES};
 
 fn book_with(id: &str, bytes: u64) -> Limiter {
     let mut book = Limiter::default();
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_server_that_ends_under_little_lowers_nothing() {
-    let mut book = book_with("a", LEAST_SUSPECT - 1);
+    let mut book = book_with("a", MIN_SUSPECT_BYTES - 1);
     assert_eq!(book.note_end(1_000, "llm", "a"), None);
     assert_eq!(book.get_bound(1_000, "llm"), None);
 }
@@ -54,7 +54,7 @@
     assert_eq!(book.note_end(1_000, "llm", "a"), Some(50_000));
     assert_eq!(book.note_end(1_001, "llm", "a"), Some(50_000));
     book.end("a", 60_000);
-    assert_eq!(book.note_end(1_002, "llm", "a"), Some(LEAST_SUSPECT));
+    assert_eq!(book.note_end(1_002, "llm", "a"), Some(MIN_SUSPECT_BYTES));
 }
 
 #[test]
