--- a/crates/core/src/serving/in_flight_bytes.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -73,7 +73,7 @@
     /// `None` where the server held too little to lower it.
     ///
     /// The bound falls to half of what was held, and no lower than [`MIN_SUSPECT_BYTES`].
-    pub fn note_end(&mut self, now: Millis, service: &str, id: &str) -> Option<u64> {
+    pub fn record_disconnect(&mut self, now: Millis, service: &str, id: &str) -> Option<u64> {
         let held = self.get(id);
         if held < MIN_SUSPECT_BYTES {
             return None;
--- a/crates/core/tests/serving/held.rs
+++ b/crates/core/tests/serving/held.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_server_that_ends_under_much_lowers_the_bound_of_its_service() {
     let mut book = book_with("a", 1_000_000);
-    assert_eq!(book.note_end(1_000, "llm", "a"), Some(500_000));
+    assert_eq!(book.record_disconnect(1_000, "llm", "a"), Some(500_000));
     book.begin("b", 400_000);
     assert!(book.is_full(1_000, "llm", "b", 100_001));
     assert!(!book.is_full(1_000, "llm", "b", 100_000));
@@ -37,30 +37,30 @@
 #[test]
 fn a_server_that_ends_under_little_lowers_nothing() {
     let mut book = book_with("a", MIN_SUSPECT_BYTES - 1);
-    assert_eq!(book.note_end(1_000, "llm", "a"), None);
+    assert_eq!(book.record_disconnect(1_000, "llm", "a"), None);
     assert_eq!(book.get_bound(1_000, "llm"), None);
 }
 
 #[test]
 fn one_request_is_not_too_large_for_an_idle_server() {
     let mut book = book_with("a", 1_000_000);
-    book.note_end(1_000, "llm", "a");
+    book.record_disconnect(1_000, "llm", "a");
     assert!(!book.is_full(1_000, "llm", "b", 9_000_000));
 }
 
 #[test]
 fn a_bound_falls_with_each_end_and_no_lower_than_much() {
     let mut book = book_with("a", 100_000);
-    assert_eq!(book.note_end(1_000, "llm", "a"), Some(50_000));
-    assert_eq!(book.note_end(1_001, "llm", "a"), Some(50_000));
+    assert_eq!(book.record_disconnect(1_000, "llm", "a"), Some(50_000));
+    assert_eq!(book.record_disconnect(1_001, "llm", "a"), Some(50_000));
     book.end("a", 60_000);
-    assert_eq!(book.note_end(1_002, "llm", "a"), Some(MIN_SUSPECT_BYTES));
+    assert_eq!(book.record_disconnect(1_002, "llm", "a"), Some(MIN_SUSPECT_BYTES));
 }
 
 #[test]
 fn a_bound_doubles_each_five_seconds_and_is_forgotten_after_forty() {
     let mut book = book_with("a", 1_000_000);
-    book.note_end(1_000, "llm", "a");
+    book.record_disconnect(1_000, "llm", "a");
     let bounds = [5_999, 6_000, 11_000, 40_999, 41_000].map(|now| book.get_bound(now, "llm"));
     let expected = [Some(500_000), Some(1_000_000), Some(2_000_000), Some(64_000_000), None];
     assert_eq!(bounds, expected);
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -261,7 +261,7 @@
         if state.directory.get(id).is_none_or(|known| known.is_leaving) {
             return (held_bytes, None);
         }
-        (held_bytes, state.held.note_end(now, &server.service, id))
+        (held_bytes, state.held.record_disconnect(now, &server.service, id))
     });
     let Some(bound_bytes) = bound else { return false };
     let service = &server.service;
