--- a/crates/core/src/serving/in_flight_bytes.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -78,14 +78,14 @@
         if held < MIN_SUSPECT_BYTES {
             return None;
         }
-        let before = self.get_bound(now, service).unwrap_or(u64::MAX);
+        let before = self.get_limit(now, service).unwrap_or(u64::MAX);
         let bytes = (held / 2).max(MIN_SUSPECT_BYTES).min(before);
         self.bounds.insert(service.to_owned(), Bound { bytes, lowered_at: now });
         Some(bytes)
     }
 
     /// Returns the bytes that may lie at each server of a service; `None` where nothing bounds them.
-    pub fn get_bound(&self, now: Millis, service: &str) -> Option<u64> {
+    pub fn get_limit(&self, now: Millis, service: &str) -> Option<u64> {
         self.bounds.get(service)?.get(now)
     }
 
@@ -94,7 +94,7 @@
     /// One request alone is never too large for an idle server.
     pub fn is_full(&self, now: Millis, service: &str, id: &str, bytes: u64) -> bool {
         let held = self.get(id);
-        let Some(bound) = self.get_bound(now, service) else { return false };
+        let Some(bound) = self.get_limit(now, service) else { return false };
         held > 0 && held + bytes > bound
     }
 }
--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -31,7 +31,7 @@
 const LONGEST_LOOK: Millis = 500;
 
 /// Returns the bytes that a node may hold of one answer, where it may hold `capacity` bytes in all.
-pub fn get_bound(capacity: u64) -> usize {
+pub fn get_limit(capacity: u64) -> usize {
     usize::try_from(capacity / ANSWERS_HELD).unwrap_or(usize::MAX)
 }
 
--- a/crates/core/tests/serving/held.rs
+++ b/crates/core/tests/serving/held.rs
@@ -20,7 +20,7 @@
 #[test]
 fn nothing_bounds_a_service_whose_servers_do_not_end() {
     let book = book_with("a", 1 << 40);
-    assert_eq!(book.get_bound(1_000, "llm"), None);
+    assert_eq!(book.get_limit(1_000, "llm"), None);
     assert!(!book.is_full(1_000, "llm", "a", 1 << 40));
 }
 
@@ -38,7 +38,7 @@
 fn a_server_that_ends_under_little_lowers_nothing() {
     let mut book = book_with("a", MIN_SUSPECT_BYTES - 1);
     assert_eq!(book.record_disconnect(1_000, "llm", "a"), None);
-    assert_eq!(book.get_bound(1_000, "llm"), None);
+    assert_eq!(book.get_limit(1_000, "llm"), None);
 }
 
 #[test]
@@ -61,7 +61,7 @@
 fn a_bound_doubles_each_five_seconds_and_is_forgotten_after_forty() {
     let mut book = book_with("a", 1_000_000);
     book.record_disconnect(1_000, "llm", "a");
-    let bounds = [5_999, 6_000, 11_000, 40_999, 41_000].map(|now| book.get_bound(now, "llm"));
+    let bounds = [5_999, 6_000, 11_000, 40_999, 41_000].map(|now| book.get_limit(now, "llm"));
     let expected = [Some(500_000), Some(1_000_000), Some(2_000_000), Some(64_000_000), None];
     assert_eq!(bounds, expected);
 }
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -1,13 +1,13 @@
 use bytes::Bytes;
 use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
 use keeljunction_core::serving::read_ahead::{
-    Buffer, Caller, Progress, READ_BYTES, get_bound, pick_resting,
+    Buffer, Caller, Progress, READ_BYTES, get_limit, pick_resting,
 };
 use proptest::prelude::*;
 
 #[test]
 fn one_answer_gets_an_eighth_of_the_memory() {
-    assert_eq!(get_bound(64_000_000), 8_000_000);
+    assert_eq!(get_limit(64_000_000), 8_000_000);
 }
 
 #[test]
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -17,7 +17,7 @@
 use futures_lite::{Stream, future};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::memory::Kind;
-use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_bound};
+use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_limit};
 
 use super::flow::Flow;
 use super::respond::{Passage, Record};
@@ -85,7 +85,7 @@
     fn new(node: &Arc<Node>, recipient: Recipient, held: Reservation, due: Millis) -> Arc<Self> {
         let Recipient { request, passage, peer } = recipient;
         passage.open();
-        let bound = get_bound(node.with(|state| state.memory.get_capacity()));
+        let bound = get_limit(node.with(|state| state.memory.get_capacity()));
         let flow = Flow::new(Buffer::new(bound), held, peer, node.now());
         let flow = Mutex::new(flow);
         let id = node.feeds.make_id();
