--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::serving::choice::{Candidate, Criteria, choose, shortlist};
 use keeljunction_core::serving::directory::{Batch, Directory, Entry, Server};
 use keeljunction_core::serving::era::Era;
-use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, Work, short_id};
 use keeljunction_core::serving::members::{self, Members};
 use keeljunction_core::serving::quarantine::{
     Content, Crash, Fingerprint, InterruptedRequest, Standing, Tracker, Verdict,
@@ -79,7 +79,7 @@
     };
     for (nodes, count) in SIZES {
         let servers = servers(count);
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         let is_grouped = members(nodes).is_grouped();
         let reporting = if is_grouped { 0 } else { nodes };
         for node in 0..reporting {
@@ -134,7 +134,7 @@
             continue;
         }
         let servers = servers(count);
-        let book = LoadBook::default();
+        let book = LoadTracker::default();
         let weigh = |server| Candidate {
             server,
             load: book.total(&server.id),
@@ -230,7 +230,7 @@
             });
         });
     }
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     let work = Work { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
     criterion.bench_function("one load told and read", |bencher| {
         bencher.iter(|| {
--- a/crates/core/src/serving/load.rs
+++ b/crates/core/src/serving/load.rs
@@ -100,10 +100,10 @@
 /// The loads of all servers, as this node knows them.
 ///
 /// The sums over all peers are kept up to date with each report, so that reading one does not
-/// depend on the number of peers. [`LoadBook::expire`] must run some times a second: a report
+/// depend on the number of peers. [`LoadTracker::expire`] must run some times a second: a report
 /// counts until the first call after its end.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     own: HashMap<u64, Load>,
     peers: HashMap<String, PeerLoads>,
     /// What all peers have in flight, by server.
@@ -135,7 +135,7 @@
     until: Millis,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Counts a request that is sent to a server.
     pub fn begin(&mut self, id: &str, work: &Work) {
         self.own.entry(short_id(id)).or_default().begin(work);
--- a/crates/core/tests/serving/load.rs
+++ b/crates/core/tests/serving/load.rs
@@ -1,13 +1,13 @@
 use std::collections::HashMap;
 
-use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, Work, short_id};
 use proptest::prelude::*;
 
 const WORK: Work = Work { prompt_tokens: 100, memory_tokens: 150, priority: 1 };
 
 #[test]
 fn a_request_counts_until_it_ends() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.begin("a", &WORK);
     let load = book.total("a");
     assert_eq!((load.requests, load.waiting, load.memory_tokens), (1, 1, 150));
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_request_that_ends_before_its_first_token_leaves_nothing() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.begin("a", &WORK);
     book.begin("a", &WORK);
     book.end("a", &WORK, false);
@@ -32,9 +32,9 @@
 
 #[test]
 fn counts_of_peers_are_added_until_they_are_too_old() {
-    let mut peer = LoadBook::default();
+    let mut peer = LoadTracker::default();
     peer.begin("a", &WORK);
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.begin("a", &WORK);
     book.merge(2_000, "peer", peer.get_own());
     book.expire(1_999);
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_request_that_a_peer_has_just_sent_counts_until_it_is_read_or_told_with_the_others() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     let peers = vec![(short_id("a"), Load { requests: 1, ..Load::default() })];
     book.merge_begun(1_500, "peer", short_id("a"), &WORK);
     assert_eq!(book.total("a"), Load::default());
@@ -68,7 +68,7 @@
 #[test]
 fn what_a_peer_reports_of_one_server_replaces_only_that() {
     let load = |requests| Load { requests, ..Load::default() };
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.merge_server(2_000, "peer", short_id("a"), load(3));
     book.merge_server(2_500, "peer", short_id("b"), load(2));
     book.merge_server(2_000, "other", short_id("a"), load(1));
@@ -84,7 +84,7 @@
 
 #[test]
 fn nothing_of_a_peer_that_is_forgotten_counts() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.merge(9_000, "peer", vec![(short_id("a"), Load { requests: 2, ..Load::default() })]);
     book.merge_begun(9_000, "peer", short_id("b"), &WORK);
     book.forget("peer");
@@ -123,7 +123,7 @@
     #[test]
     fn sums_are_those_of_the_latest_reports(steps in prop::collection::vec((step(), 0u64..200), 1..60)) {
         const SERVERS: [&str; 3] = ["a", "b", "c"];
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         // By peer and server: requests and the end of the report; then requests told one by one.
         let mut reported: Vec<HashMap<usize, (u32, u64)>> = vec![HashMap::new(); 4];
         let mut begun: Vec<Vec<(usize, u64)>> = vec![Vec::new(); 4];
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -17,7 +17,7 @@
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::health::Health;
 use keeljunction_core::serving::in_flight_bytes;
-use keeljunction_core::serving::load::{LoadBook, short_id};
+use keeljunction_core::serving::load::{LoadTracker, short_id};
 use keeljunction_core::serving::members::{Entry, Members};
 use keeljunction_core::serving::memory::MemoryBudget;
 use keeljunction_core::serving::quarantine::{self, Fingerprint};
@@ -154,7 +154,7 @@
     /// Entries of the list that cannot be read.
     pub skipped_entries: skipped::Entries,
     /// How busy the servers are.
-    pub loads: LoadBook,
+    pub loads: LoadTracker,
     /// What the servers' answers showed.
     pub health: Health,
     /// What servers say about the requests that follow.
@@ -274,7 +274,7 @@
             directory: Directory::default(),
             servers_freshness: Freshness::default(),
             skipped_entries: skipped::Entries::default(),
-            loads: LoadBook::default(),
+            loads: LoadTracker::default(),
             health: Health::default(),
             backpressure: backpressure::Tracker::new(fastrand::f64()),
             held: in_flight_bytes::Limiter::default(),
