--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::serving::choice::{Candidate, Criteria, choose, shortlist};
 use keeljunction_core::serving::directory::{Batch, Directory, Entry, Server};
 use keeljunction_core::serving::era::Era;
-use keeljunction_core::serving::load::{Load, LoadTracker, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, RequestCost, short_id};
 use keeljunction_core::serving::members::{self, Members};
 use keeljunction_core::serving::quarantine::{
     Content, Crash, Fingerprint, InterruptedRequest, Standing, Tracker, Verdict,
@@ -231,7 +231,7 @@
         });
     }
     let mut book = LoadTracker::default();
-    let work = Work { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
+    let work = RequestCost { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
     criterion.bench_function("one load told and read", |bencher| {
         bencher.iter(|| {
             book.merge_server(u64::MAX, "node", 7, Load { requests: 1, ..Load::default() });
--- a/crates/core/src/serving/load.rs
+++ b/crates/core/src/serving/load.rs
@@ -39,13 +39,13 @@
     }
 
     /// Builds the load of a single request that waits for its first token.
-    fn of(work: &Work) -> Self {
+    fn of(work: &RequestCost) -> Self {
         let mut load = Self::default();
         load.begin(work);
         load
     }
 
-    fn begin(&mut self, work: &Work) {
+    fn begin(&mut self, work: &RequestCost) {
         self.requests += 1;
         self.waiting += 1;
         self.waiting_tokens[work.priority.min(PRIORITIES - 1)] += work.prompt_tokens;
@@ -85,7 +85,7 @@
 
 /// The size of one request in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct RequestCost {
     /// Prompt tokens that the server has to read.
     pub prompt_tokens: u64,
     /// The request's priority, below [`PRIORITIES`].
@@ -130,19 +130,19 @@
 #[derive(Clone, Copy, Debug)]
 struct Begun {
     server: u64,
-    work: Work,
+    work: RequestCost,
     /// When its prompt is expected to have been read.
     until: Millis,
 }
 
 impl LoadTracker {
     /// Counts a request that is sent to a server.
-    pub fn begin(&mut self, id: &str, work: &Work) {
+    pub fn begin(&mut self, id: &str, work: &RequestCost) {
         self.own.entry(short_id(id)).or_default().begin(work);
     }
 
     /// Notes that the first token of an answer came back.
-    pub fn note_first_token(&mut self, id: &str, work: &Work) {
+    pub fn note_first_token(&mut self, id: &str, work: &RequestCost) {
         if let Some(load) = self.own.get_mut(&short_id(id)) {
             load.waiting = load.waiting.saturating_sub(1);
             let waiting = &mut load.waiting_tokens[work.priority.min(PRIORITIES - 1)];
@@ -151,7 +151,7 @@
     }
 
     /// Notes that a request has ended, after its first token or before it.
-    pub fn end(&mut self, id: &str, work: &Work, had_first_token: bool) {
+    pub fn end(&mut self, id: &str, work: &RequestCost, had_first_token: bool) {
         if !had_first_token {
             self.note_first_token(id, work);
         }
@@ -191,7 +191,7 @@
 
     /// Adds a request that a peer has sent to a server by now, until its prompt is expected to have
     /// been read or the peer reports all its counts again.
-    pub fn merge_begun(&mut self, until: Millis, peer: &str, server: u64, work: &Work) {
+    pub fn merge_begun(&mut self, until: Millis, peer: &str, server: u64, work: &RequestCost) {
         let Some(known) = self.peers.get_mut(peer) else { return };
         if known.begun.len() < MOST_BEGUN {
             known.begun.push(Begun { server, work: *work, until });
--- a/crates/core/tests/serving/load.rs
+++ b/crates/core/tests/serving/load.rs
@@ -1,9 +1,9 @@
 use std::collections::HashMap;
 
-use keeljunction_core::serving::load::{Load, LoadTracker, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, RequestCost, short_id};
 use proptest::prelude::*;
 
-const WORK: Work = Work { prompt_tokens: 100, memory_tokens: 150, priority: 1 };
+const WORK: RequestCost = RequestCost { prompt_tokens: 100, memory_tokens: 150, priority: 1 };
 
 #[test]
 fn a_request_counts_until_it_ends() {
@@ -158,7 +158,7 @@
                     known_until[peer] = known_until[peer].max(now + lasts);
                 }
                 Step::Begun { peer, server, tokens, lasts } => {
-                    let work = Work { prompt_tokens: tokens, ..WORK };
+                    let work = RequestCost { prompt_tokens: tokens, ..WORK };
                     book.merge_begun(now + lasts, &peer.to_string(), short_id(SERVERS[server]), &work);
                     if now < known_until[peer] {
                         begun[peer].push((server, now + lasts));
--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -11,7 +11,7 @@
 use keeljunction_core::serving::choice::Criteria;
 use keeljunction_core::serving::configuration::{Account, Configuration, QuotaUnit, Route};
 use keeljunction_core::serving::demand::DemandTotals;
-use keeljunction_core::serving::load::{PRIORITIES, Work};
+use keeljunction_core::serving::load::{PRIORITIES, RequestCost};
 use keeljunction_core::serving::quarantine::{Content, Fingerprint};
 use keeljunction_core::serving::refusal::Refusal;
 
@@ -54,7 +54,7 @@
     /// When the final answer is due.
     pub due: Millis,
     /// The size of the request for a server.
-    pub work: Work,
+    pub work: RequestCost,
     /// What bears on the choice of a server.
     pub criteria: Criteria,
     /// Names the request's content.
@@ -324,8 +324,8 @@
     "content-length",
 ];
 
-fn size_work(prompt: Option<&Prompt>, urgency: u32) -> Work {
-    prompt.map_or(Work::default(), |prompt| Work {
+fn size_work(prompt: Option<&Prompt>, urgency: u32) -> RequestCost {
+    prompt.map_or(RequestCost::default(), |prompt| RequestCost {
         prompt_tokens: own_tokens(prompt),
         priority: (urgency as usize).min(PRIORITIES - 1),
         memory_tokens: prompt.input_tokens + prompt.output_tokens,
@@ -339,7 +339,7 @@
 }
 
 /// Counts the request as demand of the service.
-fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &Work) {
+fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &RequestCost) {
     let request = DemandTotals {
         requests: 1,
         prompt_tokens: work.prompt_tokens,
@@ -348,7 +348,7 @@
     node.with(|state| state.demand.count(service, &request));
 }
 
-fn make_criteria(prompt: Option<&Prompt>, work: &Work, route: &Route) -> Criteria {
+fn make_criteria(prompt: Option<&Prompt>, work: &RequestCost, route: &Route) -> Criteria {
     let shared = prompt.and_then(|prompt| prompt.parts.split_last()?.1.last());
     Criteria {
         shared_prefix: shared.map(|part| part.id),
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -9,7 +9,7 @@
 use hyper::{HeaderMap, Request};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::memory::Kind;
 use keeljunction_core::serving::throughput::Sample;
 
@@ -111,7 +111,7 @@
     node: Arc<Node>,
     service: String,
     server: String,
-    work: Work,
+    work: RequestCost,
     body_bytes: u64,
     began_at: Millis,
     had_first_token: bool,
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -4,7 +4,7 @@
 use keeljunction_core::serving::backpressure::{self, InstanceKey, Observation};
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
-use keeljunction_core::serving::load::{Load, Work};
+use keeljunction_core::serving::load::{Load, RequestCost};
 use keeljunction_core::serving::members::{Entry, Overview as Reach, Roster};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
@@ -252,7 +252,7 @@
         /// The server's short name.
         server: u64,
         /// The size of the request.
-        work: Work,
+        work: RequestCost,
         /// How long its prompt is expected to be read.
         reading_ms: Millis,
     },
--- a/crates/gateway/src/node/peers/news.rs
+++ b/crates/gateway/src/node/peers/news.rs
@@ -11,7 +11,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Batch;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::rollout::Announcement;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{Counts, WindowNumber};
@@ -63,7 +63,7 @@
 
 /// Announces to the other nodes a request that is sent to a server, where its prompt keeps the server
 /// busy for long. In groups nodes request the loads of servers instead.
-pub(crate) fn report_begun(node: &Node, server: &str, work: &Work, reading_ms: Millis) {
+pub(crate) fn report_begun(node: &Node, server: &str, work: &RequestCost, reading_ms: Millis) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
     let least = period.as_millis() as f64 * REPORT_AT_ONCE_PART;
