--- a/crates/core/src/serving/load.rs
+++ b/crates/core/src/serving/load.rs
@@ -142,7 +142,7 @@
     }
 
     /// Notes that the first token of an answer came back.
-    pub fn note_first_token(&mut self, id: &str, work: &RequestCost) {
+    pub fn record_first_token(&mut self, id: &str, work: &RequestCost) {
         if let Some(load) = self.own.get_mut(&short_id(id)) {
             load.waiting = load.waiting.saturating_sub(1);
             let waiting = &mut load.waiting_tokens[work.priority.min(PRIORITIES - 1)];
@@ -153,7 +153,7 @@
     /// Notes that a request has ended, after its first token or before it.
     pub fn end(&mut self, id: &str, work: &RequestCost, had_first_token: bool) {
         if !had_first_token {
-            self.note_first_token(id, work);
+            self.record_first_token(id, work);
         }
         let short = short_id(id);
         let Some(load) = self.own.get_mut(&short) else { return };
--- a/crates/core/tests/serving/load.rs
+++ b/crates/core/tests/serving/load.rs
@@ -12,7 +12,7 @@
     let load = book.total("a");
     assert_eq!((load.requests, load.waiting, load.memory_tokens), (1, 1, 150));
     assert_eq!((load.get_tokens_ahead(0), load.get_tokens_ahead(1)), (0, 100));
-    book.note_first_token("a", &WORK);
+    book.record_first_token("a", &WORK);
     assert_eq!(book.total("a").get_waiting_tokens(), 0);
     assert_eq!(book.total("a").requests, 1);
     book.end("a", &WORK, true);
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -141,7 +141,7 @@
     pub fn note_first_token(&mut self) {
         if !self.had_first_token {
             self.had_first_token = true;
-            self.node.with(|state| state.loads.note_first_token(&self.server, &self.work));
+            self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
             note_load_change(&self.node, &self.server, false);
         }
     }
