--- a/crates/core/src/serving/load.rs
+++ b/crates/core/src/serving/load.rs
@@ -191,7 +191,7 @@
 
     /// Adds a request that a peer has sent to a server by now, until its prompt is expected to have
     /// been read or the peer reports all its counts again.
-    pub fn merge_begun(&mut self, until: Millis, peer: &str, server: u64, work: &RequestCost) {
+    pub fn merge_started(&mut self, until: Millis, peer: &str, server: u64, work: &RequestCost) {
         let Some(known) = self.peers.get_mut(peer) else { return };
         if known.begun.len() < MOST_BEGUN {
             known.begun.push(Begun { server, work: *work, until });
--- a/crates/core/tests/serving/load.rs
+++ b/crates/core/tests/serving/load.rs
@@ -49,15 +49,15 @@
 fn a_request_that_a_peer_has_just_sent_counts_until_it_is_read_or_told_with_the_others() {
     let mut book = LoadTracker::default();
     let peers = vec![(short_id("a"), Load { requests: 1, ..Load::default() })];
-    book.merge_begun(1_500, "peer", short_id("a"), &WORK);
+    book.merge_started(1_500, "peer", short_id("a"), &WORK);
     assert_eq!(book.total("a"), Load::default());
     book.merge(9_000, "peer", peers.clone());
-    book.merge_begun(1_500, "peer", short_id("a"), &WORK);
+    book.merge_started(1_500, "peer", short_id("a"), &WORK);
     book.expire(1_499);
     let load = book.total("a");
     assert_eq!((load.requests, load.waiting, load.get_waiting_tokens()), (2, 1, 100));
     assert_eq!(book.total("b"), Load::default());
-    book.merge_begun(1_600, "peer", short_id("b"), &WORK);
+    book.merge_started(1_600, "peer", short_id("b"), &WORK);
     book.expire(1_500);
     assert_eq!(book.total("a").get_waiting_tokens(), 0);
     assert_eq!(book.total("b").get_waiting_tokens(), 100);
@@ -86,7 +86,7 @@
 fn nothing_of_a_peer_that_is_forgotten_counts() {
     let mut book = LoadTracker::default();
     book.merge(9_000, "peer", vec![(short_id("a"), Load { requests: 2, ..Load::default() })]);
-    book.merge_begun(9_000, "peer", short_id("b"), &WORK);
+    book.merge_started(9_000, "peer", short_id("b"), &WORK);
     book.forget("peer");
     assert_eq!((book.total("a"), book.total("b")), (Load::default(), Load::default()));
 }
@@ -159,7 +159,7 @@
                 }
                 Step::Begun { peer, server, tokens, lasts } => {
                     let work = RequestCost { prompt_tokens: tokens, ..WORK };
-                    book.merge_begun(now + lasts, &peer.to_string(), short_id(SERVERS[server]), &work);
+                    book.merge_started(now + lasts, &peer.to_string(), short_id(SERVERS[server]), &work);
                     if now < known_until[peer] {
                         begun[peer].push((server, now + lasts));
                     }
--- a/crates/gateway/src/node/peers/news.rs
+++ b/crates/gateway/src/node/peers/news.rs
@@ -79,7 +79,7 @@
     match news {
         News::RequestBegun { node: peer, server, work, reading_ms } => {
             let until = node.now() + reading_ms;
-            node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
+            node.with(|state| state.loads.merge_started(until, &peer, server, &work));
         }
         News::RequestJudged(verdict) => {
             if quarantine::take_verdict(node, verdict) {
