--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -19,8 +19,8 @@
 pub const READ_BYTES: usize = 420 * 1024;
 /// The time within which a caller must take [`LEAST_TAKEN`] of what is held for it, in milliseconds:
 /// longer than a person's pause or a lost packet's repeats, shorter than most callers' deadlines.
-pub const PROGRESS_WITHIN: Millis = 10_000;
-/// Bytes that a caller must take within [`PROGRESS_WITHIN`]. At this rate an answer of 100 kB is held
+pub const PROGRESS_TIMEOUT: Millis = 10_000;
+/// Bytes that a caller must take within [`PROGRESS_TIMEOUT`]. At this rate an answer of 100 kB is held
 /// for an hour.
 pub const LEAST_TAKEN: usize = 256;
 /// How long a caller must have taken nothing to be disconnected where memory is short or the node
@@ -128,7 +128,7 @@
 
     /// Returns `true` if the caller took too little for too long.
     pub fn is_too_slow(&self) -> bool {
-        self.since_progress >= PROGRESS_WITHIN
+        self.since_progress >= PROGRESS_TIMEOUT
     }
 }
 
