--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -17,12 +17,12 @@
 /// Bytes that one read of an answer may bring: as much as the HTTP library reads at a time. Reading
 /// goes on only where they fit.
 pub const READ_BYTES: usize = 420 * 1024;
-/// The time within which a caller must take [`LEAST_TAKEN`] of what is held for it, in milliseconds:
+/// The time within which a caller must take [`MIN_PROGRESS_BYTES`] of what is held for it, in milliseconds:
 /// longer than a person's pause or a lost packet's repeats, shorter than most callers' deadlines.
 pub const PROGRESS_TIMEOUT: Millis = 10_000;
 /// Bytes that a caller must take within [`PROGRESS_TIMEOUT`]. At this rate an answer of 100 kB is held
 /// for an hour.
-pub const LEAST_TAKEN: usize = 256;
+pub const MIN_PROGRESS_BYTES: usize = 256;
 /// How long a caller must have taken nothing to be disconnected where memory is short or the node
 /// is about to stop, in milliseconds: a caller that reads at all takes something within it.
 pub const RESTING_AFTER: Millis = 1_000;
@@ -92,7 +92,7 @@
 pub struct Progress {
     /// Time in which bytes were there and the caller took none, in milliseconds.
     resting: Millis,
-    /// Time since the caller last took [`LEAST_TAKEN`], in milliseconds.
+    /// Time since the caller last took [`MIN_PROGRESS_BYTES`], in milliseconds.
     since_progress: Millis,
     /// Bytes taken meanwhile.
     taken: usize,
@@ -103,7 +103,7 @@
     pub fn note_taken(&mut self, bytes: usize) {
         self.resting = 0;
         self.taken += bytes;
-        if self.taken >= LEAST_TAKEN {
+        if self.taken >= MIN_PROGRESS_BYTES {
             *self = Self::default();
         }
     }
