--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -25,7 +25,7 @@
 pub const MIN_PROGRESS_BYTES: usize = 256;
 /// How long a caller must have taken nothing to be disconnected where memory is short or the node
 /// is about to stop, in milliseconds: a caller that reads at all takes something within it.
-pub const RESTING_AFTER: Millis = 1_000;
+pub const STALL_TIMEOUT: Millis = 1_000;
 /// The longest time that one look at a caller counts for, in milliseconds. After a pause of the whole
 /// process, its callers' silence says nothing of them.
 const LONGEST_LOOK: Millis = 500;
@@ -147,7 +147,7 @@
 /// slowest and largest first. A caller that reads is never picked.
 pub fn pick_resting(callers: &[Caller], missing: usize) -> Vec<u64> {
     let mut resting: Vec<&Caller> =
-        callers.iter().filter(|c| c.bytes > 0 && c.resting >= RESTING_AFTER).collect();
+        callers.iter().filter(|c| c.bytes > 0 && c.resting >= STALL_TIMEOUT).collect();
     resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.resting, c.id)));
     let mut freed = 0;
     let mut picked = Vec::new();
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
+use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_resting};
 
 use crate::event::{self, Event};
 use crate::feeds::{Handle, Look};
@@ -33,7 +33,7 @@
     let now = node.now();
     for feed in node.feeds.list() {
         let Some(look) = (feed.look)(now) else { continue };
-        if look.caller.resting >= RESTING_AFTER {
+        if look.caller.resting >= STALL_TIMEOUT {
             disconnect(node, &feed, &look, "stopping");
         }
     }
