--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -100,7 +100,7 @@
 
 impl Progress {
     /// Notes that the caller took bytes.
-    pub fn note_taken(&mut self, bytes: usize) {
+    pub fn record_read(&mut self, bytes: usize) {
         self.resting = 0;
         self.taken += bytes;
         if self.taken >= MIN_PROGRESS_BYTES {
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -39,7 +39,7 @@
     let mut progress = Progress::default();
     for _ in 0..100 {
         progress.note_look(100);
-        progress.note_taken(1);
+        progress.record_read(1);
     }
     assert!(progress.is_too_slow());
     assert_eq!(progress.get_resting(), 0);
@@ -50,7 +50,7 @@
     let mut progress = Progress::default();
     for _ in 0..50 {
         (0..80).for_each(|_| progress.note_look(100));
-        progress.note_taken(300);
+        progress.record_read(300);
         assert!(!progress.is_too_slow());
     }
 }
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -160,7 +160,7 @@
     }
 
     fn pass_on(&self, flow: &mut Flow, piece: Bytes) -> Bytes {
-        flow.progress.note_taken(piece.len());
+        flow.progress.record_read(piece.len());
         self.passage.note_piece(self.node.now());
         piece
     }
