--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -110,7 +110,7 @@
 
     /// Notes a look at a caller that has not polled for more since it took the last piece. `since` is
     /// the time since the look before, in milliseconds.
-    pub fn note_look(&mut self, since: Millis) {
+    pub fn record_check(&mut self, since: Millis) {
         let since = since.min(LONGEST_LOOK);
         self.resting += since;
         self.since_progress += since;
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -28,9 +28,9 @@
 #[test]
 fn a_caller_that_takes_nothing_is_disconnected_after_ten_seconds() {
     let mut progress = Progress::default();
-    (0..99).for_each(|_| progress.note_look(100));
+    (0..99).for_each(|_| progress.record_check(100));
     assert!(!progress.is_too_slow());
-    progress.note_look(100);
+    progress.record_check(100);
     assert!(progress.is_too_slow());
 }
 
@@ -38,7 +38,7 @@
 fn a_few_bytes_in_ten_seconds_are_no_progress() {
     let mut progress = Progress::default();
     for _ in 0..100 {
-        progress.note_look(100);
+        progress.record_check(100);
         progress.record_read(1);
     }
     assert!(progress.is_too_slow());
@@ -49,7 +49,7 @@
 fn a_caller_that_takes_an_event_now_and_then_is_kept() {
     let mut progress = Progress::default();
     for _ in 0..50 {
-        (0..80).for_each(|_| progress.note_look(100));
+        (0..80).for_each(|_| progress.record_check(100));
         progress.record_read(300);
         assert!(!progress.is_too_slow());
     }
@@ -59,7 +59,7 @@
 fn a_caller_that_waits_for_its_server_is_kept() {
     let mut progress = Progress::default();
     for _ in 0..200 {
-        progress.note_look(100);
+        progress.record_check(100);
         progress.note_waiting();
     }
     assert!(!progress.is_too_slow());
@@ -68,7 +68,7 @@
 #[test]
 fn a_pause_of_the_process_disconnects_nobody() {
     let mut progress = Progress::default();
-    progress.note_look(60_000);
+    progress.record_check(60_000);
     assert!(!progress.is_too_slow());
     assert_eq!(progress.get_resting(), 500);
 }
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -172,7 +172,7 @@
         flow.looked_at = now;
         match flow.is_caller_waiting {
             true => flow.progress.note_waiting(),
-            false => flow.progress.note_look(since),
+            false => flow.progress.record_check(since),
         }
         let is_short = !flow.settle();
         // After `due` the source only ends, which needs no room.
