--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -117,7 +117,7 @@
     }
 
     /// Notes that the caller waits for the server.
-    pub fn note_waiting(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -60,7 +60,7 @@
     let mut progress = Progress::default();
     for _ in 0..200 {
         progress.record_check(100);
-        progress.note_waiting();
+        progress.reset();
     }
     assert!(!progress.is_too_slow());
 }
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -116,7 +116,7 @@
             match flow.poll_source(self.node.now(), context) {
                 Poll::Pending => {
                     flow.is_caller_waiting = true;
-                    flow.progress.note_waiting();
+                    flow.progress.reset();
                     // The server now wakes the caller's connection, and no longer this task.
                     flow.reading = None;
                     flow.is_reading_ahead = false;
@@ -171,7 +171,7 @@
         let since = now.saturating_sub(flow.looked_at);
         flow.looked_at = now;
         match flow.is_caller_waiting {
-            true => flow.progress.note_waiting(),
+            true => flow.progress.reset(),
             false => flow.progress.record_check(since),
         }
         let is_short = !flow.settle();
