--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns how long the caller has taken nothing, in milliseconds.
-    pub fn get_resting(&self) -> Millis {
+    pub fn get_stalled(&self) -> Millis {
         self.resting
     }
 
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -42,7 +42,7 @@
         progress.record_read(1);
     }
     assert!(progress.is_too_slow());
-    assert_eq!(progress.get_resting(), 0);
+    assert_eq!(progress.get_stalled(), 0);
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let mut progress = Progress::default();
     progress.record_check(60_000);
     assert!(!progress.is_too_slow());
-    assert_eq!(progress.get_resting(), 500);
+    assert_eq!(progress.get_stalled(), 500);
 }
 
 #[test]
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -153,7 +153,7 @@
                 held_bytes: flow.buffer.get_bytes(),
                 is_held_full: !flow.buffer.is_reading(),
                 unread_ms: self.node.now().saturating_sub(flow.read_at),
-                resting_ms: flow.progress.get_resting(),
+                resting_ms: flow.progress.get_stalled(),
             });
         }
         flow.take(step);
@@ -183,7 +183,7 @@
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
             flow.reading = Some(runtime::task(reading));
         }
-        let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
+        let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
         let caller = Caller { id: self.id, bytes, resting };
         Look { caller, is_over: flow.progress.is_too_slow(), is_short }
     }
