--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -145,7 +145,7 @@
 
 /// Picks the callers to disconnect so that `missing` bytes become free: those that rest, the
 /// slowest and largest first. A caller that reads is never picked.
-pub fn pick_resting(callers: &[Caller], missing: usize) -> Vec<u64> {
+pub fn pick_stalled(callers: &[Caller], missing: usize) -> Vec<u64> {
     let mut resting: Vec<&Caller> =
         callers.iter().filter(|c| c.bytes > 0 && c.resting >= STALL_TIMEOUT).collect();
     resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.resting, c.id)));
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -1,7 +1,7 @@
 use bytes::Bytes;
 use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
 use keeljunction_core::serving::read_ahead::{
-    Buffer, Caller, Progress, READ_BYTES, get_limit, pick_resting,
+    Buffer, Caller, Progress, READ_BYTES, get_limit, pick_stalled,
 };
 use proptest::prelude::*;
 
@@ -81,10 +81,10 @@
         Caller { id: 3, bytes: 9_000, resting: 2_000 },
         Caller { id: 4, bytes: 90_000, resting: 900 },
     ];
-    assert_eq!(pick_resting(&callers, 3_000), [2]);
-    assert_eq!(pick_resting(&callers, 3_001), [2, 3]);
-    assert_eq!(pick_resting(&callers, 1_000_000), [2, 3, 1]);
-    assert_eq!(pick_resting(&callers, 0), [0; 0]);
+    assert_eq!(pick_stalled(&callers, 3_000), [2]);
+    assert_eq!(pick_stalled(&callers, 3_001), [2, 3]);
+    assert_eq!(pick_stalled(&callers, 1_000_000), [2, 3, 1]);
+    assert_eq!(pick_stalled(&callers, 0), [0; 0]);
 }
 
 proptest! {
@@ -132,7 +132,7 @@
             .enumerate()
             .map(|(id, (bytes, resting))| Caller { id: id as u64, bytes, resting })
             .collect();
-        for id in pick_resting(&callers, missing) {
+        for id in pick_stalled(&callers, missing) {
             prop_assert!(callers[id as usize].resting >= 1_000);
         }
     }
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_resting};
+use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_stalled};
 
 use crate::event::{self, Event};
 use crate::feeds::{Handle, Look};
@@ -54,7 +54,7 @@
     }
     let callers: Vec<Caller> =
         looked.iter().filter(|(_, look)| !look.is_over).map(|(_, look)| look.caller).collect();
-    let picked = pick_resting(&callers, missing);
+    let picked = pick_stalled(&callers, missing);
     for (feed, look) in looked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
         disconnect(node, feed, look, "memory");
     }
