--- a/crates/core/src/serving/refusal.rs
+++ b/crates/core/src/serving/refusal.rs
@@ -6,7 +6,7 @@
 
 /// Returns the longest wait that a caller accepts who has `left` milliseconds left: somewhat less than a
 /// third of them.
-pub fn get_longest_wait(left: Millis) -> Millis {
+pub fn get_max_wait(left: Millis) -> Millis {
     left * 3 / 10
 }
 
@@ -134,6 +134,6 @@
         if !is_passing {
             return None;
         }
-        Some(Duration::from_millis(hint.min(get_longest_wait(left)).max(1)))
+        Some(Duration::from_millis(hint.min(get_max_wait(left)).max(1)))
     }
 }
--- a/crates/gateway/src/exchange/pick/permitted.rs
+++ b/crates/gateway/src/exchange/pick/permitted.rs
@@ -1,7 +1,7 @@
 //! Picks a server that takes the request, by what servers say in their answers.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::refusal::{Refusal, get_longest_wait};
+use keeljunction_core::serving::refusal::{Refusal, get_max_wait};
 
 use super::{Attempts, Pick, pick};
 use crate::exchange::admission::Exchange;
@@ -71,7 +71,7 @@
 fn get_throttled_for(node: &Node, exchange: &Exchange) -> Option<Millis> {
     let now = node.now();
     let wait = node.with(|state| state.get_shortest_wait(now, &exchange.service))?;
-    Some(spread(wait, get_longest_wait(exchange.get_left(now)), fastrand::f64()))
+    Some(spread(wait, get_max_wait(exchange.get_left(now)), fastrand::f64()))
 }
 
 /// Spreads callers that come back after the same wait, by a random `draw` from 0 to 1: later than the wait
