--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -60,7 +60,7 @@
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Destination {
     /// To the server of its own region.
     Near,
     /// To the server of the other region.
@@ -161,16 +161,16 @@
 /// Settles where a request goes whose own region offers `near`, and another one `far`.
 ///
 /// A far server that is full or ejected is no better than one that is near.
-pub fn settle(near: Offer, far: Offer) -> Settled {
+pub fn settle(near: Offer, far: Offer) -> Destination {
     match (near, far) {
         (Offer::Free | Offer::Full | Offer::Ejected, Offer::Full | Offer::Ejected)
         | (Offer::Free | Offer::Full | Offer::Ejected, Offer::Busy(_) | Offer::None)
-        | (Offer::Free, Offer::Free) => Settled::Near,
-        (_, Offer::Free) => Settled::Far,
-        (Offer::Busy(near), Offer::Busy(far)) => Settled::Busy(near.min(far)),
-        (Offer::Busy(wait), _) | (Offer::None, Offer::Busy(wait)) => Settled::Busy(wait),
-        (Offer::None, Offer::Full | Offer::Ejected) => Settled::Far,
-        (Offer::None, Offer::None) => Settled::None,
+        | (Offer::Free, Offer::Free) => Destination::Near,
+        (_, Offer::Free) => Destination::Far,
+        (Offer::Busy(near), Offer::Busy(far)) => Destination::Busy(near.min(far)),
+        (Offer::Busy(wait), _) | (Offer::None, Offer::Busy(wait)) => Destination::Busy(wait),
+        (Offer::None, Offer::Full | Offer::Ejected) => Destination::Far,
+        (Offer::None, Offer::None) => Destination::None,
     }
 }
 
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::Load;
 use keeljunction_core::serving::spill::{
-    Cause, Links, Offer, Settled, Way, get_region, list_far, settle,
+    Cause, Destination, Links, Offer, Way, get_region, list_far, settle,
 };
 use keeljunction_core::serving::topology::Topology;
 use proptest::prelude::*;
@@ -52,7 +52,7 @@
     assert_eq!(near, Offer::Free);
     assert_eq!(near.get_cause(), None);
     for far in [Offer::Free, Offer::Full, Offer::Ejected, Offer::Busy(1), Offer::None] {
-        assert_eq!(settle(near, far), Settled::Near);
+        assert_eq!(settle(near, far), Destination::Near);
     }
 }
 
@@ -66,7 +66,7 @@
     assert_eq!(offer(&servers, 1, 25_000, false), Offer::Busy(350));
     for near in [Offer::Full, Offer::Busy(350)] {
         assert_eq!(near.get_cause(), Some(Cause::Full));
-        assert_eq!(settle(near, Offer::Free), Settled::Far);
+        assert_eq!(settle(near, Offer::Free), Destination::Far);
     }
 }
 
@@ -78,27 +78,27 @@
     assert_eq!(offer(&servers, 0, 0, true), Offer::Ejected);
     for near in [Offer::None, Offer::Ejected] {
         assert_eq!(near.get_cause(), Some(Cause::NoServer));
-        assert_eq!(settle(near, Offer::Free), Settled::Far);
+        assert_eq!(settle(near, Offer::Free), Destination::Far);
     }
 }
 
 #[test]
 fn where_the_far_region_is_no_better_the_own_one_serves_or_refuses() {
-    assert_eq!(settle(Offer::Full, Offer::Full), Settled::Near);
-    assert_eq!(settle(Offer::Ejected, Offer::Ejected), Settled::Near);
-    assert_eq!(settle(Offer::Full, Offer::Busy(10)), Settled::Near);
-    assert_eq!(settle(Offer::Busy(350), Offer::Busy(200)), Settled::Busy(200));
-    assert_eq!(settle(Offer::Busy(150), Offer::Busy(200)), Settled::Busy(150));
-    assert_eq!(settle(Offer::Busy(350), Offer::Full), Settled::Busy(350));
-    assert_eq!(settle(Offer::Busy(350), Offer::None), Settled::Busy(350));
+    assert_eq!(settle(Offer::Full, Offer::Full), Destination::Near);
+    assert_eq!(settle(Offer::Ejected, Offer::Ejected), Destination::Near);
+    assert_eq!(settle(Offer::Full, Offer::Busy(10)), Destination::Near);
+    assert_eq!(settle(Offer::Busy(350), Offer::Busy(200)), Destination::Busy(200));
+    assert_eq!(settle(Offer::Busy(150), Offer::Busy(200)), Destination::Busy(150));
+    assert_eq!(settle(Offer::Busy(350), Offer::Full), Destination::Busy(350));
+    assert_eq!(settle(Offer::Busy(350), Offer::None), Destination::Busy(350));
 }
 
 #[test]
 fn a_region_without_servers_takes_what_the_other_one_has() {
-    assert_eq!(settle(Offer::None, Offer::Full), Settled::Far);
-    assert_eq!(settle(Offer::None, Offer::Ejected), Settled::Far);
-    assert_eq!(settle(Offer::None, Offer::Busy(200)), Settled::Busy(200));
-    assert_eq!(settle(Offer::None, Offer::None), Settled::None);
+    assert_eq!(settle(Offer::None, Offer::Full), Destination::Far);
+    assert_eq!(settle(Offer::None, Offer::Ejected), Destination::Far);
+    assert_eq!(settle(Offer::None, Offer::Busy(200)), Destination::Busy(200));
+    assert_eq!(settle(Offer::None, Offer::None), Destination::None);
 }
 
 #[test]
@@ -234,18 +234,18 @@
         let settled = settle(near, far);
         let has_near = matches!(near, Offer::Free | Offer::Full | Offer::Ejected);
         match settled {
-            Settled::Near => prop_assert!(has_near),
-            Settled::Far => {
+            Destination::Near => prop_assert!(has_near),
+            Destination::Far => {
                 prop_assert!(near.get_cause().is_some());
                 prop_assert!(far == Offer::Free || near == Offer::None);
             }
-            Settled::Busy(wait) => {
+            Destination::Busy(wait) => {
                 prop_assert!(!has_near);
                 if let Offer::Busy(own) = near {
                     prop_assert!(wait <= own);
                 }
             }
-            Settled::None => prop_assert_eq!((near, far), (Offer::None, Offer::None)),
+            Destination::None => prop_assert_eq!((near, far), (Offer::None, Offer::None)),
         }
     }
 
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -4,7 +4,9 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::refusal::Refusal;
 use keeljunction_core::serving::rollout::VersionFilter;
-use keeljunction_core::serving::spill::{Cause, Offer, Settled, Way, get_region, list_far, settle};
+use keeljunction_core::serving::spill::{
+    Cause, Destination, Offer, Way, get_region, list_far, settle,
+};
 
 use super::region::{Found, Place, pick_in};
 use super::{Attempts, Pick, conclude};
@@ -57,10 +59,10 @@
             };
             let far = self.pick_far(region, &way).await;
             match (settle(offer, far.offer), far.server) {
-                (Settled::Far, Some(server)) => {
+                (Destination::Far, Some(server)) => {
                     return Ok(Pick::new(server, Some(self.cause)));
                 }
-                (Settled::Busy(wait), _) => offer = Offer::Busy(wait),
+                (Destination::Busy(wait), _) => offer = Offer::Busy(wait),
                 _ => {}
             }
         }
