--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// To the server of its own region.
-    Near,
+    Local,
     /// To the server of the other region.
     Far,
     /// Nowhere; the time after which to retry.
@@ -165,7 +165,7 @@
     match (near, far) {
         (Offer::Free | Offer::Full | Offer::Ejected, Offer::Full | Offer::Ejected)
         | (Offer::Free | Offer::Full | Offer::Ejected, Offer::Busy(_) | Offer::None)
-        | (Offer::Free, Offer::Free) => Destination::Near,
+        | (Offer::Free, Offer::Free) => Destination::Local,
         (_, Offer::Free) => Destination::Far,
         (Offer::Busy(near), Offer::Busy(far)) => Destination::Busy(near.min(far)),
         (Offer::Busy(wait), _) | (Offer::None, Offer::Busy(wait)) => Destination::Busy(wait),
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -52,7 +52,7 @@
     assert_eq!(near, Offer::Free);
     assert_eq!(near.get_cause(), None);
     for far in [Offer::Free, Offer::Full, Offer::Ejected, Offer::Busy(1), Offer::None] {
-        assert_eq!(settle(near, far), Destination::Near);
+        assert_eq!(settle(near, far), Destination::Local);
     }
 }
 
@@ -84,9 +84,9 @@
 
 #[test]
 fn where_the_far_region_is_no_better_the_own_one_serves_or_refuses() {
-    assert_eq!(settle(Offer::Full, Offer::Full), Destination::Near);
-    assert_eq!(settle(Offer::Ejected, Offer::Ejected), Destination::Near);
-    assert_eq!(settle(Offer::Full, Offer::Busy(10)), Destination::Near);
+    assert_eq!(settle(Offer::Full, Offer::Full), Destination::Local);
+    assert_eq!(settle(Offer::Ejected, Offer::Ejected), Destination::Local);
+    assert_eq!(settle(Offer::Full, Offer::Busy(10)), Destination::Local);
     assert_eq!(settle(Offer::Busy(350), Offer::Busy(200)), Destination::Busy(200));
     assert_eq!(settle(Offer::Busy(150), Offer::Busy(200)), Destination::Busy(150));
     assert_eq!(settle(Offer::Busy(350), Offer::Full), Destination::Busy(350));
@@ -234,7 +234,7 @@
         let settled = settle(near, far);
         let has_near = matches!(near, Offer::Free | Offer::Full | Offer::Ejected);
         match settled {
-            Destination::Near => prop_assert!(has_near),
+            Destination::Local => prop_assert!(has_near),
             Destination::Far => {
                 prop_assert!(near.get_cause().is_some());
                 prop_assert!(far == Offer::Free || near == Offer::None);
