--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -64,7 +64,7 @@
     /// To the server of its own region.
     Local,
     /// To the server of the other region.
-    Far,
+    Remote,
     /// Nowhere; the time after which to retry.
     Busy(Millis),
     /// Nowhere: there is no server.
@@ -166,10 +166,10 @@
         (Offer::Free | Offer::Full | Offer::Ejected, Offer::Full | Offer::Ejected)
         | (Offer::Free | Offer::Full | Offer::Ejected, Offer::Busy(_) | Offer::None)
         | (Offer::Free, Offer::Free) => Destination::Local,
-        (_, Offer::Free) => Destination::Far,
+        (_, Offer::Free) => Destination::Remote,
         (Offer::Busy(near), Offer::Busy(far)) => Destination::Busy(near.min(far)),
         (Offer::Busy(wait), _) | (Offer::None, Offer::Busy(wait)) => Destination::Busy(wait),
-        (Offer::None, Offer::Full | Offer::Ejected) => Destination::Far,
+        (Offer::None, Offer::Full | Offer::Ejected) => Destination::Remote,
         (Offer::None, Offer::None) => Destination::None,
     }
 }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -66,7 +66,7 @@
     assert_eq!(offer(&servers, 1, 25_000, false), Offer::Busy(350));
     for near in [Offer::Full, Offer::Busy(350)] {
         assert_eq!(near.get_cause(), Some(Cause::Full));
-        assert_eq!(settle(near, Offer::Free), Destination::Far);
+        assert_eq!(settle(near, Offer::Free), Destination::Remote);
     }
 }
 
@@ -78,7 +78,7 @@
     assert_eq!(offer(&servers, 0, 0, true), Offer::Ejected);
     for near in [Offer::None, Offer::Ejected] {
         assert_eq!(near.get_cause(), Some(Cause::NoServer));
-        assert_eq!(settle(near, Offer::Free), Destination::Far);
+        assert_eq!(settle(near, Offer::Free), Destination::Remote);
     }
 }
 
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_region_without_servers_takes_what_the_other_one_has() {
-    assert_eq!(settle(Offer::None, Offer::Full), Destination::Far);
-    assert_eq!(settle(Offer::None, Offer::Ejected), Destination::Far);
+    assert_eq!(settle(Offer::None, Offer::Full), Destination::Remote);
+    assert_eq!(settle(Offer::None, Offer::Ejected), Destination::Remote);
     assert_eq!(settle(Offer::None, Offer::Busy(200)), Destination::Busy(200));
     assert_eq!(settle(Offer::None, Offer::None), Destination::None);
 }
@@ -235,7 +235,7 @@
         let has_near = matches!(near, Offer::Free | Offer::Full | Offer::Ejected);
         match settled {
             Destination::Local => prop_assert!(has_near),
-            Destination::Far => {
+            Destination::Remote => {
                 prop_assert!(near.get_cause().is_some());
                 prop_assert!(far == Offer::Free || near == Offer::None);
             }
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -59,7 +59,7 @@
             };
             let far = self.pick_far(region, &way).await;
             match (settle(offer, far.offer), far.server) {
-                (Destination::Far, Some(server)) => {
+                (Destination::Remote, Some(server)) => {
                     return Ok(Pick::new(server, Some(self.cause)));
                 }
                 (Destination::Busy(wait), _) => offer = Offer::Busy(wait),
