--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -161,7 +161,7 @@
 /// Settles where a request goes whose own region offers `near`, and another one `far`.
 ///
 /// A far server that is full or ejected is no better than one that is near.
-pub fn settle(near: Offer, far: Offer) -> Destination {
+pub fn pick_destination(near: Offer, far: Offer) -> Destination {
     match (near, far) {
         (Offer::Free | Offer::Full | Offer::Ejected, Offer::Full | Offer::Ejected)
         | (Offer::Free | Offer::Full | Offer::Ejected, Offer::Busy(_) | Offer::None)
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::Load;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Links, Offer, Way, get_region, list_far, settle,
+    Cause, Destination, Links, Offer, Way, get_region, list_far, pick_destination,
 };
 use keeljunction_core::serving::topology::Topology;
 use proptest::prelude::*;
@@ -52,7 +52,7 @@
     assert_eq!(near, Offer::Free);
     assert_eq!(near.get_cause(), None);
     for far in [Offer::Free, Offer::Full, Offer::Ejected, Offer::Busy(1), Offer::None] {
-        assert_eq!(settle(near, far), Destination::Local);
+        assert_eq!(pick_destination(near, far), Destination::Local);
     }
 }
 
@@ -66,7 +66,7 @@
     assert_eq!(offer(&servers, 1, 25_000, false), Offer::Busy(350));
     for near in [Offer::Full, Offer::Busy(350)] {
         assert_eq!(near.get_cause(), Some(Cause::Full));
-        assert_eq!(settle(near, Offer::Free), Destination::Remote);
+        assert_eq!(pick_destination(near, Offer::Free), Destination::Remote);
     }
 }
 
@@ -78,27 +78,27 @@
     assert_eq!(offer(&servers, 0, 0, true), Offer::Ejected);
     for near in [Offer::None, Offer::Ejected] {
         assert_eq!(near.get_cause(), Some(Cause::NoServer));
-        assert_eq!(settle(near, Offer::Free), Destination::Remote);
+        assert_eq!(pick_destination(near, Offer::Free), Destination::Remote);
     }
 }
 
 #[test]
 fn where_the_far_region_is_no_better_the_own_one_serves_or_refuses() {
-    assert_eq!(settle(Offer::Full, Offer::Full), Destination::Local);
-    assert_eq!(settle(Offer::Ejected, Offer::Ejected), Destination::Local);
-    assert_eq!(settle(Offer::Full, Offer::Busy(10)), Destination::Local);
-    assert_eq!(settle(Offer::Busy(350), Offer::Busy(200)), Destination::Busy(200));
-    assert_eq!(settle(Offer::Busy(150), Offer::Busy(200)), Destination::Busy(150));
-    assert_eq!(settle(Offer::Busy(350), Offer::Full), Destination::Busy(350));
-    assert_eq!(settle(Offer::Busy(350), Offer::None), Destination::Busy(350));
+    assert_eq!(pick_destination(Offer::Full, Offer::Full), Destination::Local);
+    assert_eq!(pick_destination(Offer::Ejected, Offer::Ejected), Destination::Local);
+    assert_eq!(pick_destination(Offer::Full, Offer::Busy(10)), Destination::Local);
+    assert_eq!(pick_destination(Offer::Busy(350), Offer::Busy(200)), Destination::Busy(200));
+    assert_eq!(pick_destination(Offer::Busy(150), Offer::Busy(200)), Destination::Busy(150));
+    assert_eq!(pick_destination(Offer::Busy(350), Offer::Full), Destination::Busy(350));
+    assert_eq!(pick_destination(Offer::Busy(350), Offer::None), Destination::Busy(350));
 }
 
 #[test]
 fn a_region_without_servers_takes_what_the_other_one_has() {
-    assert_eq!(settle(Offer::None, Offer::Full), Destination::Remote);
-    assert_eq!(settle(Offer::None, Offer::Ejected), Destination::Remote);
-    assert_eq!(settle(Offer::None, Offer::Busy(200)), Destination::Busy(200));
-    assert_eq!(settle(Offer::None, Offer::None), Destination::None);
+    assert_eq!(pick_destination(Offer::None, Offer::Full), Destination::Remote);
+    assert_eq!(pick_destination(Offer::None, Offer::Ejected), Destination::Remote);
+    assert_eq!(pick_destination(Offer::None, Offer::Busy(200)), Destination::Busy(200));
+    assert_eq!(pick_destination(Offer::None, Offer::None), Destination::None);
 }
 
 #[test]
@@ -231,7 +231,7 @@
     /// and is never told to wait longer than its own region says.
     #[test]
     fn a_request_crosses_only_for_better(near in any_offer(), far in any_offer()) {
-        let settled = settle(near, far);
+        let settled = pick_destination(near, far);
         let has_near = matches!(near, Offer::Free | Offer::Full | Offer::Ejected);
         match settled {
             Destination::Local => prop_assert!(has_near),
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::refusal::Refusal;
 use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Offer, Way, get_region, list_far, settle,
+    Cause, Destination, Offer, Way, get_region, list_far, pick_destination,
 };
 
 use super::region::{Found, Place, pick_in};
@@ -58,7 +58,7 @@
                 }
             };
             let far = self.pick_far(region, &way).await;
-            match (settle(offer, far.offer), far.server) {
+            match (pick_destination(offer, far.offer), far.server) {
                 (Destination::Remote, Some(server)) => {
                     return Ok(Pick::new(server, Some(self.cause)));
                 }
