--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -109,7 +109,7 @@
 
 /// The way to another region, for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Way {
+pub struct RemotePath {
     /// How long the caller has waited.
     pub waited: Millis,
     /// The time until the caller gives up.
@@ -122,7 +122,7 @@
     pub is_load_requested: bool,
 }
 
-impl Way {
+impl RemotePath {
     /// Returns the time from now until the first byte of an answer, without the server's own.
     pub fn get_travel(&self) -> Millis {
         let question = if self.is_load_requested { TRIPS_OF_QUESTION } else { 0 };
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::Load;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Links, Offer, Way, get_region, list_far, pick_destination,
+    Cause, Destination, Links, Offer, RemotePath, get_region, list_far, pick_destination,
 };
 use keeljunction_core::serving::topology::Topology;
 use proptest::prelude::*;
@@ -24,8 +24,8 @@
 };
 
 /// A way of 30 ms each way, whose loads are asked for: 180 ms until the first byte.
-const WAY: Way =
-    Way { waited: 0, left: 10_000, round_trip: 60, transfer: 0, is_load_requested: true };
+const WAY: RemotePath =
+    RemotePath { waited: 0, left: 10_000, round_trip: 60, transfer: 0, is_load_requested: true };
 
 fn topology(own: &str, regions: &[(&str, &str)]) -> Topology {
     let regions = regions
@@ -109,13 +109,13 @@
     assert!(WAY.is_in_time(&with(280), Cause::Full));
     assert!(!WAY.is_in_time(&with(279), Cause::Full));
 
-    let known = Way { is_load_requested: false, ..WAY };
+    let known = RemotePath { is_load_requested: false, ..WAY };
     assert!(known.is_in_time(&with(220), Cause::Full));
 
-    let late = Way { waited: 300, ..WAY };
+    let late = RemotePath { waited: 300, ..WAY };
     assert!(!late.is_in_time(&with(500), Cause::Full));
 
-    let long = Way { transfer: 221, ..WAY };
+    let long = RemotePath { transfer: 221, ..WAY };
     assert!(!long.is_in_time(&with(500), Cause::Full));
 }
 
@@ -123,14 +123,14 @@
 fn a_region_without_servers_is_left_also_where_the_answer_is_late() {
     let short = Criteria { ttft_objective: 50, ..CRITERIA };
     assert!(WAY.is_in_time(&short, Cause::NoServer));
-    assert!(!Way { left: 280, ..WAY }.is_in_time(&short, Cause::NoServer));
-    assert!(Way { left: 281, ..WAY }.is_in_time(&short, Cause::NoServer));
+    assert!(!RemotePath { left: 280, ..WAY }.is_in_time(&short, Cause::NoServer));
+    assert!(RemotePath { left: 281, ..WAY }.is_in_time(&short, Cause::NoServer));
 }
 
 #[test]
 fn the_way_takes_its_time_off_the_objective_of_the_far_choice() {
     assert_eq!(WAY.shorten(&CRITERIA).ttft_objective, 320);
-    assert_eq!(Way { waited: 20, ..WAY }.shorten(&CRITERIA).ttft_objective, 300);
+    assert_eq!(RemotePath { waited: 20, ..WAY }.shorten(&CRITERIA).ttft_objective, 300);
     // A request that is late anyway is refused only where it would be late for waiting.
     let short = Criteria { ttft_objective: 50, ..CRITERIA };
     assert_eq!(WAY.shorten(&short).ttft_objective, 50);
@@ -277,7 +277,7 @@
 fn without_a_budget_nothing_crosses_however_long_a_body_is() {
     let mut links = Links::new(0.0);
     for bytes in [0, 1, 4_000_000] {
-        let way = Way { transfer: links.get_transfer(bytes), ..WAY };
+        let way = RemotePath { transfer: links.get_transfer(bytes), ..WAY };
         // The budget says no, and not the way: a caller is told that the link is full.
         assert!(way.is_in_time(&CRITERIA, Cause::NoServer), "{bytes} bytes");
         assert_eq!(way.get_travel(), 180);
@@ -291,7 +291,7 @@
 #[test]
 fn a_body_that_takes_for_ever_over_a_small_budget_stays() {
     let links = Links::new(1e-300);
-    let way = Way { transfer: links.get_transfer(1), ..WAY };
+    let way = RemotePath { transfer: links.get_transfer(1), ..WAY };
 
     assert!(!way.is_in_time(&CRITERIA, Cause::NoServer));
     assert!(!way.is_in_time(&CRITERIA, Cause::Full));
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::refusal::Refusal;
 use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Offer, Way, get_region, list_far, pick_destination,
+    Cause, Destination, Offer, RemotePath, get_region, list_far, pick_destination,
 };
 
 use super::region::{Found, Place, pick_in};
@@ -33,7 +33,7 @@
 
 /// Whether a request may go to another region.
 enum Gate {
-    Open(Way),
+    Open(RemotePath),
     Closed,
     /// The link's budget is used up; the time until it recovers, in milliseconds.
     LinkFull(Millis),
@@ -79,7 +79,7 @@
     }
 
     /// Picks a server of another region, within what the way there leaves of the objective.
-    async fn pick_far(&self, region: &str, way: &Way) -> Found {
+    async fn pick_far(&self, region: &str, way: &RemotePath) -> Found {
         let place = Place {
             far: Some((region, self.cause)),
             criteria: way.shorten(&self.near.criteria),
@@ -105,7 +105,7 @@
                 return Gate::Closed;
             }
             let is_silent = state.links.is_silent(now, region);
-            let way = Way {
+            let way = RemotePath {
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
                 round_trip: state.distances.get_round_trip(region),
