--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -124,7 +124,7 @@
 
 impl RemotePath {
     /// Returns the time from now until the first byte of an answer, without the server's own.
-    pub fn get_travel(&self) -> Millis {
+    pub fn get_travel_time(&self) -> Millis {
         let question = if self.is_load_requested { TRIPS_OF_QUESTION } else { 0 };
         let trips = (TRIPS_OF_REQUEST + question) * self.round_trip;
         trips.saturating_add(self.transfer)
@@ -136,7 +136,7 @@
     /// Where it has no server, it is before the caller gives up: a late answer is better than none.
     pub fn is_in_time(&self, criteria: &Criteria, cause: Cause) -> bool {
         let reading = criteria.estimate_idle().unwrap_or(0);
-        let from_now = self.get_travel().saturating_add(reading);
+        let from_now = self.get_travel_time().saturating_add(reading);
         let is_within = from_now < self.left;
         match (cause, criteria.ttft_objective) {
             (Cause::NoServer, _) | (_, 0) => is_within,
@@ -151,7 +151,7 @@
     /// An objective that cannot be met any more stays as it is: the request is late, and is refused
     /// only where servers are busy for longer than that.
     pub fn shorten(&self, criteria: &Criteria) -> Criteria {
-        let used = self.waited.saturating_add(self.get_travel());
+        let used = self.waited.saturating_add(self.get_travel_time());
         let left = criteria.ttft_objective.saturating_sub(used);
         let ttft_objective = if left == 0 { criteria.ttft_objective } else { left };
         Criteria { ttft_objective, ..*criteria }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -104,7 +104,7 @@
 #[test]
 fn a_full_region_is_left_only_where_the_objective_bears_the_way() {
     // A question, a connection and a request, 60 ms each, and 100 ms of reading.
-    assert_eq!(WAY.get_travel(), 180);
+    assert_eq!(WAY.get_travel_time(), 180);
     let with = |ttft_objective| Criteria { ttft_objective, ..CRITERIA };
     assert!(WAY.is_in_time(&with(280), Cause::Full));
     assert!(!WAY.is_in_time(&with(279), Cause::Full));
@@ -280,7 +280,7 @@
         let way = RemotePath { transfer: links.get_transfer(bytes), ..WAY };
         // The budget says no, and not the way: a caller is told that the link is full.
         assert!(way.is_in_time(&CRITERIA, Cause::NoServer), "{bytes} bytes");
-        assert_eq!(way.get_travel(), 180);
+        assert_eq!(way.get_travel_time(), 180);
     }
     // It does not recover: callers come back as for servers of their own region.
     assert_eq!(links.check(0, "b", 2), Err(700));
