--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -150,7 +150,7 @@
     ///
     /// An objective that cannot be met any more stays as it is: the request is late, and is refused
     /// only where servers are busy for longer than that.
-    pub fn shorten(&self, criteria: &Criteria) -> Criteria {
+    pub fn adjust_criteria(&self, criteria: &Criteria) -> Criteria {
         let used = self.waited.saturating_add(self.get_travel_time());
         let left = criteria.ttft_objective.saturating_sub(used);
         let ttft_objective = if left == 0 { criteria.ttft_objective } else { left };
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -129,14 +129,14 @@
 
 #[test]
 fn the_way_takes_its_time_off_the_objective_of_the_far_choice() {
-    assert_eq!(WAY.shorten(&CRITERIA).ttft_objective, 320);
-    assert_eq!(RemotePath { waited: 20, ..WAY }.shorten(&CRITERIA).ttft_objective, 300);
+    assert_eq!(WAY.adjust_criteria(&CRITERIA).ttft_objective, 320);
+    assert_eq!(RemotePath { waited: 20, ..WAY }.adjust_criteria(&CRITERIA).ttft_objective, 300);
     // A request that is late anyway is refused only where it would be late for waiting.
     let short = Criteria { ttft_objective: 50, ..CRITERIA };
-    assert_eq!(WAY.shorten(&short).ttft_objective, 50);
+    assert_eq!(WAY.adjust_criteria(&short).ttft_objective, 50);
     // Without an objective there is none.
     let none = Criteria { ttft_objective: 0, ..CRITERIA };
-    assert_eq!(WAY.shorten(&none).ttft_objective, 0);
+    assert_eq!(WAY.adjust_criteria(&none).ttft_objective, 0);
 }
 
 #[test]
@@ -148,7 +148,7 @@
 
     // 400 ms of reading: within 500 ms near by, and beyond the 320 ms that the way leaves.
     assert!(matches!(choose(&candidates, &CRITERIA, 7), Choice::Server(_)));
-    assert_eq!(choose(&candidates, &WAY.shorten(&CRITERIA), 7), Choice::Busy(240));
+    assert_eq!(choose(&candidates, &WAY.adjust_criteria(&CRITERIA), 7), Choice::Busy(240));
 }
 
 #[test]
@@ -295,5 +295,5 @@
 
     assert!(!way.is_in_time(&CRITERIA, Cause::NoServer));
     assert!(!way.is_in_time(&CRITERIA, Cause::Full));
-    assert_eq!(way.shorten(&CRITERIA).ttft_objective, 500);
+    assert_eq!(way.adjust_criteria(&CRITERIA).ttft_objective, 500);
 }
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -82,7 +82,7 @@
     async fn pick_far(&self, region: &str, way: &RemotePath) -> Found {
         let place = Place {
             far: Some((region, self.cause)),
-            criteria: way.shorten(&self.near.criteria),
+            criteria: way.adjust_criteria(&self.near.criteria),
             is_load_requested: way.is_load_requested,
             is_version_fixed: self.near.is_version_fixed,
         };
