--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -254,7 +254,10 @@
 }
 
 /// Lists the regions other than a node's own, the nearest first and the unknown region last.
-pub fn list_far(topology: &Topology, mut get_round_trip: impl FnMut(&str) -> Millis) -> Vec<&str> {
+pub fn list_remote_regions(
+    topology: &Topology,
+    mut get_round_trip: impl FnMut(&str) -> Millis,
+) -> Vec<&str> {
     let regions = topology.list_regions().into_iter();
     let mut far: Vec<&str> = regions.filter(|region| *region != topology.get_own()).collect();
     far.sort_by_key(|region| get_round_trip(region));
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::Load;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Links, Offer, RemotePath, get_region, list_far, pick_destination,
+    Cause, Destination, Links, Offer, RemotePath, get_region, list_remote_regions, pick_destination,
 };
 use keeljunction_core::serving::topology::Topology;
 use proptest::prelude::*;
@@ -157,7 +157,7 @@
     let topology = topology("a1", &regions);
     let distance = |region: &str| if region == "c" { 20 } else { 60 };
 
-    assert_eq!(list_far(&topology, distance), ["c", "b", "unknown"]);
+    assert_eq!(list_remote_regions(&topology, distance), ["c", "b", "unknown"]);
     assert_eq!(get_region(&topology, "b1"), "b");
     assert_eq!(get_region(&topology, "elsewhere"), "unknown");
 }
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::refusal::Refusal;
 use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Offer, RemotePath, get_region, list_far, pick_destination,
+    Cause, Destination, Offer, RemotePath, get_region, list_remote_regions, pick_destination,
 };
 
 use super::region::{Found, Place, pick_in};
@@ -44,7 +44,7 @@
     pub async fn run(self, found: Found) -> Result<Pick, Rejection> {
         let node = self.node;
         let regions = node.with(|state| {
-            list_far(&node.topology, |region| state.distances.get_round_trip(region))
+            list_remote_regions(&node.topology, |region| state.distances.get_round_trip(region))
         });
         let mut offer = found.offer;
         let mut link_wait: Option<Millis> = None;
