--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -176,7 +176,7 @@
 
 /// What a node may send and get over the links to other regions.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct LinkBudgets {
     /// Bytes a second of all nodes of the region together.
     rate: f64,
     by_region: BTreeMap<String, Link>,
@@ -188,7 +188,7 @@
     silent_until: Millis,
 }
 
-impl Links {
+impl LinkBudgets {
     /// Makes full budgets of so many megabits a second for all nodes of the region together.
     pub fn new(spill_mbps: f64) -> Self {
         Self { rate: spill_mbps * BYTES_PER_MBIT, by_region: BTreeMap::new() }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -6,7 +6,8 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::Load;
 use keeljunction_core::serving::spill::{
-    Cause, Destination, Links, Offer, RemotePath, get_region, list_remote_regions, pick_destination,
+    Cause, Destination, LinkBudgets, Offer, RemotePath, get_region, list_remote_regions,
+    pick_destination,
 };
 use keeljunction_core::serving::topology::Topology;
 use proptest::prelude::*;
@@ -165,7 +166,7 @@
 #[test]
 fn a_node_spends_its_share_of_the_budget_and_waits_for_more() {
     // 8 Mbit/s are 1,000,000 bytes a second; a tenth of that for each of ten nodes.
-    let mut links = Links::new(8.0);
+    let mut links = LinkBudgets::new(8.0);
 
     assert_eq!(links.check(0, "b", 10), Ok(()));
     links.count(0, "b", 150_000);
@@ -176,7 +177,7 @@
 
 #[test]
 fn each_region_has_a_budget_of_its_own() {
-    let mut links = Links::new(8.0);
+    let mut links = LinkBudgets::new(8.0);
     links.count(0, "b", 5_000_000);
 
     assert!(links.check(0, "b", 1).is_err());
@@ -185,14 +186,14 @@
 
 #[test]
 fn a_budget_of_nothing_lets_nothing_cross() {
-    let mut links = Links::new(0.0);
+    let mut links = LinkBudgets::new(0.0);
     assert!(links.check(0, "b", 1).is_err());
     assert!(links.check(60_000, "b", 1).is_err());
 }
 
 #[test]
 fn a_region_that_did_not_answer_is_silent_for_a_while_and_until_it_answers() {
-    let mut links = Links::new(8.0);
+    let mut links = LinkBudgets::new(8.0);
     assert!(!links.is_silent(0, "b"));
 
     links.note_answer(100, "b", false);
@@ -206,7 +207,7 @@
 
 #[test]
 fn a_body_takes_as_long_as_at_the_rate_of_the_budget() {
-    assert_eq!(Links::new(8.0).get_transfer(50_000), 50);
+    assert_eq!(LinkBudgets::new(8.0).get_transfer(50_000), 50);
 }
 
 #[test]
@@ -257,7 +258,7 @@
         body in 1_000_usize..60_000,
         gaps in proptest::collection::vec(0_u64..400, 50..200),
     ) {
-        let mut links: Vec<Links> = (0..nodes).map(|_| Links::new(8.0)).collect();
+        let mut links: Vec<LinkBudgets> = (0..nodes).map(|_| LinkBudgets::new(8.0)).collect();
         let mut now = 0;
         let mut sent = 0;
         for (turn, gap) in gaps.iter().enumerate() {
@@ -275,7 +276,7 @@
 
 #[test]
 fn without_a_budget_nothing_crosses_however_long_a_body_is() {
-    let mut links = Links::new(0.0);
+    let mut links = LinkBudgets::new(0.0);
     for bytes in [0, 1, 4_000_000] {
         let way = RemotePath { transfer: links.get_transfer(bytes), ..WAY };
         // The budget says no, and not the way: a caller is told that the link is full.
@@ -290,7 +291,7 @@
 
 #[test]
 fn a_body_that_takes_for_ever_over_a_small_budget_stays() {
-    let links = Links::new(1e-300);
+    let links = LinkBudgets::new(1e-300);
     let way = RemotePath { transfer: links.get_transfer(1), ..WAY };
 
     assert!(!way.is_in_time(&CRITERIA, Cause::NoServer));
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -25,7 +25,7 @@
 use keeljunction_core::serving::report_log::ReportLog;
 use keeljunction_core::serving::rollout;
 use keeljunction_core::serving::round_trip::RoundTrips;
-use keeljunction_core::serving::spill::Links;
+use keeljunction_core::serving::spill::LinkBudgets;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
@@ -184,7 +184,7 @@
     /// Round trips to other regions.
     pub distances: RoundTrips,
     /// The budgets of the links to other regions.
-    pub links: Links,
+    pub links: LinkBudgets,
     /// Summaries that this node sends to other regions.
     pub(super) carrying: Carrying,
     /// Memory that is held for callers and servers.
@@ -287,7 +287,7 @@
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
             distances: RoundTrips::default(),
-            links: Links::new(settings.regions.spill_mbps),
+            links: LinkBudgets::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             audience: Audience::default(),
