--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -222,7 +222,7 @@
 
     /// Returns how long a body takes at the rate of the whole budget; nothing without a budget, where
     /// [`check`](Self::check) refuses.
-    pub fn get_transfer(&self, bytes: usize) -> Millis {
+    pub fn get_transfer_time(&self, bytes: usize) -> Millis {
         if self.rate <= 0.0 {
             return 0;
         }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_body_takes_as_long_as_at_the_rate_of_the_budget() {
-    assert_eq!(LinkBudgets::new(8.0).get_transfer(50_000), 50);
+    assert_eq!(LinkBudgets::new(8.0).get_transfer_time(50_000), 50);
 }
 
 #[test]
@@ -278,7 +278,7 @@
 fn without_a_budget_nothing_crosses_however_long_a_body_is() {
     let mut links = LinkBudgets::new(0.0);
     for bytes in [0, 1, 4_000_000] {
-        let way = RemotePath { transfer: links.get_transfer(bytes), ..WAY };
+        let way = RemotePath { transfer: links.get_transfer_time(bytes), ..WAY };
         // The budget says no, and not the way: a caller is told that the link is full.
         assert!(way.is_in_time(&CRITERIA, Cause::NoServer), "{bytes} bytes");
         assert_eq!(way.get_travel_time(), 180);
@@ -292,7 +292,7 @@
 #[test]
 fn a_body_that_takes_for_ever_over_a_small_budget_stays() {
     let links = LinkBudgets::new(1e-300);
-    let way = RemotePath { transfer: links.get_transfer(1), ..WAY };
+    let way = RemotePath { transfer: links.get_transfer_time(1), ..WAY };
 
     assert!(!way.is_in_time(&CRITERIA, Cause::NoServer));
     assert!(!way.is_in_time(&CRITERIA, Cause::Full));
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -109,7 +109,7 @@
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
                 round_trip: state.distances.get_round_trip(region),
-                transfer: state.links.get_transfer(self.exchange.body_bytes),
+                transfer: state.links.get_transfer_time(self.exchange.body_bytes),
                 is_load_requested: self.near.is_load_requested && !is_silent,
             };
             let is_lost = is_silent && self.cause == Cause::Full;
