--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -230,7 +230,7 @@
     }
 
     /// Notes whether a region answered the question for the loads of its servers.
-    pub fn note_answer(&mut self, now: Millis, region: &str, is_answered: bool) {
+    pub fn record_reply(&mut self, now: Millis, region: &str, is_answered: bool) {
         let silent_until = if is_answered { 0 } else { now + SILENT_FOR };
         self.open_link(now, region).silent_until = silent_until;
     }
