--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -236,7 +236,7 @@
     }
 
     /// Returns `true` if a region did not answer the latest question, a short time ago.
-    pub fn is_silent(&self, now: Millis, region: &str) -> bool {
+    pub fn is_unresponsive(&self, now: Millis, region: &str) -> bool {
         self.by_region.get(region).is_some_and(|link| now < link.silent_until)
     }
 
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -104,7 +104,7 @@
             if !ready.any(is_there) {
                 return Gate::Closed;
             }
-            let is_silent = state.links.is_silent(now, region);
+            let is_silent = state.links.is_unresponsive(now, region);
             let way = RemotePath {
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
