--- a/crates/core/src/serving/event_stream.rs
+++ b/crates/core/src/serving/event_stream.rs
@@ -72,7 +72,7 @@
 
 /// What to do with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SequenceCheck {
     /// It comes next: pass it on.
     Next,
     /// It was passed on before.
@@ -93,13 +93,13 @@
     }
 
     /// Judges the number of an event.
-    pub fn judge(&mut self, id: u64) -> Verdict {
+    pub fn judge(&mut self, id: u64) -> SequenceCheck {
         match self.last {
-            Some(last) if id <= last => Verdict::Repeated,
-            Some(last) if id > last + 1 => Verdict::Gap,
+            Some(last) if id <= last => SequenceCheck::Repeated,
+            Some(last) if id > last + 1 => SequenceCheck::Gap,
             _ => {
                 self.last = Some(id);
-                Verdict::Next
+                SequenceCheck::Next
             }
         }
     }
--- a/crates/core/tests/serving/event_stream.rs
+++ b/crates/core/tests/serving/event_stream.rs
@@ -1,4 +1,4 @@
-use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
+use keeljunction_core::serving::event_stream::{Sequence, SequenceCheck, Splitter};
 use proptest::prelude::*;
 
 #[test]
@@ -30,17 +30,17 @@
 #[test]
 fn numbers_pass_once_and_in_order() {
     let mut sequence = Sequence::after(Some(4));
-    assert_eq!(sequence.judge(4), Verdict::Repeated);
-    assert_eq!(sequence.judge(5), Verdict::Next);
-    assert_eq!(sequence.judge(7), Verdict::Gap);
-    assert_eq!(sequence.judge(6), Verdict::Next);
+    assert_eq!(sequence.judge(4), SequenceCheck::Repeated);
+    assert_eq!(sequence.judge(5), SequenceCheck::Next);
+    assert_eq!(sequence.judge(7), SequenceCheck::Gap);
+    assert_eq!(sequence.judge(6), SequenceCheck::Next);
     assert_eq!(sequence.get_last(), Some(6));
 }
 
 #[test]
 fn a_stream_may_begin_with_any_number() {
-    assert_eq!(Sequence::default().judge(0), Verdict::Next);
-    assert_eq!(Sequence::default().judge(1), Verdict::Next);
+    assert_eq!(Sequence::default().judge(0), SequenceCheck::Next);
+    assert_eq!(Sequence::default().judge(1), SequenceCheck::Next);
 }
 
 proptest! {
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -1,5 +1,5 @@
 use bytes::Bytes;
-use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
+use keeljunction_core::serving::event_stream::{Sequence, SequenceCheck, Splitter};
 use keeljunction_core::serving::read_ahead::{
     Buffer, Caller, Progress, READ_BYTES, get_limit, pick_stalled,
 };
@@ -168,7 +168,7 @@
                 splitter.push(&rest[..length]);
                 rest = &rest[length..];
                 while let Some(event) = splitter.next_event() {
-                    if event.id.map(|id| sequence.judge(id)) == Some(Verdict::Next) {
+                    if event.id.map(|id| sequence.judge(id)) == Some(SequenceCheck::Next) {
                         buffer.push(event.bytes);
                     }
                 }
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -16,7 +16,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::configuration::RouteKind;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
+use keeljunction_core::serving::event_stream::{Sequence, SequenceCheck, Splitter};
 use keeljunction_core::serving::rollout::Phase;
 
 use super::admission::Exchange;
@@ -229,11 +229,11 @@
         };
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
-            let verdict = event.id.map_or(Verdict::Next, |id| self.sequence.judge(id));
+            let verdict = event.id.map_or(SequenceCheck::Next, |id| self.sequence.judge(id));
             match verdict {
-                Verdict::Next => self.ready.push_back(event.bytes),
-                Verdict::Repeated => {}
-                Verdict::Gap => {
+                SequenceCheck::Next => self.ready.push_back(event.bytes),
+                SequenceCheck::Repeated => {}
+                SequenceCheck::Gap => {
                     self.stop(End::Broken("an event is missing"));
                     return;
                 }
