--- a/crates/core/src/serving/event_stream.rs
+++ b/crates/core/src/serving/event_stream.rs
@@ -76,7 +76,7 @@
     /// It comes next: pass it on.
     Next,
     /// It was passed on before.
-    Repeated,
+    Duplicate,
     /// One before it is missing.
     Gap,
 }
@@ -95,7 +95,7 @@
     /// Judges the number of an event.
     pub fn judge(&mut self, id: u64) -> SequenceCheck {
         match self.last {
-            Some(last) if id <= last => SequenceCheck::Repeated,
+            Some(last) if id <= last => SequenceCheck::Duplicate,
             Some(last) if id > last + 1 => SequenceCheck::Gap,
             _ => {
                 self.last = Some(id);
--- a/crates/core/tests/serving/event_stream.rs
+++ b/crates/core/tests/serving/event_stream.rs
@@ -30,7 +30,7 @@
 #[test]
 fn numbers_pass_once_and_in_order() {
     let mut sequence = Sequence::after(Some(4));
-    assert_eq!(sequence.judge(4), SequenceCheck::Repeated);
+    assert_eq!(sequence.judge(4), SequenceCheck::Duplicate);
     assert_eq!(sequence.judge(5), SequenceCheck::Next);
     assert_eq!(sequence.judge(7), SequenceCheck::Gap);
     assert_eq!(sequence.judge(6), SequenceCheck::Next);
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -232,7 +232,7 @@
             let verdict = event.id.map_or(SequenceCheck::Next, |id| self.sequence.judge(id));
             match verdict {
                 SequenceCheck::Next => self.ready.push_back(event.bytes),
-                SequenceCheck::Repeated => {}
+                SequenceCheck::Duplicate => {}
                 SequenceCheck::Gap => {
                     self.stop(End::Broken("an event is missing"));
                     return;
