--- a/crates/core/src/serving/event_stream.rs
+++ b/crates/core/src/serving/event_stream.rs
@@ -93,7 +93,7 @@
     }
 
     /// Judges the number of an event.
-    pub fn judge(&mut self, id: u64) -> SequenceCheck {
+    pub fn check(&mut self, id: u64) -> SequenceCheck {
         match self.last {
             Some(last) if id <= last => SequenceCheck::Duplicate,
             Some(last) if id > last + 1 => SequenceCheck::Gap,
--- a/crates/core/tests/serving/event_stream.rs
+++ b/crates/core/tests/serving/event_stream.rs
@@ -30,17 +30,17 @@
 #[test]
 fn numbers_pass_once_and_in_order() {
     let mut sequence = Sequence::after(Some(4));
-    assert_eq!(sequence.judge(4), SequenceCheck::Duplicate);
-    assert_eq!(sequence.judge(5), SequenceCheck::Next);
-    assert_eq!(sequence.judge(7), SequenceCheck::Gap);
-    assert_eq!(sequence.judge(6), SequenceCheck::Next);
+    assert_eq!(sequence.check(4), SequenceCheck::Duplicate);
+    assert_eq!(sequence.check(5), SequenceCheck::Next);
+    assert_eq!(sequence.check(7), SequenceCheck::Gap);
+    assert_eq!(sequence.check(6), SequenceCheck::Next);
     assert_eq!(sequence.get_last(), Some(6));
 }
 
 #[test]
 fn a_stream_may_begin_with_any_number() {
-    assert_eq!(Sequence::default().judge(0), SequenceCheck::Next);
-    assert_eq!(Sequence::default().judge(1), SequenceCheck::Next);
+    assert_eq!(Sequence::default().check(0), SequenceCheck::Next);
+    assert_eq!(Sequence::default().check(1), SequenceCheck::Next);
 }
 
 proptest! {
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -168,7 +168,7 @@
                 splitter.push(&rest[..length]);
                 rest = &rest[length..];
                 while let Some(event) = splitter.next_event() {
-                    if event.id.map(|id| sequence.judge(id)) == Some(SequenceCheck::Next) {
+                    if event.id.map(|id| sequence.check(id)) == Some(SequenceCheck::Next) {
                         buffer.push(event.bytes);
                     }
                 }
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -229,7 +229,7 @@
         };
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
-            let verdict = event.id.map_or(SequenceCheck::Next, |id| self.sequence.judge(id));
+            let verdict = event.id.map_or(SequenceCheck::Next, |id| self.sequence.check(id));
             match verdict {
                 SequenceCheck::Next => self.ready.push_back(event.bytes),
                 SequenceCheck::Duplicate => {}
