--- a/crates/core/src/serving/members/owner.rs
+++ b/crates/core/src/serving/members/owner.rs
@@ -28,7 +28,7 @@
             let address = self.find_owner(server)?;
             return Some(LoadOwner { address, far_region: None });
         }
-        let own = self.topology.get_own();
+        let own = self.topology.get_own_region();
         let region = self.topology.get_region(data_centre).unwrap_or(own);
         let owner = self.find_owner_in(server, region).or_else(|| self.find_owner_in(server, own));
         let entry = &self.known.get(owner?)?.entry;
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -106,7 +106,7 @@
 
     /// Returns `true` if a node that does not hear these regions hears the one of this node.
     pub fn is_own_region_heard(&self, unheard_regions: &[String]) -> bool {
-        !unheard_regions.iter().any(|region| region == self.topology.get_own())
+        !unheard_regions.iter().any(|region| region == self.topology.get_own_region())
     }
 
     /// Returns `true` if some region is overdue: nothing came from it for some periods, and not all
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -259,7 +259,8 @@
     mut get_round_trip: impl FnMut(&str) -> Millis,
 ) -> Vec<&str> {
     let regions = topology.list_regions().into_iter();
-    let mut far: Vec<&str> = regions.filter(|region| *region != topology.get_own()).collect();
+    let mut far: Vec<&str> =
+        regions.filter(|region| *region != topology.get_own_region()).collect();
     far.sort_by_key(|region| get_round_trip(region));
     far.push(UNKNOWN_REGION);
     far
--- a/crates/core/src/serving/topology.rs
+++ b/crates/core/src/serving/topology.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the region that the node stands in; empty where no regions are known.
-    pub fn get_own(&self) -> &str {
+    pub fn get_own_region(&self) -> &str {
         &self.own
     }
 
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -26,7 +26,7 @@
     assert!(!topology.is_near("b1"));
     assert!(!topology.is_near("unknown"));
     assert!(topology.is_multi_region());
-    assert_eq!(topology.get_own(), "a");
+    assert_eq!(topology.get_own_region(), "a");
     assert_eq!(topology.get_region("b1"), Some("b"));
 }
 
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -181,7 +181,7 @@
             }
             self.lease_fence.set(state.lease.get_fence(now).unwrap_or(0) as i64);
             for region in node.topology.list_regions() {
-                if region != node.topology.get_own() {
+                if region != node.topology.get_own_region() {
                     let round_trip = state.distances.get_round_trip(region) as f64 / 1_000.0;
                     let labels = RegionLabels::of(region);
                     self.region_round_trip.get_or_create(&labels).set(round_trip);
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -30,7 +30,7 @@
     }
     let far = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
-        let others = regions.filter(|region| *region != node.topology.get_own());
+        let others = regions.filter(|region| *region != node.topology.get_own_region());
         let farthest = others.map(|region| state.distances.get_round_trip(region)).max();
         let period = state.carrying.pace.get_period();
         state.members.set_transit(period, farthest.unwrap_or(0) / 2);
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -267,7 +267,7 @@
             configuration: None,
             configuration_document: None,
             configuration_row: None,
-            demand: DemandBook::new(topology.get_own()),
+            demand: DemandBook::new(topology.get_own_region()),
             rollouts: rollout::Registry::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
