--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -146,7 +146,7 @@
         criterion.bench_function(&name, |bencher| {
             bencher.iter(|| {
                 random += 1;
-                let near = servers.iter().filter(|server| topology.is_near(&server.data_centre));
+                let near = servers.iter().filter(|server| topology.is_local(&server.data_centre));
                 let listed = shortlist(near, &criteria, random, false, |_| true);
                 let candidates: Vec<Candidate<'_>> = listed.into_iter().map(weigh).collect();
                 let choice = choose(&candidates, &criteria, random);
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -317,7 +317,7 @@
         }
         if let Some(member) = self.known.get_mut(name) {
             // What crossed is older than its sender says, by the time on the way.
-            let is_near = self.topology.is_near(&member.entry.data_centre);
+            let is_near = self.topology.is_local(&member.entry.data_centre);
             let way = if is_near { 0 } else { 2 * self.transit.way };
             member.group = group;
             member.group_age = group_age + way;
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -142,7 +142,7 @@
         let names: BTreeSet<&String> = self.view.ranking.aggregators.iter().chain(others).collect();
         let known = names.into_iter().filter_map(|name| self.known.get(name));
         let is_crossing = self.is_crossing();
-        let known = known.filter(|m| !is_crossing || self.topology.is_near(&m.entry.data_centre));
+        let known = known.filter(|m| !is_crossing || self.topology.is_local(&m.entry.data_centre));
         let mut addresses: Vec<SocketAddr> = known.map(|member| member.entry.address).collect();
         for seed in &self.seeds {
             if !self.known.values().any(|member| member.entry.address == *seed) {
--- a/crates/core/src/serving/members/ranking.rs
+++ b/crates/core/src/serving/members/ranking.rs
@@ -87,7 +87,7 @@
     aggregators: &[&'a Entry],
 ) -> BTreeMap<String, Vec<String>> {
     let mut regions: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
-    for entry in aggregators.iter().filter(|entry| !topology.is_near(&entry.data_centre)) {
+    for entry in aggregators.iter().filter(|entry| !topology.is_local(&entry.data_centre)) {
         let region = topology.get_region(&entry.data_centre).unwrap_or_default();
         regions.entry(region).or_default().push(entry);
     }
@@ -109,7 +109,7 @@
         aggregators.iter().filter(|entry| is_near(entry)).copied().collect()
     };
     let beside = only(&|entry| entry.data_centre == own.data_centre);
-    let near = only(&|entry| topology.is_near(&entry.data_centre));
+    let near = only(&|entry| topology.is_local(&entry.data_centre));
     let all = aggregators.to_vec();
     let among = [beside, near, all].into_iter().find(|entries| !entries.is_empty())?;
     let owner = succession::owner(&own.name, among.iter().map(|entry| entry.name.as_str()))?;
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -66,7 +66,7 @@
     /// Returns how many aggregators of this node's region there are, this one included.
     pub fn count_near_aggregators(&self) -> usize {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
-        1 + others.filter(|member| self.topology.is_near(&member.entry.data_centre)).count()
+        1 + others.filter(|member| self.topology.is_local(&member.entry.data_centre)).count()
     }
 
     /// Lists the nodes of other regions, by address, with their regions.
@@ -196,7 +196,7 @@
 
     /// Returns the region of a node that stands in another one than this node.
     pub(super) fn get_far_region(&self, entry: &Entry) -> Option<&str> {
-        let is_near = self.topology.is_near(&entry.data_centre);
+        let is_near = self.topology.is_local(&entry.data_centre);
         self.topology.get_region(&entry.data_centre).filter(|_| !is_near)
     }
 
--- a/crates/core/src/serving/members/view.rs
+++ b/crates/core/src/serving/members/view.rs
@@ -69,7 +69,7 @@
             self.view.ranking.is_aggregator || self.iter_group(now).next().is_some();
         let serving = || self.known.values().filter(|member| !member.is_stopping);
         let nodes = 1 + serving().count();
-        let near = serving().filter(|member| self.topology.is_near(&member.entry.data_centre));
+        let near = serving().filter(|member| self.topology.is_local(&member.entry.data_centre));
         let near_nodes = 1 + near.count();
         self.view.at = now;
         self.view.nodes = nodes;
@@ -296,7 +296,7 @@
     /// none, and takes all that it ranks.
     fn list_readers(&self, now: Millis, is_aggregator: bool) -> Vec<String> {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
-        let near = others.filter(|member| self.topology.is_near(&member.entry.data_centre));
+        let near = others.filter(|member| self.topology.is_local(&member.entry.data_centre));
         let alive = near.filter(|member| !is_aggregator || self.is_heard(now, member));
         let mut alive: Vec<&Entry> = alive.map(|member| &member.entry).collect();
         if is_aggregator {
--- a/crates/core/src/serving/topology.rs
+++ b/crates/core/src/serving/topology.rs
@@ -62,7 +62,7 @@
     ///
     /// One that the settings do not name is far: what crosses a region's border costs more than an
     /// unused server.
-    pub fn is_near(&self, data_centre: &str) -> bool {
+    pub fn is_local(&self, data_centre: &str) -> bool {
         self.regions.is_empty() || self.get_region(data_centre) == Some(self.own.as_str())
     }
 
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -252,7 +252,7 @@
                 *newest = (*newest).max(sent_at);
             }
             Datagram::Summary(summary) => {
-                let is_near = self.members.get_topology().is_near(&summary.entry.data_centre);
+                let is_near = self.members.get_topology().is_local(&summary.entry.data_centre);
                 let is_new = is_near || self.note(now, &summary);
                 if is_near {
                     self.take_summary(now, summary.clone());
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -214,7 +214,7 @@
 fn in_one_region_nothing_is_far() {
     let topology = Topology::new("a1", BTreeMap::new()).expect("no regions");
     assert!(!topology.is_multi_region());
-    assert!(topology.is_near("elsewhere"));
+    assert!(topology.is_local("elsewhere"));
 }
 
 fn any_offer() -> impl Strategy<Value = Offer> {
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -14,7 +14,7 @@
 fn without_regions_everything_is_near() {
     let topology = Topology::new("a1", BTreeMap::new()).unwrap();
 
-    assert!(topology.is_near("a1") && topology.is_near("elsewhere"));
+    assert!(topology.is_local("a1") && topology.is_local("elsewhere"));
     assert!(!topology.is_multi_region());
 }
 
@@ -22,9 +22,9 @@
 fn data_centres_of_other_regions_and_unknown_ones_are_far() {
     let topology = Topology::new("a1", two_regions()).unwrap();
 
-    assert!(topology.is_near("a2"));
-    assert!(!topology.is_near("b1"));
-    assert!(!topology.is_near("unknown"));
+    assert!(topology.is_local("a2"));
+    assert!(!topology.is_local("b1"));
+    assert!(!topology.is_local("unknown"));
     assert!(topology.is_multi_region());
     assert_eq!(topology.get_own_region(), "a");
     assert_eq!(topology.get_region("b1"), Some("b"));
--- a/crates/gateway/src/node/crossing.rs
+++ b/crates/gateway/src/node/crossing.rs
@@ -9,7 +9,7 @@
 impl Node {
     /// Returns `true` if what goes to a data centre crosses the border of the node's region.
     pub(crate) fn is_crossing(&self, data_centre: &str) -> bool {
-        !self.topology.is_near(data_centre) && self.topology.is_multi_region()
+        !self.topology.is_local(data_centre) && self.topology.is_multi_region()
     }
 
     /// Returns the round trip to a data centre of another region; 0 within the node's own.
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -92,7 +92,7 @@
         return;
     }
     let reported = summary.versions;
-    if node.topology.is_near(&summary.sender.entry.data_centre) {
+    if node.topology.is_local(&summary.sender.entry.data_centre) {
         report::take_summary(node, asked_at, summary);
         return versions::take(node, from, asked_at, &reported);
     }
