--- a/crates/core/src/serving/upload.rs
+++ b/crates/core/src/serving/upload.rs
@@ -16,14 +16,14 @@
 
 /// How fast the body of one request comes.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct RateMonitor {
     window: Millis,
     length: Option<u64>,
     /// The bytes that had come at each tick of the window.
     marks: VecDeque<u64>,
 }
 
-impl Pace {
+impl RateMonitor {
     /// Begins a body. In each `window`, in milliseconds, it has to bring the least rate's bytes, or
     /// the rest of its length where that is known and less.
     pub fn new(window: Millis, length: Option<u64>) -> Self {
@@ -40,9 +40,9 @@
     /// # Examples
     ///
     /// ```
-    /// use keeljunction_core::serving::upload::Pace;
+    /// use keeljunction_core::serving::upload::RateMonitor;
     ///
-    /// let mut pace = Pace::new(4_000, None);
+    /// let mut pace = RateMonitor::new(4_000, None);
     /// assert!(!pace.note_tick(10));
     /// assert!(!pace.note_tick(10));
     /// assert!(!pace.note_tick(10));
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -17,7 +17,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::memory::{Kind, Requester};
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::upload::Pace;
+use keeljunction_core::serving::upload::RateMonitor;
 
 use super::rejection::Rejection;
 use crate::event::{self, Event};
@@ -132,7 +132,7 @@
     }
 
     fn begin_wait(&self, reservation: &mut Reservation) -> Wait {
-        let pace = Pace::new(self.bounds.window, self.length);
+        let pace = RateMonitor::new(self.bounds.window, self.length);
         let within = Duration::from_millis(self.bounds.within);
         Wait {
             stop: reservation.watch(),
@@ -183,7 +183,7 @@
     /// Only wakes the wait: a tick that comes late, after a suspension too, counts as one.
     tick: Timer,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
-    pace: Pace,
+    pace: RateMonitor,
 }
 
 impl Wait {
