--- a/crates/core/src/serving/upload.rs
+++ b/crates/core/src/serving/upload.rs
@@ -43,12 +43,12 @@
     /// use keeljunction_core::serving::upload::RateMonitor;
     ///
     /// let mut pace = RateMonitor::new(4_000, None);
-    /// assert!(!pace.note_tick(10));
-    /// assert!(!pace.note_tick(10));
-    /// assert!(!pace.note_tick(10));
-    /// assert!(pace.note_tick(10));
+    /// assert!(!pace.record_tick(10));
+    /// assert!(!pace.record_tick(10));
+    /// assert!(!pace.record_tick(10));
+    /// assert!(pace.record_tick(10));
     /// ```
-    pub fn note_tick(&mut self, received: u64) -> bool {
+    pub fn record_tick(&mut self, received: u64) -> bool {
         self.marks.push_back(received);
         if self.marks.len() as u64 <= TICKS {
             return false;
--- a/crates/core/tests/serving/upload.rs
+++ b/crates/core/tests/serving/upload.rs
@@ -5,7 +5,7 @@
     let mut received = 0;
     (1..=100).find(|tick| {
         received += bytes_at(*tick);
-        pace.note_tick(received)
+        pace.record_tick(received)
     })
 }
 
@@ -32,9 +32,9 @@
     assert_eq!(find_slow_tick(pace, comes), Some(4), "6,400 bytes are due in one window");
     let mut pace = RateMonitor::new(3_000, Some(101_000));
     for received in [20_000, 40_000, 60_000, 80_000, 100_000, 100_000, 100_000] {
-        assert!(!pace.note_tick(received));
+        assert!(!pace.record_tick(received));
     }
-    assert!(pace.note_tick(100_500), "20,500 of the last 21,000 bytes came in the window");
+    assert!(pace.record_tick(100_500), "20,500 of the last 21,000 bytes came in the window");
 }
 
 #[test]
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -190,7 +190,7 @@
     /// Notes a tick, and returns `true` if too little has come.
     fn note_tick(&mut self, received: u64) -> bool {
         self.tick.set_after(Duration::from_millis(self.pace.get_tick()));
-        self.pace.note_tick(received)
+        self.pace.record_tick(received)
     }
 
     async fn end(&mut self) -> Next {
