--- a/crates/core/src/serving/upload.rs
+++ b/crates/core/src/serving/upload.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the time between two ticks, in milliseconds.
-    pub fn get_tick(&self) -> Millis {
+    pub fn get_tick_interval(&self) -> Millis {
         (self.window / TICKS).max(1)
     }
 
--- a/crates/core/tests/serving/upload.rs
+++ b/crates/core/tests/serving/upload.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_body_that_rests_is_too_slow_after_a_window() {
     let pace = RateMonitor::new(3_000, Some(4_190_000));
-    assert_eq!(pace.get_tick(), 750);
+    assert_eq!(pace.get_tick_interval(), 750);
     assert_eq!(find_slow_tick(pace.clone(), |_| 0), Some(4));
     let rests_later = |tick| if tick <= 10 { 100_000 } else { 0 };
     assert_eq!(find_slow_tick(pace, rests_later), Some(14));
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -136,7 +136,7 @@
         let within = Duration::from_millis(self.bounds.within);
         Wait {
             stop: reservation.watch(),
-            tick: Timer::after(Duration::from_millis(pace.get_tick())),
+            tick: Timer::after(Duration::from_millis(pace.get_tick_interval())),
             due: Box::pin(runtime::sleep(within)),
             pace,
         }
@@ -189,7 +189,7 @@
 impl Wait {
     /// Notes a tick, and returns `true` if too little has come.
     fn note_tick(&mut self, received: u64) -> bool {
-        self.tick.set_after(Duration::from_millis(self.pace.get_tick()));
+        self.tick.set_after(Duration::from_millis(self.pace.get_tick_interval()));
         self.pace.record_tick(received)
     }
 
