--- a/crates/core/src/serving/configuration.rs
+++ b/crates/core/src/serving/configuration.rs
@@ -133,14 +133,14 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// Time for a request's head to arrive.
-    pub head_within: Millis,
+    pub head_timeout: Millis,
     /// Time that a connection may rest between requests.
     pub idle: Millis,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        Self { head_bytes: 16_384, body_bytes: 4_194_304, head_within: 3_000, idle: 15_000 }
+        Self { head_bytes: 16_384, body_bytes: 4_194_304, head_timeout: 3_000, idle: 15_000 }
     }
 }
 
--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -112,7 +112,7 @@
         let urgency = priority * PRIORITY_STEP + route.priority;
         let bounds = Bounds {
             bytes: configuration.limits.body_bytes as u64,
-            window: configuration.limits.head_within,
+            window: configuration.limits.head_timeout,
             within: deadline.min(route.timeout),
         };
         let id = record.id.clone();
