--- a/crates/core/src/serving/configuration.rs
+++ b/crates/core/src/serving/configuration.rs
@@ -135,12 +135,17 @@
     /// Time for a request's head to arrive.
     pub head_timeout: Millis,
     /// Time that a connection may rest between requests.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        Self { head_bytes: 16_384, body_bytes: 4_194_304, head_timeout: 3_000, idle: 15_000 }
+        Self {
+            head_bytes: 16_384,
+            body_bytes: 4_194_304,
+            head_timeout: 3_000,
+            idle_timeout: 15_000,
+        }
     }
 }
 
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -346,7 +346,7 @@
     /// The configuration holds how long callers use connections that rest. A later one may hold a longer
     /// time, and a connection must not close while its caller may use it.
     pub fn get_rest_bound(&self) -> Duration {
-        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle));
+        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle_timeout));
         Duration::from_millis(known.unwrap_or(REST_WHILE_UNKNOWN)) * REST_FACTOR
     }
 
