--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -140,15 +140,15 @@
     /// The bytes that are held for it.
     pub bytes: usize,
     /// How long it has taken nothing, in milliseconds.
-    pub resting: Millis,
+    pub stalled: Millis,
 }
 
 /// Picks the callers to disconnect so that `missing` bytes become free: those that rest, the
 /// slowest and largest first. A caller that reads is never picked.
 pub fn pick_stalled(callers: &[Caller], missing: usize) -> Vec<u64> {
     let mut resting: Vec<&Caller> =
-        callers.iter().filter(|c| c.bytes > 0 && c.resting >= STALL_TIMEOUT).collect();
-    resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.resting, c.id)));
+        callers.iter().filter(|c| c.bytes > 0 && c.stalled >= STALL_TIMEOUT).collect();
+    resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.stalled, c.id)));
     let mut freed = 0;
     let mut picked = Vec::new();
     for caller in resting {
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -76,10 +76,10 @@
 #[test]
 fn the_slowest_and_largest_go_first_and_no_more_than_needed() {
     let callers = [
-        Caller { id: 1, bytes: 4_000, resting: 1_500 },
-        Caller { id: 2, bytes: 3_000, resting: 9_000 },
-        Caller { id: 3, bytes: 9_000, resting: 2_000 },
-        Caller { id: 4, bytes: 90_000, resting: 900 },
+        Caller { id: 1, bytes: 4_000, stalled: 1_500 },
+        Caller { id: 2, bytes: 3_000, stalled: 9_000 },
+        Caller { id: 3, bytes: 9_000, stalled: 2_000 },
+        Caller { id: 4, bytes: 90_000, stalled: 900 },
     ];
     assert_eq!(pick_stalled(&callers, 3_000), [2]);
     assert_eq!(pick_stalled(&callers, 3_001), [2, 3]);
@@ -130,10 +130,10 @@
         let callers: Vec<Caller> = callers
             .into_iter()
             .enumerate()
-            .map(|(id, (bytes, resting))| Caller { id: id as u64, bytes, resting })
+            .map(|(id, (bytes, stalled))| Caller { id: id as u64, bytes, stalled })
             .collect();
         for id in pick_stalled(&callers, missing) {
-            prop_assert!(callers[id as usize].resting >= 1_000);
+            prop_assert!(callers[id as usize].stalled >= 1_000);
         }
     }
 }
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -33,7 +33,7 @@
     let now = node.now();
     for feed in node.feeds.list() {
         let Some(look) = (feed.look)(now) else { continue };
-        if look.caller.resting >= STALL_TIMEOUT {
+        if look.caller.stalled >= STALL_TIMEOUT {
             disconnect(node, &feed, &look, "stopping");
         }
     }
@@ -75,7 +75,7 @@
         request: &feed.request,
         reason,
         held_bytes: look.caller.bytes,
-        resting_ms: look.caller.resting,
+        resting_ms: look.caller.stalled,
     });
     let labels = ReasonLabels { reason: reason.to_owned() };
     node.metrics.callers_disconnected.get_or_create(&labels).inc();
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -183,8 +183,8 @@
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
             flow.reading = Some(runtime::task(reading));
         }
-        let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
-        let caller = Caller { id: self.id, bytes, resting };
+        let (bytes, stalled) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
+        let caller = Caller { id: self.id, bytes, stalled };
         Look { caller, is_over: flow.progress.is_too_slow(), is_short }
     }
 
