--- a/crates/core/src/serving/backpressure/mod.rs
+++ b/crates/core/src/serving/backpressure/mod.rs
@@ -14,25 +14,25 @@
 //! | module | does |
 //! |---|---|
 //! | `signal` | says what one answer says |
-//! | `key` | names a start of a server |
-//! | `sighting` | says what a node saw of a server's limit |
+//! | `instance_key` | names a start of a server |
+//! | `observation` | says what a node saw of a server's limit |
 //! | `rate_limits` | holds which servers are limited, at each node |
 //! | `back_offs` | holds which servers take no requests from this node for a time |
 //! | `permits` | gives permits for limited servers, at their owners |
-//! | `book` | holds all of it, at each node |
+//! | `tracker` | holds all of it, at each node |
 
 mod back_offs;
-mod book;
-mod key;
+mod instance_key;
+mod observation;
 mod permits;
 mod rate_limits;
-mod sighting;
 mod signal;
+mod tracker;
 
 pub use self::back_offs::BackOffs;
-pub use self::book::{Tracker, Update};
-pub use self::key::InstanceKey;
+pub use self::instance_key::InstanceKey;
+pub use self::observation::Observation;
 pub use self::permits::{Decision, Permits};
 pub use self::rate_limits::RateLimits;
-pub use self::sighting::Observation;
 pub use self::signal::Signal;
+pub use self::tracker::{Tracker, Update};
--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/budget.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::eviction::Shortage;
-use super::holder::{Requester, Reservation, ReservationId};
 use super::kind::Kind;
 use super::pressure::draw_level;
 use super::release::Releases;
+use super::reservation::{Requester, Reservation, ReservationId};
 use super::share::Share;
 use crate::Millis;
 
--- a/crates/core/src/serving/memory/eviction.rs
+++ b/crates/core/src/serving/memory/eviction.rs
@@ -2,10 +2,10 @@
 
 use std::cmp::Reverse;
 
-use super::accountant::MemoryBudget;
-use super::holder::{Reservation, ReservationId};
+use super::budget::MemoryBudget;
 use super::kind::Kind;
 use super::release::LEAST_RETRY_AFTER;
+use super::reservation::{Reservation, ReservationId};
 use crate::Millis;
 
 /// Why bytes were not reserved.
--- a/crates/core/src/serving/memory/mod.rs
+++ b/crates/core/src/serving/memory/mod.rs
@@ -17,26 +17,26 @@
 //!
 //! | module | holds |
 //! |---|---|
-//! | `accountant` | what is reserved, by holder, kind and account |
+//! | `budget` | what is reserved, by holder, kind and account |
 //! | `kind` | what bytes are held for |
-//! | `holder` | who holds them |
+//! | `reservation` | who holds them |
 //! | `share` | what each account holds and waits for |
 //! | `room` | pools and fair shares |
 //! | `eviction` | refusals, and the uploads that make room |
 //! | `release` | the rate of releases, for `Retry-After` |
 //! | `pressure` | the memory in use, samples, and readiness |
 
-mod accountant;
+mod budget;
 mod eviction;
-mod holder;
 mod kind;
 mod pressure;
 mod release;
+mod reservation;
 mod room;
 mod share;
 
-pub use accountant::MemoryBudget;
+pub use budget::MemoryBudget;
 pub use eviction::Shortage;
-pub use holder::{Requester, ReservationId};
 pub use kind::Kind;
 pub use pressure::Usage;
+pub use reservation::{Requester, ReservationId};
--- a/crates/core/src/serving/memory/pressure.rs
+++ b/crates/core/src/serving/memory/pressure.rs
@@ -1,8 +1,8 @@
 //! How much of the memory is in use, and when callers should go to other nodes.
 
-use super::accountant::MemoryBudget;
-use super::holder::{Reservation, ReservationId};
+use super::budget::MemoryBudget;
 use super::kind::Kind;
+use super::reservation::{Reservation, ReservationId};
 use super::room::{BODY_PART, CONTROL_PART};
 use crate::Millis;
 
--- a/crates/core/src/serving/memory/room.rs
+++ b/crates/core/src/serving/memory/room.rs
@@ -1,8 +1,8 @@
 //! Whether there is room for a holder's growth: pools and fair shares.
 
-use super::accountant::MemoryBudget;
-use super::holder::Reservation;
+use super::budget::MemoryBudget;
 use super::kind::Kind;
+use super::reservation::Reservation;
 use crate::Millis;
 
 /// The part of the capacity that bodies and answers leave to control, so that heads and reports
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -7,37 +7,37 @@
 //!
 //! Each node reports crashes of servers that it notices, with the fingerprints of its requests that were
 //! cut off there, to the aggregator that owns the service. That one, the keeper, sees all requests that
-//! ran at a server when it crashed, and looks for the fewest requests that explain the crashes (`evidence`).
+//! ran at a server when it crashed, and looks for the fewest requests that explain the crashes (`crash_analyzer`).
 //! What it decides goes to all nodes, which refuse the request from then on.
 //!
 //! | module | does |
 //! |---|---|
 //! | `fingerprint` | names the content of a request |
 //! | `report` | says what a node reports of a crash, and repeats it until its keeper has it |
-//! | `evidence` | decides, at the keeper, which request crashes servers |
+//! | `crash_analyzer` | decides, at the keeper, which request crashes servers |
 //! | `verdict` | says what was decided of a request |
-//! | `list` | holds what was decided, at each node |
-//! | `book` | holds all of it, at each node |
-//! | `answered` | remembers requests that were answered whole |
+//! | `verdict_cache` | holds what was decided, at each node |
+//! | `tracker` | holds all of it, at each node |
+//! | `completed_requests` | remembers requests that were answered whole |
 //!
 //! All of it is bounded and forgotten with time. A keeper that ends loses its evidence; the nodes report
 //! to the next one what they reported within the last minute.
 
-mod answered;
-mod book;
-mod evidence;
+mod completed_requests;
+mod crash_analyzer;
 mod fingerprint;
-mod list;
 mod report;
+mod tracker;
 mod verdict;
+mod verdict_cache;
 
-pub use answered::CompletedRequests;
-pub use book::{MergeOutcome, Tracker};
-pub use evidence::CrashAnalyzer;
+pub use completed_requests::CompletedRequests;
+pub use crash_analyzer::CrashAnalyzer;
 pub use fingerprint::{Content, Fingerprint};
-pub use list::VerdictCache;
 pub use report::{Crash, InterruptedRequest, Outbox};
+pub use tracker::{MergeOutcome, Tracker};
 pub use verdict::{Standing, Verdict};
+pub use verdict_cache::VerdictCache;
 
 use crate::Millis;
 
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/tracker.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use super::answered::SHOWN_FOR;
+use super::completed_requests::SHOWN_FOR;
 use super::{
     CompletedRequests, Crash, CrashAnalyzer, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
 };
--- a/crates/core/src/serving/rollout/mod.rs
+++ b/crates/core/src/serving/rollout/mod.rs
@@ -16,18 +16,18 @@
 //! | `tally` | counts answers, failures and latencies by route |
 //! | `judge` | finds that a version is worse than the others, from tallies |
 //! | `progress` | decides the next stage |
-//! | `book` | holds what a node knows of all roll-outs |
+//! | `registry` | holds what a node knows of all roll-outs |
 
-mod book;
 mod exposure;
 mod judge;
 mod order;
 mod progress;
+mod registry;
 mod tally;
 
-pub use self::book::{Registry, Report, Summary, VersionFilter};
 pub use self::exposure::{Exposure, Tolerance};
 pub use self::judge::{Judge, Regression, Symptom};
 pub use self::order::{Announcement, Order, Stage, Status};
 pub use self::progress::{Action, Progress, Snapshot};
+pub use self::registry::{Registry, Report, Summary, VersionFilter};
 pub use self::tally::{Comparison, Latencies, Phase, Series, Tallies, Tally};
