--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -36,7 +36,7 @@
 
 impl Health {
     /// Notes a good answer.
-    pub fn succeed(&mut self, id: &str) {
+    pub fn record_success(&mut self, id: &str) {
         let Some(record) = self.servers.get_mut(id) else { return };
         match record.ramped_at {
             0 => drop(self.servers.remove(id)),
@@ -45,7 +45,7 @@
     }
 
     /// Notes a failure; returns the time for which the server is ejected, if it now is.
-    pub fn fail(&mut self, now: Millis, id: &str) -> Option<Millis> {
+    pub fn record_failure(&mut self, now: Millis, id: &str) -> Option<Millis> {
         let record = self.servers.entry(id.to_owned()).or_default();
         record.failures += 1;
         let beyond = record.failures.checked_sub(TOLERATED + 1)?;
@@ -55,9 +55,9 @@
     }
 
     /// Notes that no connection to the server came up, which ejects it at once.
-    pub fn fail_to_connect(&mut self, now: Millis, id: &str) {
+    pub fn record_connect_failure(&mut self, now: Millis, id: &str) {
         self.servers.entry(id.to_owned()).or_default().failures += TOLERATED;
-        if let Some(ejected_for) = self.fail(now, id) {
+        if let Some(ejected_for) = self.record_failure(now, id) {
             let record = self.servers.entry(id.to_owned()).or_default();
             record.ramped_at = now + ejected_for + RAMP;
         }
@@ -65,7 +65,7 @@
 
     /// Notes that the server takes no requests until a time. All nodes may return to it then, so that it
     /// gets its work back gradually.
-    pub fn note_back_off(&mut self, id: &str, until: Millis) {
+    pub fn record_back_off(&mut self, id: &str, until: Millis) {
         let record = self.servers.entry(id.to_owned()).or_default();
         record.ramped_at = record.ramped_at.max(until.saturating_add(RAMP));
     }
--- a/crates/core/src/serving/held.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -11,7 +11,7 @@
 
 /// The least bytes held at a server whose end is taken for a lack of memory: some tens of usual
 /// requests, or a single large one.
-pub const LEAST_SUSPECT: u64 = 32 * 1024;
+pub const MIN_SUSPECT_BYTES: u64 = 32 * 1024;
 /// The time in which a bound doubles, in milliseconds: a server that ended is back by then, and the
 /// node that lowered its bound too far works at it again within a minute.
 const DOUBLES_IN: Millis = 5_000;
@@ -20,7 +20,7 @@
 
 /// The bytes of this node's requests that each server holds, and the bounds of the services.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Limiter {
     /// The bytes held at each server, by its id.
     servers: HashMap<String, u64>,
     /// The bound for each server of a service, by the service.
@@ -42,7 +42,7 @@
     }
 }
 
-impl Book {
+impl Limiter {
     /// Counts a request that is sent to a server.
     pub fn begin(&mut self, id: &str, bytes: u64) {
         if bytes > 0 {
@@ -72,20 +72,20 @@
     /// Notes that a server ended a connection before its answer was whole; returns the new bound, or
     /// `None` where the server held too little to lower it.
     ///
-    /// The bound falls to half of what was held, and no lower than [`LEAST_SUSPECT`].
-    pub fn note_end(&mut self, now: Millis, service: &str, id: &str) -> Option<u64> {
+    /// The bound falls to half of what was held, and no lower than [`MIN_SUSPECT_BYTES`].
+    pub fn record_disconnect(&mut self, now: Millis, service: &str, id: &str) -> Option<u64> {
         let held = self.get(id);
-        if held < LEAST_SUSPECT {
+        if held < MIN_SUSPECT_BYTES {
             return None;
         }
-        let before = self.get_bound(now, service).unwrap_or(u64::MAX);
-        let bytes = (held / 2).max(LEAST_SUSPECT).min(before);
+        let before = self.get_limit(now, service).unwrap_or(u64::MAX);
+        let bytes = (held / 2).max(MIN_SUSPECT_BYTES).min(before);
         self.bounds.insert(service.to_owned(), Bound { bytes, lowered_at: now });
         Some(bytes)
     }
 
     /// Returns the bytes that may lie at each server of a service; `None` where nothing bounds them.
-    pub fn get_bound(&self, now: Millis, service: &str) -> Option<u64> {
+    pub fn get_limit(&self, now: Millis, service: &str) -> Option<u64> {
         self.bounds.get(service)?.get(now)
     }
 
@@ -94,7 +94,7 @@
     /// One request alone is never too large for an idle server.
     pub fn is_full(&self, now: Millis, service: &str, id: &str, bytes: u64) -> bool {
         let held = self.get(id);
-        let Some(bound) = self.get_bound(now, service) else { return false };
+        let Some(bound) = self.get_limit(now, service) else { return false };
         held > 0 && held + bytes > bound
     }
 }
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -66,7 +66,7 @@
     /// Returns how many aggregators of this node's region there are, this one included.
     pub fn count_local_aggregators(&self) -> usize {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
-        1 + others.filter(|member| self.topology.is_near(&member.entry.data_centre)).count()
+        1 + others.filter(|member| self.topology.is_local(&member.entry.data_centre)).count()
     }
 
     /// Lists the nodes of other regions, by address, with their regions.
@@ -112,7 +112,7 @@
 
     /// Returns `true` if a node that does not hear these regions hears the one of this node.
     pub fn is_own_region_heard(&self, unheard_regions: &[String]) -> bool {
-        !unheard_regions.iter().any(|region| region == self.topology.get_own())
+        !unheard_regions.iter().any(|region| region == self.topology.get_own_region())
     }
 
     /// Returns `true` if some region is overdue: nothing came from it for some periods, and not all
@@ -202,7 +202,7 @@
 
     /// Returns the region of a node that stands in another one than this node.
     pub(super) fn get_far_region(&self, entry: &Entry) -> Option<&str> {
-        let is_near = self.topology.is_near(&entry.data_centre);
+        let is_near = self.topology.is_local(&entry.data_centre);
         self.topology.get_region(&entry.data_centre).filter(|_| !is_near)
     }
 
--- a/crates/core/src/serving/memory/holder.rs
+++ b/crates/core/src/serving/memory/reservation.rs
@@ -10,11 +10,11 @@
 
 /// Names a holder of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HolderId(pub(super) u64);
+pub struct ReservationId(pub(super) u64);
 
 /// Who wants to hold bytes, and what for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim<'a> {
+pub struct Requester<'a> {
     /// What for.
     pub kind: Kind,
     /// The client account; empty where there is none.
@@ -25,7 +25,7 @@
 
 /// A body, an answer or a part of the node itself for which bytes are held.
 #[derive(Clone, Debug)]
-pub(super) struct Holder {
+pub(super) struct Reservation {
     pub(super) kind: Kind,
     pub(super) account: String,
     pub(super) urgency: u32,
@@ -42,7 +42,7 @@
     pub(super) is_small: bool,
 }
 
-impl Holder {
+impl Reservation {
     /// Returns `true` if the body is still small with so many bytes more.
     pub(super) fn is_small_with(&self, bytes: u64) -> bool {
         self.is_small && self.reserved.saturating_add(bytes) <= SMALL_BODY_BYTES
--- a/crates/core/tests/serving/backpressure.rs
+++ b/crates/core/tests/serving/backpressure.rs
@@ -1,7 +1,9 @@
 //! Limits that servers name, over nodes that start, part and end.
 
 use fastrand::Rng;
-use keeljunction_core::serving::backpressure::{Book, Decision, Key, Sighting, Signal};
+use keeljunction_core::serving::backpressure::{
+    Decision, InstanceKey, Observation, Signal, Tracker,
+};
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::quota::Reachability;
 
@@ -30,7 +32,7 @@
 
 /// Nodes that all know of a limited server and send it as much as they may.
 struct Cluster {
-    nodes: Vec<Book>,
+    nodes: Vec<Tracker>,
     server: Server,
     limit: f64,
     random: Rng,
@@ -56,8 +58,8 @@
         let server = make_server("s-1");
         let mut random = Rng::with_seed(seed);
         let known = (0..nodes).map(|_| {
-            let mut known = Book::new(random.f64());
-            known.note(0, 0, &server, &signal(Some(limit)));
+            let mut known = Tracker::new(random.f64());
+            known.record(0, 0, &server, &signal(Some(limit)));
             known
         });
         let nodes = known.collect();
@@ -104,13 +106,13 @@
                 };
                 let decision = self.nodes[part.owner].decide(now, &sighting, reach);
                 let asking = &mut self.nodes[node];
-                asking.take_decision(now, sighting.key, decision, UNDECIDED_FOR)
+                asking.apply_decision(now, sighting.key, decision, UNDECIDED_FOR)
             }
         };
         if is_sent {
             let at = now + self.random.u64(..WAY);
             self.arrivals.push(at);
-            self.nodes[node].note(at, now, &self.server, &signal(Some(self.limit)));
+            self.nodes[node].record(at, now, &self.server, &signal(Some(self.limit)));
         }
     }
 
@@ -198,7 +200,7 @@
     let mut cluster = Cluster::new(8, 2.0, 10.0, 3);
     for round in 0..4 {
         let node = round as usize + 1;
-        cluster.nodes[node] = Book::default();
+        cluster.nodes[node] = Tracker::default();
         let all = cluster.all(0);
         cluster.play(round * 2_000, (round + 1) * 2_000, &[all]);
     }
@@ -208,19 +210,19 @@
 
 #[test]
 fn a_permit_that_is_returned_is_given_to_another_request() {
-    let mut owner = Book::default();
+    let mut owner = Tracker::default();
     let server = make_server("s-1");
-    let key = Key::of(&server);
-    owner.note(0, 0, &server, &signal(Some(1.0)));
-    let seen = Sighting { key, rate: Some(1.0), age: 0 };
+    let key = InstanceKey::of(&server);
+    owner.record(0, 0, &server, &signal(Some(1.0)));
+    let seen = Observation { key, rate: Some(1.0), age: 0 };
     let reach = Reachability { heard: 1, known: 1, report_delay: 200, is_grouped: false };
     assert_eq!(owner.decide(0, &seen, reach), Decision::Denied { retry_after: 1_005 });
     assert_eq!(owner.decide(1_000, &seen, reach), Decision::Granted);
-    owner.take_back(key);
+    owner.return_permit(key);
     assert_eq!(owner.decide(1_001, &seen, reach), Decision::Granted);
     assert_ne!(owner.decide(1_002, &seen, reach), Decision::Granted);
     // The bucket holds no more than two, however many are returned.
-    (0..5).for_each(|_| owner.take_back(key));
+    (0..5).for_each(|_| owner.return_permit(key));
     assert_eq!(owner.decide(1_003, &seen, reach), Decision::Granted);
     assert_eq!(owner.decide(1_003, &seen, reach), Decision::Granted);
     assert_ne!(owner.decide(1_004, &seen, reach), Decision::Granted);
@@ -228,16 +230,16 @@
 
 #[test]
 fn an_answer_without_a_limit_ends_it_unless_its_request_is_older_than_the_limit() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let server = make_server("s-1");
-    assert!(book.note(1_000, 900, &server, &signal(Some(2.0))).limit.is_some());
-    assert_eq!(book.note(1_050, 950, &server, &signal(None)).limit, None);
+    assert!(book.record(1_000, 900, &server, &signal(Some(2.0))).limit.is_some());
+    assert_eq!(book.record(1_050, 950, &server, &signal(None)).limit, None);
     assert!(book.get_limit(1_050, &server).is_some());
-    let ended = book.note(1_300, 1_100, &server, &signal(None)).limit.expect("news");
+    let ended = book.record(1_300, 1_100, &server, &signal(None)).limit.expect("news");
     assert_eq!(ended.rate, None);
     assert_eq!(book.get_limit(1_300, &server), None);
     // A late sighting of another node does not bring it back.
-    let late = Sighting { key: Key::of(&server), rate: Some(2.0), age: 500 };
+    let late = Observation { key: InstanceKey::of(&server), rate: Some(2.0), age: 500 };
     assert!(!book.merge(1_400, &late));
     assert_eq!(book.get_limit(1_400, &server), None);
     // The owner says so to a node that has not heard of it.
@@ -247,15 +249,15 @@
 
 #[test]
 fn what_a_start_of_a_server_said_does_not_hold_for_the_next_one() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let first = make_server("s-1");
     let next = Server { incarnation: first.incarnation + 1, ..first.clone() };
-    book.note(0, 0, &first, &signal(Some(2.0)));
+    book.record(0, 0, &first, &signal(Some(2.0)));
     assert!(book.get_limit(1, &first).is_some());
     assert_eq!(book.get_limit(1, &next), None);
-    book.note(10, 5, &next, &signal(Some(3.0)));
+    book.record(10, 5, &next, &signal(Some(3.0)));
     // A late answer of the first start changes nothing.
-    assert_eq!(book.note(20, 15, &first, &signal(Some(1.0))).limit, None);
+    assert_eq!(book.record(20, 15, &first, &signal(Some(1.0))).limit, None);
     assert_eq!(book.get_limit(20, &next).and_then(|known| known.rate), Some(3.0));
 }
 
@@ -271,13 +273,13 @@
 
 #[test]
 fn limits_are_passed_on_by_turns_and_forgotten_in_the_end() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let servers: Vec<Server> = (0..9).map(|number| make_server(&format!("s-{number}"))).collect();
     for server in &servers {
-        book.note(0, 0, server, &signal(Some(2.0)));
+        book.record(0, 0, server, &signal(Some(2.0)));
     }
     let listed = |turn| -> Vec<u64> {
-        book.list_some(10, turn).iter().map(|sighting| sighting.key.server).collect()
+        book.get_gossip_batch(10, turn).iter().map(|sighting| sighting.key.server).collect()
     };
     let mut seen: Vec<u64> = (0..15).flat_map(listed).collect();
     seen.sort_unstable();
@@ -295,18 +297,21 @@
 
 #[test]
 fn nothing_ends_a_back_off_early() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let server = make_server("s-1");
-    assert_eq!(book.note(1_000, 990, &server, &back_off(3_000)).back_off_until, Some(4_000));
-    assert_eq!(book.note(1_500, 1_400, &server, &back_off(1_000)).back_off_until, None);
-    assert_eq!(book.note(1_600, 900, &server, &signal(None)).back_off_until, None);
+    assert_eq!(book.record(1_000, 990, &server, &back_off(3_000)).back_off_until, Some(4_000));
+    assert_eq!(book.record(1_500, 1_400, &server, &back_off(1_000)).back_off_until, None);
+    assert_eq!(book.record(1_600, 900, &server, &signal(None)).back_off_until, None);
     assert_eq!(book.get_wait(1_600, &server), Some(2_400));
     assert_eq!(book.count_in_back_off(3_999), 1);
     assert_eq!(book.get_wait(4_000, &server), None);
     // A later one may be longer.
-    assert_eq!(book.note(3_900, 3_800, &server, &back_off(600_000)).back_off_until, Some(603_900));
     assert_eq!(
-        book.note(3_950, 3_800, &server, &back_off(u64::MAX)).back_off_until,
+        book.record(3_900, 3_800, &server, &back_off(600_000)).back_off_until,
+        Some(603_900)
+    );
+    assert_eq!(
+        book.record(3_950, 3_800, &server, &back_off(u64::MAX)).back_off_until,
         Some(u64::MAX)
     );
     book.expire(700_000);
@@ -315,25 +320,25 @@
 
 #[test]
 fn a_back_off_ends_with_the_start_of_the_server_that_asked_for_it() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let first = make_server("s-1");
     let next = Server { incarnation: first.incarnation + 1, ..first.clone() };
-    book.note(0, 0, &first, &back_off(3_000));
+    book.record(0, 0, &first, &back_off(3_000));
     assert_eq!(book.get_wait(1, &next), None);
-    assert_eq!(book.note(10, 5, &next, &back_off(100)).back_off_until, Some(110));
-    assert_eq!(book.note(20, 15, &first, &back_off(5_000)).back_off_until, None);
+    assert_eq!(book.record(10, 5, &next, &back_off(100)).back_off_until, Some(110));
+    assert_eq!(book.record(20, 15, &first, &back_off(5_000)).back_off_until, None);
     assert_eq!(book.get_wait(20, &next), Some(90));
 }
 
 #[test]
 fn the_longer_of_a_back_off_and_a_denied_permit_counts() {
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     let server = make_server("s-1");
     let both = Signal { rate_limit: Some(1.0), back_off: Some(3_000), is_leaving: false };
-    book.note(0, 0, &server, &both);
+    book.record(0, 0, &server, &both);
     let denied = Decision::Denied { retry_after: 500 };
-    assert!(!book.take_decision(0, Key::of(&server), denied, UNDECIDED_FOR));
+    assert!(!book.apply_decision(0, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(0, &server), Some(3_000));
-    assert!(!book.take_decision(2_800, Key::of(&server), denied, UNDECIDED_FOR));
+    assert!(!book.apply_decision(2_800, InstanceKey::of(&server), denied, UNDECIDED_FOR));
     assert_eq!(book.get_wait(2_900, &server), Some(400));
 }
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -1,5 +1,5 @@
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Accountant, Claim, HolderId, Kind, Shortage};
+use keeljunction_core::serving::memory::{Kind, MemoryBudget, Requester, ReservationId, Shortage};
 use proptest::prelude::*;
 
 /// What a node of 160 MB may hold, and its limit.
@@ -10,24 +10,24 @@
 const SMALL: u64 = 20_000;
 
 /// A node that never calls itself not ready for its memory.
-fn accountant() -> Accountant {
-    Accountant::new(CAPACITY, LIMIT, 1.0)
+fn accountant() -> MemoryBudget {
+    MemoryBudget::new(CAPACITY, LIMIT, 1.0)
 }
 
-fn body(account: &str) -> Claim<'_> {
-    Claim { kind: Kind::RequestBody, account, urgency: 0 }
+fn body(account: &str) -> Requester<'_> {
+    Requester { kind: Kind::RequestBody, account, urgency: 0 }
 }
 
-fn answer() -> Claim<'static> {
-    Claim { kind: Kind::ReadAhead, account: "", urgency: 0 }
+fn answer() -> Requester<'static> {
+    Requester { kind: Kind::ReadAhead, account: "", urgency: 0 }
 }
 
 fn begin(
-    memory: &mut Accountant,
+    memory: &mut MemoryBudget,
     now: Millis,
-    claim: &Claim<'_>,
+    claim: &Requester<'_>,
     bytes: u64,
-) -> Result<HolderId, Shortage> {
+) -> Result<ReservationId, Shortage> {
     let id = memory.open(now, claim);
     let grown = memory.grow(now, id, bytes);
     if grown.is_err() {
@@ -37,7 +37,12 @@
 }
 
 /// Begins bodies of a length until one is refused.
-fn fill(memory: &mut Accountant, now: Millis, claim: &Claim<'_>, bytes: u64) -> Vec<HolderId> {
+fn fill(
+    memory: &mut MemoryBudget,
+    now: Millis,
+    claim: &Requester<'_>,
+    bytes: u64,
+) -> Vec<ReservationId> {
     std::iter::from_fn(|| begin(memory, now, claim, bytes).ok()).collect()
 }
 
@@ -49,7 +54,7 @@
     assert!(memory.get_held(Kind::RequestBody) <= 44_800_000);
     fill(&mut memory, 0, &answer(), SMALL);
     assert!(memory.get_held(Kind::ReadAhead) >= 12_000_000);
-    let control = Claim { kind: Kind::Control, ..answer() };
+    let control = Requester { kind: Kind::Control, ..answer() };
     assert!(begin(&mut memory, 0, &control, 6_000_000).is_ok());
     assert!(memory.get_total() <= CAPACITY);
 }
@@ -74,7 +79,7 @@
     let mut memory = accountant();
     let held = fill(&mut memory, 0, &body("acme"), LARGE);
     let shortage = begin(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
-    let is_known = |memory: &Accountant| held.iter().any(|id| memory.is_evicted(*id));
+    let is_known = |memory: &MemoryBudget| held.iter().any(|id| memory.is_evicted(*id));
     assert!(is_known(&memory));
     for id in shortage.evicted {
         memory.close(510, id);
@@ -88,7 +93,7 @@
     fill(&mut memory, 0, &body("acme"), LARGE);
     let shortage = begin(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
     for id in &shortage.evicted {
-        memory.note_whole(*id);
+        memory.complete_upload(*id);
     }
     let next = begin(&mut memory, 510, &body("blue"), LARGE).expect_err("no room");
     assert!(!next.evicted.is_empty());
@@ -113,7 +118,7 @@
 #[test]
 fn less_urgent_bodies_leave_room_to_the_most_urgent() {
     let mut memory = accountant();
-    let later = Claim { urgency: 3, ..body("acme") };
+    let later = Requester { urgency: 3, ..body("acme") };
     assert_eq!(fill(&mut memory, 0, &later, LARGE).len(), 7);
     assert!(begin(&mut memory, 0, &body("acme"), LARGE).is_ok());
 }
@@ -124,7 +129,7 @@
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
     for now in (0..2_000).step_by(100) {
         for upload in &uploads[1..] {
-            memory.note_received(now, *upload, 1_000);
+            memory.record_received(now, *upload, 1_000);
         }
     }
     let shortage = begin(&mut memory, 2_000, &body("acme"), LARGE).expect_err("no room");
@@ -140,8 +145,8 @@
 fn a_whole_body_and_one_that_is_more_urgent_are_not_evicted() {
     let mut memory = accountant();
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
-    uploads[1..].iter().for_each(|upload| memory.note_whole(*upload));
-    let later = Claim { urgency: 3, ..body("acme") };
+    uploads[1..].iter().for_each(|upload| memory.complete_upload(*upload));
+    let later = Requester { urgency: 3, ..body("acme") };
     let shortage = begin(&mut memory, 5_000, &later, LARGE).expect_err("no room");
     assert_eq!(shortage.evicted, []);
     let shortage = begin(&mut memory, 5_000, &body("acme"), LARGE).expect_err("no room");
@@ -152,7 +157,7 @@
 fn an_account_that_waits_gets_room_before_those_that_hold_their_share() {
     let mut memory = accountant();
     let held = fill(&mut memory, 0, &body("heavy"), LARGE);
-    held.iter().for_each(|id| memory.note_whole(*id));
+    held.iter().for_each(|id| memory.complete_upload(*id));
     assert!(begin(&mut memory, 100, &body("light"), LARGE).is_err());
     memory.close(200, held[0]);
     assert!(begin(&mut memory, 200, &body("heavy"), LARGE).is_err());
@@ -187,7 +192,7 @@
     let id = begin(&mut memory, 0, &body("acme"), LARGE).expect("room");
     memory.observe(0, Some(100_000_000));
     assert_eq!(memory.get_capacity(), 36_000_000);
-    memory.note_received(100, id, LARGE);
+    memory.record_received(100, id, LARGE);
     memory.observe(250, Some(100_000_000 + LARGE));
     assert_eq!(memory.get_capacity(), 36_000_000);
 }
@@ -205,21 +210,24 @@
 #[test]
 fn nodes_leave_before_they_are_full_at_levels_of_their_own_and_come_back_later() {
     let levels = [0.0, 0.2, 0.4, 0.6, 0.8].map(|draw| {
-        let mut memory = Accountant::new(CAPACITY, LIMIT, draw);
+        let mut memory = MemoryBudget::new(CAPACITY, LIMIT, draw);
         let mut held = Vec::new();
         let left_at = (0..400).find(|step| {
             held.extend(begin(&mut memory, 0, &body("acme"), SMALL * 5));
             held.extend(begin(&mut memory, 0, &body("acme"), SMALL));
             memory.observe(*step, None);
-            memory.is_short()
+            memory.is_under_pressure()
         });
         if left_at.is_some() {
             held.drain(..5).for_each(|id| memory.close(0, id));
             memory.observe(0, None);
-            assert!(memory.is_short(), "one that comes and goes moves its callers each time");
+            assert!(
+                memory.is_under_pressure(),
+                "one that comes and goes moves its callers each time"
+            );
             held.drain(..).for_each(|id| memory.close(0, id));
             memory.observe(0, None);
-            assert!(!memory.is_short());
+            assert!(!memory.is_under_pressure());
         }
         left_at
     });
@@ -232,13 +240,13 @@
 #[test]
 fn under_sixty_resting_uploads_all_small_requests_find_room() {
     const SMALL_NODE: u64 = 64_000_000;
-    let mut memory = Accountant::new(SMALL_NODE * 4 / 10, SMALL_NODE, 1.0);
+    let mut memory = MemoryBudget::new(SMALL_NODE * 4 / 10, SMALL_NODE, 1.0);
     let (mut resting, mut refused) = (Vec::new(), 0);
     for upload in 0..60 {
         let now = upload * 30;
         match begin(&mut memory, now, &body("archive"), LARGE) {
             Ok(id) => {
-                memory.note_received(now, id, LARGE * 9 / 10);
+                memory.record_received(now, id, LARGE * 9 / 10);
                 resting.push(id);
             }
             Err(shortage) => {
@@ -293,13 +301,13 @@
     fn no_sequence_exceeds_the_capacity_or_leaks(steps in steps()) {
         let mut memory = accountant();
         let mut now = 10_000;
-        let mut held: Vec<(HolderId, u64)> = Vec::new();
+        let mut held: Vec<(ReservationId, u64)> = Vec::new();
         for step in steps {
             match step {
                 Step::Open(account, kind, bytes) => {
                     let kind = [Kind::RequestBody, Kind::RequestBody, Kind::ReadAhead, Kind::Control]
                         [usize::from(kind)];
-                    let claim = Claim { kind, account: ACCOUNTS[account], urgency: account as u32 };
+                    let claim = Requester { kind, account: ACCOUNTS[account], urgency: account as u32 };
                     if let Ok(id) = begin(&mut memory, now, &claim, bytes) {
                         prop_assert!(memory.get_total() <= memory.get_capacity());
                         held.push((id, bytes));
@@ -314,7 +322,7 @@
                 }
                 Step::Receive(at, bytes) => {
                     let Some((id, _)) = held.get(at) else { continue };
-                    memory.note_received(now, *id, bytes);
+                    memory.record_received(now, *id, bytes);
                 }
                 Step::Shrink(at, bytes) => {
                     let Some((id, known)) = held.get_mut(at) else { continue };
@@ -352,7 +360,7 @@
         retries in 50_u64..3_000,
     ) {
         let mut memory = accountant();
-        let mut running: Vec<(Millis, HolderId)> = Vec::new();
+        let mut running: Vec<(Millis, ReservationId)> = Vec::new();
         let mut next_try = 3_000;
         for now in (0..20_000).step_by(25) {
             running.retain(|(ends_at, id)| {
@@ -364,7 +372,7 @@
             for (account, length) in lengths.iter().enumerate() {
                 let claim = body(["a", "b", "c", "d", "e"][account % 5]);
                 for id in fill(&mut memory, now, &claim, *length) {
-                    memory.note_whole(id);
+                    memory.complete_upload(id);
                     running.push((now + ends_after, id));
                 }
             }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -6,7 +6,8 @@
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::Load;
 use keeljunction_core::serving::spill::{
-    Cause, Links, Offer, Settled, Way, get_region, list_far, settle,
+    Cause, Destination, LinkBudgets, Offer, RemotePath, get_region, list_remote_regions,
+    pick_destination,
 };
 use keeljunction_core::serving::topology::Topology;
 use proptest::prelude::*;
@@ -24,8 +25,8 @@
 };
 
 /// A way of 30 ms each way, whose loads are asked for: 180 ms until the first byte.
-const WAY: Way =
-    Way { waited: 0, left: 10_000, round_trip: 60, transfer: 0, is_load_requested: true };
+const WAY: RemotePath =
+    RemotePath { waited: 0, left: 10_000, round_trip: 60, transfer: 0, is_load_requested: true };
 
 fn topology(own: &str, regions: &[(&str, &str)]) -> Topology {
     let regions = regions
@@ -52,7 +53,7 @@
     assert_eq!(near, Offer::Free);
     assert_eq!(near.get_cause(), None);
     for far in [Offer::Free, Offer::Full, Offer::Ejected, Offer::Busy(1), Offer::None] {
-        assert_eq!(settle(near, far), Settled::Near);
+        assert_eq!(pick_destination(near, far), Destination::Local);
     }
 }
 
@@ -66,7 +67,7 @@
     assert_eq!(offer(&servers, 1, 25_000, false), Offer::Busy(350));
     for near in [Offer::Full, Offer::Busy(350)] {
         assert_eq!(near.get_cause(), Some(Cause::Full));
-        assert_eq!(settle(near, Offer::Free), Settled::Far);
+        assert_eq!(pick_destination(near, Offer::Free), Destination::Remote);
     }
 }
 
@@ -78,44 +79,44 @@
     assert_eq!(offer(&servers, 0, 0, true), Offer::Ejected);
     for near in [Offer::None, Offer::Ejected] {
         assert_eq!(near.get_cause(), Some(Cause::NoServer));
-        assert_eq!(settle(near, Offer::Free), Settled::Far);
+        assert_eq!(pick_destination(near, Offer::Free), Destination::Remote);
     }
 }
 
 #[test]
 fn where_the_far_region_is_no_better_the_own_one_serves_or_refuses() {
-    assert_eq!(settle(Offer::Full, Offer::Full), Settled::Near);
-    assert_eq!(settle(Offer::Ejected, Offer::Ejected), Settled::Near);
-    assert_eq!(settle(Offer::Full, Offer::Busy(10)), Settled::Near);
-    assert_eq!(settle(Offer::Busy(350), Offer::Busy(200)), Settled::Busy(200));
-    assert_eq!(settle(Offer::Busy(150), Offer::Busy(200)), Settled::Busy(150));
-    assert_eq!(settle(Offer::Busy(350), Offer::Full), Settled::Busy(350));
-    assert_eq!(settle(Offer::Busy(350), Offer::None), Settled::Busy(350));
+    assert_eq!(pick_destination(Offer::Full, Offer::Full), Destination::Local);
+    assert_eq!(pick_destination(Offer::Ejected, Offer::Ejected), Destination::Local);
+    assert_eq!(pick_destination(Offer::Full, Offer::Busy(10)), Destination::Local);
+    assert_eq!(pick_destination(Offer::Busy(350), Offer::Busy(200)), Destination::Busy(200));
+    assert_eq!(pick_destination(Offer::Busy(150), Offer::Busy(200)), Destination::Busy(150));
+    assert_eq!(pick_destination(Offer::Busy(350), Offer::Full), Destination::Busy(350));
+    assert_eq!(pick_destination(Offer::Busy(350), Offer::None), Destination::Busy(350));
 }
 
 #[test]
 fn a_region_without_servers_takes_what_the_other_one_has() {
-    assert_eq!(settle(Offer::None, Offer::Full), Settled::Far);
-    assert_eq!(settle(Offer::None, Offer::Ejected), Settled::Far);
-    assert_eq!(settle(Offer::None, Offer::Busy(200)), Settled::Busy(200));
-    assert_eq!(settle(Offer::None, Offer::None), Settled::None);
+    assert_eq!(pick_destination(Offer::None, Offer::Full), Destination::Remote);
+    assert_eq!(pick_destination(Offer::None, Offer::Ejected), Destination::Remote);
+    assert_eq!(pick_destination(Offer::None, Offer::Busy(200)), Destination::Busy(200));
+    assert_eq!(pick_destination(Offer::None, Offer::None), Destination::None);
 }
 
 #[test]
 fn a_full_region_is_left_only_where_the_objective_bears_the_way() {
     // A question, a connection and a request, 60 ms each, and 100 ms of reading.
-    assert_eq!(WAY.get_travel(), 180);
+    assert_eq!(WAY.get_travel_time(), 180);
     let with = |ttft_objective| Criteria { ttft_objective, ..CRITERIA };
     assert!(WAY.is_in_time(&with(280), Cause::Full));
     assert!(!WAY.is_in_time(&with(279), Cause::Full));
 
-    let known = Way { is_load_requested: false, ..WAY };
+    let known = RemotePath { is_load_requested: false, ..WAY };
     assert!(known.is_in_time(&with(220), Cause::Full));
 
-    let late = Way { waited: 300, ..WAY };
+    let late = RemotePath { waited: 300, ..WAY };
     assert!(!late.is_in_time(&with(500), Cause::Full));
 
-    let long = Way { transfer: 221, ..WAY };
+    let long = RemotePath { transfer: 221, ..WAY };
     assert!(!long.is_in_time(&with(500), Cause::Full));
 }
 
@@ -123,20 +124,20 @@
 fn a_region_without_servers_is_left_also_where_the_answer_is_late() {
     let short = Criteria { ttft_objective: 50, ..CRITERIA };
     assert!(WAY.is_in_time(&short, Cause::NoServer));
-    assert!(!Way { left: 280, ..WAY }.is_in_time(&short, Cause::NoServer));
-    assert!(Way { left: 281, ..WAY }.is_in_time(&short, Cause::NoServer));
+    assert!(!RemotePath { left: 280, ..WAY }.is_in_time(&short, Cause::NoServer));
+    assert!(RemotePath { left: 281, ..WAY }.is_in_time(&short, Cause::NoServer));
 }
 
 #[test]
 fn the_way_takes_its_time_off_the_objective_of_the_far_choice() {
-    assert_eq!(WAY.shorten(&CRITERIA).ttft_objective, 320);
-    assert_eq!(Way { waited: 20, ..WAY }.shorten(&CRITERIA).ttft_objective, 300);
+    assert_eq!(WAY.adjust_criteria(&CRITERIA).ttft_objective, 320);
+    assert_eq!(RemotePath { waited: 20, ..WAY }.adjust_criteria(&CRITERIA).ttft_objective, 300);
     // A request that is late anyway is refused only where it would be late for waiting.
     let short = Criteria { ttft_objective: 50, ..CRITERIA };
-    assert_eq!(WAY.shorten(&short).ttft_objective, 50);
+    assert_eq!(WAY.adjust_criteria(&short).ttft_objective, 50);
     // Without an objective there is none.
     let none = Criteria { ttft_objective: 0, ..CRITERIA };
-    assert_eq!(WAY.shorten(&none).ttft_objective, 0);
+    assert_eq!(WAY.adjust_criteria(&none).ttft_objective, 0);
 }
 
 #[test]
@@ -148,7 +149,7 @@
 
     // 400 ms of reading: within 500 ms near by, and beyond the 320 ms that the way leaves.
     assert!(matches!(choose(&candidates, &CRITERIA, 7), Choice::Server(_)));
-    assert_eq!(choose(&candidates, &WAY.shorten(&CRITERIA), 7), Choice::Busy(240));
+    assert_eq!(choose(&candidates, &WAY.adjust_criteria(&CRITERIA), 7), Choice::Busy(240));
 }
 
 #[test]
@@ -157,7 +158,7 @@
     let topology = topology("a1", &regions);
     let distance = |region: &str| if region == "c" { 20 } else { 60 };
 
-    assert_eq!(list_far(&topology, distance), ["c", "b", "unknown"]);
+    assert_eq!(list_remote_regions(&topology, distance), ["c", "b", "unknown"]);
     assert_eq!(get_region(&topology, "b1"), "b");
     assert_eq!(get_region(&topology, "elsewhere"), "unknown");
 }
@@ -165,7 +166,7 @@
 #[test]
 fn a_node_spends_its_share_of_the_budget_and_waits_for_more() {
     // 8 Mbit/s are 1,000,000 bytes a second; a tenth of that for each of ten nodes.
-    let mut links = Links::new(8.0);
+    let mut links = LinkBudgets::new(8.0);
 
     assert_eq!(links.check(0, "b", 10), Ok(()));
     links.count(0, "b", 150_000);
@@ -176,7 +177,7 @@
 
 #[test]
 fn each_region_has_a_budget_of_its_own() {
-    let mut links = Links::new(8.0);
+    let mut links = LinkBudgets::new(8.0);
     links.count(0, "b", 5_000_000);
 
     assert!(links.check(0, "b", 1).is_err());
@@ -185,35 +186,35 @@
 
 #[test]
 fn a_budget_of_nothing_lets_nothing_cross() {
-    let mut links = Links::new(0.0);
+    let mut links = LinkBudgets::new(0.0);
     assert!(links.check(0, "b", 1).is_err());
     assert!(links.check(60_000, "b", 1).is_err());
 }
 
 #[test]
 fn a_region_that_did_not_answer_is_silent_for_a_while_and_until_it_answers() {
-    let mut links = Links::new(8.0);
-    assert!(!links.is_silent(0, "b"));
+    let mut links = LinkBudgets::new(8.0);
+    assert!(!links.is_unresponsive(0, "b"));
 
-    links.note_answer(100, "b", false);
-    assert!(links.is_silent(1_099, "b"));
-    assert!(!links.is_silent(1_100, "b"));
+    links.record_reply(100, "b", false);
+    assert!(links.is_unresponsive(1_099, "b"));
+    assert!(!links.is_unresponsive(1_100, "b"));
 
-    links.note_answer(1_200, "b", false);
-    links.note_answer(1_300, "b", true);
-    assert!(!links.is_silent(1_300, "b"));
+    links.record_reply(1_200, "b", false);
+    links.record_reply(1_300, "b", true);
+    assert!(!links.is_unresponsive(1_300, "b"));
 }
 
 #[test]
 fn a_body_takes_as_long_as_at_the_rate_of_the_budget() {
-    assert_eq!(Links::new(8.0).get_transfer(50_000), 50);
+    assert_eq!(LinkBudgets::new(8.0).get_transfer_time(50_000), 50);
 }
 
 #[test]
 fn in_one_region_nothing_is_far() {
     let topology = Topology::new("a1", BTreeMap::new()).expect("no regions");
     assert!(!topology.is_multi_region());
-    assert!(topology.is_near("elsewhere"));
+    assert!(topology.is_local("elsewhere"));
 }
 
 fn any_offer() -> impl Strategy<Value = Offer> {
@@ -231,21 +232,21 @@
     /// and is never told to wait longer than its own region says.
     #[test]
     fn a_request_crosses_only_for_better(near in any_offer(), far in any_offer()) {
-        let settled = settle(near, far);
+        let settled = pick_destination(near, far);
         let has_near = matches!(near, Offer::Free | Offer::Full | Offer::Ejected);
         match settled {
-            Settled::Near => prop_assert!(has_near),
-            Settled::Far => {
+            Destination::Local => prop_assert!(has_near),
+            Destination::Remote => {
                 prop_assert!(near.get_cause().is_some());
                 prop_assert!(far == Offer::Free || near == Offer::None);
             }
-            Settled::Busy(wait) => {
+            Destination::Busy(wait) => {
                 prop_assert!(!has_near);
                 if let Offer::Busy(own) = near {
                     prop_assert!(wait <= own);
                 }
             }
-            Settled::None => prop_assert_eq!((near, far), (Offer::None, Offer::None)),
+            Destination::None => prop_assert_eq!((near, far), (Offer::None, Offer::None)),
         }
     }
 
@@ -257,7 +258,7 @@
         body in 1_000_usize..60_000,
         gaps in proptest::collection::vec(0_u64..400, 50..200),
     ) {
-        let mut links: Vec<Links> = (0..nodes).map(|_| Links::new(8.0)).collect();
+        let mut links: Vec<LinkBudgets> = (0..nodes).map(|_| LinkBudgets::new(8.0)).collect();
         let mut now = 0;
         let mut sent = 0;
         for (turn, gap) in gaps.iter().enumerate() {
@@ -275,12 +276,12 @@
 
 #[test]
 fn without_a_budget_nothing_crosses_however_long_a_body_is() {
-    let mut links = Links::new(0.0);
+    let mut links = LinkBudgets::new(0.0);
     for bytes in [0, 1, 4_000_000] {
-        let way = Way { transfer: links.get_transfer(bytes), ..WAY };
+        let way = RemotePath { transfer: links.get_transfer_time(bytes), ..WAY };
         // The budget says no, and not the way: a caller is told that the link is full.
         assert!(way.is_in_time(&CRITERIA, Cause::NoServer), "{bytes} bytes");
-        assert_eq!(way.get_travel(), 180);
+        assert_eq!(way.get_travel_time(), 180);
     }
     // It does not recover: callers come back as for servers of their own region.
     assert_eq!(links.check(0, "b", 2), Err(700));
@@ -290,10 +291,10 @@
 
 #[test]
 fn a_body_that_takes_for_ever_over_a_small_budget_stays() {
-    let links = Links::new(1e-300);
-    let way = Way { transfer: links.get_transfer(1), ..WAY };
+    let links = LinkBudgets::new(1e-300);
+    let way = RemotePath { transfer: links.get_transfer_time(1), ..WAY };
 
     assert!(!way.is_in_time(&CRITERIA, Cause::NoServer));
     assert!(!way.is_in_time(&CRITERIA, Cause::Full));
-    assert_eq!(way.shorten(&CRITERIA).ttft_objective, 500);
+    assert_eq!(way.adjust_criteria(&CRITERIA).ttft_objective, 500);
 }
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::health::Health;
 use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Role};
-use keeljunction_core::serving::quarantine::{Book, Fingerprint, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{ Fingerprint, Standing, Tracker, Verdict};
 use proptest::prelude::*;
 
 const LEASE: u64 = 3_000;
@@ -62,14 +62,14 @@
     #[test]
     fn ejections_and_refusals_end_while_the_machine_is_suspended(slept in 500_u64..60_000) {
         let mut health = Health::default();
-        health.fail_to_connect(SLEEPS_AT, "s");
+        health.record_connect_failure(SLEEPS_AT, "s");
         prop_assert!(health.is_ejected(SLEEPS_AT, "s"));
         prop_assert!(!health.is_ejected(SLEEPS_AT + slept, "s"));
-        let mut book = Book::default();
+        let mut book = Tracker::default();
         let fingerprint = Fingerprint::from_number(5);
         let standing = Standing::Quarantined;
         book.merge(SLEEPS_AT, Verdict { fingerprint, service: 1, standing, left: 20_000, servers_crashed: 3 });
-        let left = book.get_refused_for(SLEEPS_AT + slept, fingerprint);
+        let left = book.get_quarantine_left(SLEEPS_AT + slept, fingerprint);
         prop_assert_eq!(left, 20_000_u64.checked_sub(slept).filter(|left| *left > 0));
     }
 }
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use keeljunction_core::ErrorKind;
-use keeljunction_core::serving::distance::Distances;
+use keeljunction_core::serving::round_trip::RoundTrips;
 use keeljunction_core::serving::topology::Topology;
 
 fn two_regions() -> BTreeMap<String, String> {
@@ -14,7 +14,7 @@
 fn without_regions_everything_is_near() {
     let topology = Topology::new("a1", BTreeMap::new()).unwrap();
 
-    assert!(topology.is_near("a1") && topology.is_near("elsewhere"));
+    assert!(topology.is_local("a1") && topology.is_local("elsewhere"));
     assert!(!topology.is_multi_region());
 }
 
@@ -22,11 +22,11 @@
 fn data_centres_of_other_regions_and_unknown_ones_are_far() {
     let topology = Topology::new("a1", two_regions()).unwrap();
 
-    assert!(topology.is_near("a2"));
-    assert!(!topology.is_near("b1"));
-    assert!(!topology.is_near("unknown"));
+    assert!(topology.is_local("a2"));
+    assert!(!topology.is_local("b1"));
+    assert!(!topology.is_local("unknown"));
     assert!(topology.is_multi_region());
-    assert_eq!(topology.get_own(), "a");
+    assert_eq!(topology.get_own_region(), "a");
     assert_eq!(topology.get_region("b1"), Some("b"));
 }
 
@@ -40,25 +40,25 @@
 
 #[test]
 fn a_region_that_was_not_measured_is_waited_for_longer_than_one_round_trip() {
-    let distances = Distances::default();
+    let distances = RoundTrips::default();
 
     assert_eq!(distances.get_round_trip("b"), 100);
-    assert_eq!(distances.get_wait("b", 25), 150);
+    assert_eq!(distances.get_timeout("b", 25), 150);
 }
 
 #[test]
 fn the_wait_follows_the_measured_round_trips_and_is_bounded() {
-    let mut distances = Distances::default();
+    let mut distances = RoundTrips::default();
     for _ in 0..50 {
-        distances.note("b", 60);
+        distances.record("b", 60);
     }
 
     assert_eq!(distances.get_round_trip("b"), 60);
-    assert_eq!(distances.get_wait("b", 25), 61);
-    assert_eq!(distances.get_wait("b", 90), 90);
+    assert_eq!(distances.get_timeout("b", 25), 61);
+    assert_eq!(distances.get_timeout("b", 90), 90);
 
     for _ in 0..50 {
-        distances.note("b", 2_000);
+        distances.record("b", 2_000);
     }
-    assert_eq!(distances.get_wait("b", 25), 300);
+    assert_eq!(distances.get_timeout("b", 25), 300);
 }
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -9,7 +9,7 @@
 use hyper::{HeaderMap, Request};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::memory::Kind;
 use keeljunction_core::serving::throughput::Sample;
 
@@ -111,7 +111,7 @@
     node: Arc<Node>,
     service: String,
     server: String,
-    work: Work,
+    work: RequestCost,
     body_bytes: u64,
     began_at: Millis,
     had_first_token: bool,
@@ -141,7 +141,7 @@
     pub fn note_first_token(&mut self) {
         if !self.had_first_token {
             self.had_first_token = true;
-            self.node.with(|state| state.loads.note_first_token(&self.server, &self.work));
+            self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
             note_load_change(&self.node, &self.server, false);
         }
     }
@@ -205,7 +205,9 @@
         false => {
             if note_end(node, order.server) {
                 // The server's other requests fail with it: it is ejected at once.
-                node.with(|state| state.health.fail_to_connect(node.now(), &order.server.id));
+                node.with(|state| {
+                    state.health.record_connect_failure(node.now(), &order.server.id)
+                });
             }
             crashes::note_interrupted_attempt(
                 node,
@@ -267,7 +269,7 @@
         if state.directory.get(id).is_none_or(|known| known.is_leaving) {
             return (held_bytes, None);
         }
-        (held_bytes, state.server_held_bytes.note_end(now, &server.service, id))
+        (held_bytes, state.server_held_bytes.record_disconnect(now, &server.service, id))
     });
     let Some(bound_bytes) = bound else { return false };
     let service = &server.service;
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
+use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_stalled};
 
 use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
@@ -33,7 +33,7 @@
     let now = node.now();
     for feed in node.active_responses.list() {
         let Some(look) = (feed.check_status)(now) else { continue };
-        if look.caller.resting >= RESTING_AFTER {
+        if look.caller.stalled >= STALL_TIMEOUT {
             disconnect(node, &feed, &look, "stopping");
         }
     }
@@ -54,7 +54,7 @@
     }
     let callers: Vec<Caller> =
         looked.iter().filter(|(_, look)| !look.is_too_slow).map(|(_, look)| look.caller).collect();
-    let picked = pick_resting(&callers, missing);
+    let picked = pick_stalled(&callers, missing);
     for (feed, look) in looked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
         disconnect(node, feed, look, "memory");
     }
@@ -75,7 +75,7 @@
         request: &feed.request,
         reason,
         held_bytes: look.caller.bytes,
-        resting_ms: look.caller.resting,
+        resting_ms: look.caller.stalled,
     });
     let labels = ReasonLabels { reason: reason.to_owned() };
     node.metrics.callers_disconnected.get_or_create(&labels).inc();
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -17,7 +17,7 @@
 use futures_lite::{Stream, future};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::memory::Kind;
-use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_bound};
+use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_limit};
 
 use super::flow::Flow;
 use super::respond::{Passage, Record};
@@ -86,7 +86,7 @@
     fn new(node: &Arc<Node>, recipient: Recipient, held: Reservation, due: Millis) -> Arc<Self> {
         let Recipient { request, passage, peer } = recipient;
         passage.open();
-        let bound = get_bound(node.with(|state| state.memory.get_capacity()));
+        let bound = get_limit(node.with(|state| state.memory.get_capacity()));
         let flow = Flow::new(Buffer::new(bound), held, peer, node.now());
         let flow = Mutex::new(flow);
         let id = node.active_responses.make_id();
@@ -117,7 +117,7 @@
             match flow.poll_source(self.node.now(), context) {
                 Poll::Pending => {
                     flow.is_caller_waiting = true;
-                    flow.progress.note_waiting();
+                    flow.progress.reset();
                     // The server now wakes the caller's connection, and no longer this task.
                     flow.reading = None;
                     flow.is_reading_ahead = false;
@@ -154,14 +154,14 @@
                 held_bytes: flow.buffer.get_bytes(),
                 is_held_full: !flow.buffer.is_reading(),
                 unread_ms: self.node.now().saturating_sub(flow.read_at),
-                resting_ms: flow.progress.get_resting(),
+                resting_ms: flow.progress.get_stalled(),
             });
         }
         flow.take(step);
     }
 
     fn pass_on(&self, flow: &mut Flow, piece: Bytes) -> Bytes {
-        flow.progress.note_taken(piece.len());
+        flow.progress.record_read(piece.len());
         self.passage.note_piece(self.node.now());
         piece
     }
@@ -172,8 +172,8 @@
         let since = now.saturating_sub(flow.looked_at);
         flow.looked_at = now;
         match flow.is_caller_waiting {
-            true => flow.progress.note_waiting(),
-            false => flow.progress.note_look(since),
+            true => flow.progress.reset(),
+            false => flow.progress.record_check(since),
         }
         let is_short = !flow.settle();
         // After `due` the source only ends, which needs no room.
@@ -184,8 +184,8 @@
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
             flow.reading = Some(runtime::spawn_with_handle(reading));
         }
-        let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
-        let caller = Caller { id: self.id, bytes, resting };
+        let (bytes, stalled) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
+        let caller = Caller { id: self.id, bytes, stalled };
         ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short }
     }
 
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -33,9 +33,9 @@
     node.metrics.count_signal(signal);
     let now = node.now();
     let noted = node.with(|state| {
-        let noted = state.backpressure.note(now, sent_at, server, signal);
+        let noted = state.backpressure.record(now, sent_at, server, signal);
         if let Some(until) = noted.back_off_until {
-            state.health.note_back_off(&server.id, until);
+            state.health.record_back_off(&server.id, until);
         }
         noted
     });
@@ -61,7 +61,7 @@
 
 /// Logs headers that cannot be read, once for each server.
 fn note_unreadable(node: &Node, server: &Server, unreadable: &[UnreadableHeader]) {
-    if unreadable.is_empty() || !node.with(|state| state.backpressure.note_unreadable(server)) {
+    if unreadable.is_empty() || !node.with(|state| state.backpressure.record_unreadable(server)) {
         return;
     }
     for UnreadableHeader { name, value } in unreadable {
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -15,9 +15,9 @@
 use hyper::body::{Body as HttpBody, Incoming};
 use hyper::header::EXPECT;
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, Kind};
+use keeljunction_core::serving::memory::{Kind, Requester};
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::upload::Pace;
+use keeljunction_core::serving::upload::RateMonitor;
 
 use super::rejection::Rejection;
 use crate::event::{self, Event};
@@ -85,7 +85,7 @@
             Some(0) => None,
             Some(length) if length > bounds.bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
-                let claim = Claim { kind: Kind::RequestBody, account, urgency };
+                let claim = Requester { kind: Kind::RequestBody, account, urgency };
                 let mut reservation = Reservation::for_claim(node, &claim);
                 grow(&mut reservation, length.unwrap_or(LEAST_STEP.min(bounds.bytes))).await?;
                 Some(reservation)
@@ -132,11 +132,11 @@
     }
 
     fn begin_wait(&self, reservation: &mut Reservation) -> Wait {
-        let pace = Pace::new(self.bounds.window, self.length);
+        let pace = RateMonitor::new(self.bounds.window, self.length);
         let within = Duration::from_millis(self.bounds.within);
         Wait {
             stop: reservation.watch_eviction(),
-            tick: Timer::after(Duration::from_millis(pace.get_tick())),
+            tick: Timer::after(Duration::from_millis(pace.get_tick_interval())),
             due: Box::pin(runtime::sleep(within)),
             pace,
         }
@@ -183,14 +183,14 @@
     /// Only wakes the wait: a tick that comes late, after a suspension too, counts as one.
     tick: Timer,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
-    pace: Pace,
+    pace: RateMonitor,
 }
 
 impl Wait {
     /// Notes a tick, and returns `true` if too little has come.
     fn note_tick(&mut self, received: u64) -> bool {
-        self.tick.set_after(Duration::from_millis(self.pace.get_tick()));
-        self.pace.note_tick(received)
+        self.tick.set_after(Duration::from_millis(self.pace.get_tick_interval()));
+        self.pace.record_tick(received)
     }
 
     async fn end(&mut self) -> Next {
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Crash, Run, SUSPECTED_FOR};
+use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPICION_PERIOD};
 
 use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
@@ -29,7 +29,7 @@
 /// A server that is leaving or gone breaks off for another reason.
 pub(crate) fn note_interrupted_attempt(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
     let is_suspect =
-        run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPECTED_FOR);
+        run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPICION_PERIOD);
     if !is_suspect || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
@@ -59,7 +59,7 @@
         return;
     }
     let now = node.now();
-    node.with(|state| state.health.fail_to_connect(now, &server.id));
+    node.with(|state| state.health.record_connect_failure(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
     let running = runs.iter().map(|run| CrashSuspect {
@@ -68,7 +68,7 @@
     });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
-    node.with(|state| state.quarantine.note_crash(now, make_report(now, &server, &runs)));
+    node.with(|state| state.quarantine.record_crash(now, make_report(now, &server, &runs)));
     peers::quarantine::send_reports(&node).await;
 }
 
@@ -76,7 +76,8 @@
 fn make_report(now: Millis, server: &Server, runs: &[InterruptedAttempt]) -> Crash {
     let crashed_at = runs.iter().map(|run| run.interrupted_at).min().unwrap_or(now);
     let runs = runs.iter();
-    let runs = runs.map(|run| Run { fingerprint: run.fingerprint, ran_for: run.get_span() });
+    let runs = runs
+        .map(|run| InterruptedRequest { fingerprint: run.fingerprint, ran_for: run.get_span() });
     Crash {
         service: short_id(&server.service),
         server: short_id(&server.id),
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, HolderId, Kind, Use};
+use keeljunction_core::serving::memory::{Kind, Requester, ReservationId, Usage};
 
 use super::Node;
 use crate::event::{self, Event};
@@ -24,7 +24,7 @@
 /// Bytes that are held until this is dropped.
 pub struct Reservation {
     node: Arc<Node>,
-    id: HolderId,
+    id: ReservationId,
     bytes: u64,
     /// Whether a signal of eviction was taken.
     has_stop: bool,
@@ -33,11 +33,11 @@
 impl Reservation {
     /// Makes a reservation of no bytes, for no client account in particular.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
-        Self::for_claim(node, &Claim { kind, account: "", urgency: 0 })
+        Self::for_claim(node, &Requester { kind, account: "", urgency: 0 })
     }
 
     /// Makes a reservation of no bytes for a claim.
-    pub fn for_claim(node: &Arc<Node>, claim: &Claim<'_>) -> Self {
+    pub fn for_claim(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
         Self { node: node.clone(), id, bytes: 0, has_stop: false }
@@ -101,12 +101,12 @@
     /// Notes that bytes of a body came.
     pub(crate) fn note_received(&self, bytes: u64) {
         let now = self.node.now();
-        self.node.with(|state| state.memory.note_received(now, self.id, bytes));
+        self.node.with(|state| state.memory.record_received(now, self.id, bytes));
     }
 
     /// Notes that a body is whole: it is not evicted any more.
     pub(crate) fn note_complete(&self) {
-        self.node.with(|state| state.memory.note_whole(self.id));
+        self.node.with(|state| state.memory.complete_upload(self.id));
     }
 
     /// Releases some of the bytes.
@@ -153,13 +153,13 @@
 fn observe(node: &Node) {
     let (now, resident) = (node.now(), read_resident_bytes());
     let (was_short, is_short, used, evicted) = node.with(|state| {
-        let was_short = state.memory.is_short();
+        let was_short = state.memory.is_under_pressure();
         let evicted = state.memory.observe(now, resident);
-        (was_short, state.memory.is_short(), state.memory.get_use(), evicted)
+        (was_short, state.memory.is_under_pressure(), state.memory.get_usage(), evicted)
     });
     node.uploads.evict(&evicted);
     if was_short != is_short {
-        let Use { reserved, capacity, resident, part } = used;
+        let Usage { reserved, capacity, resident, part } = used;
         event::emit(&Event::MemoryPressureChanged { is_short, part, reserved, capacity, resident });
     }
 }
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -1,10 +1,10 @@
 //! The datagrams between nodes.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{self, Key, Sighting};
+use keeljunction_core::serving::backpressure::{self, InstanceKey, Observation};
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
-use keeljunction_core::serving::load::{Load, Work};
+use keeljunction_core::serving::load::{Load, RequestCost};
 use keeljunction_core::serving::members::{Entry, Overview as Reach, RosterSummary};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
@@ -85,7 +85,7 @@
         /// Names the question at the one who asks.
         question: u32,
         /// What the one who asks knows of the server's limit.
-        sighting: Sighting,
+        sighting: Observation,
         /// The server's data centre; empty where there is one region only.
         data_centre: String,
     },
@@ -94,12 +94,12 @@
         /// The question.
         question: u32,
         /// The server.
-        key: Key,
+        key: InstanceKey,
         /// What the owner decided.
         decision: backpressure::Decision,
     },
     /// Returns the permit of a request that was not sent.
-    ReturnPermit(Key),
+    ReturnPermit(InstanceKey),
     /// A summary of an aggregator of another region, as it came there.
     Carried {
         /// The run of the aggregator's process.
@@ -183,7 +183,7 @@
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that said lately that they leave.
     pub departures: Vec<Departure>,
     /// Which versions of the platform's tables it knows.
@@ -218,7 +218,7 @@
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that said lately that they leave.
     pub departures: Vec<Departure>,
     /// Which versions of the platform's tables it knows.
@@ -238,7 +238,7 @@
     /// It was decided whether a request crashes servers.
     RequestJudged(Verdict),
     /// A server names a limit, or none any more.
-    LimitSeen(Sighting),
+    LimitSeen(Observation),
     /// A server said in an answer that it leaves.
     ServerLeaving(Departure),
     /// A window of usage was frozen, and is about to be reported.
@@ -252,7 +252,7 @@
         /// The server's short name.
         server: u64,
         /// The size of the request.
-        work: Work,
+        work: RequestCost,
         /// How long its prompt is expected to be read.
         reading_ms: Millis,
     },
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -11,7 +11,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Batch;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::rollout::Announcement;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{Counts, WindowNumber};
@@ -63,7 +63,7 @@
 
 /// Announces to the other nodes a request that is sent to a server, where its prompt keeps the server
 /// busy for long. In groups nodes request the loads of servers instead.
-pub(crate) fn notify_request_started(node: &Node, server: &str, work: &Work, reading_ms: Millis) {
+pub(crate) fn notify_request_started(node: &Node, server: &str, work: &RequestCost, reading_ms: Millis) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
     let least = period.as_millis() as f64 * REPORT_AT_ONCE_PART;
@@ -79,7 +79,7 @@
     match notification {
         Notification::RequestStarted { node: peer, server, work, reading_ms } => {
             let until = node.now() + reading_ms;
-            node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
+            node.with(|state| state.loads.merge_started(until, &peer, server, &work));
         }
         Notification::RequestJudged(verdict) => {
             if quarantine::take_verdict(node, verdict) {
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -39,13 +39,13 @@
 /// Takes the report of a server that crashed, as the keeper.
 pub(super) fn take_report(node: &Node, crash: &Crash) {
     let now = node.now();
-    node.with(|state| state.quarantine.take_report(now, crash));
+    node.with(|state| state.quarantine.merge_report(now, crash));
 }
 
 /// Notes that a server answered a request whole, and notifies the keeper where the request is suspected.
 pub(crate) fn note_request_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     let now = node.now();
-    let service = node.with(|state| state.quarantine.note_answered(now, fingerprint));
+    let service = node.with(|state| state.quarantine.record_completion(now, fingerprint));
     if let Some(service) = service {
         runtime::spawn(tell_answered(node.clone(), service, fingerprint));
     }
@@ -64,7 +64,7 @@
 /// Takes the word of a node that a request was answered whole, as the keeper.
 pub(super) fn take_answered(node: &Node, fingerprint: Fingerprint) {
     let now = node.now();
-    let cleared = node.with(|state| state.quarantine.take_answered(now, fingerprint));
+    let cleared = node.with(|state| state.quarantine.merge_completion(now, fingerprint));
     if let Some(verdict) = cleared {
         announce(node, verdict);
     }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -12,20 +12,20 @@
 use keeljunction_core::serving::configuration::Configuration;
 use keeljunction_core::serving::demand::DemandTracker;
 use keeljunction_core::serving::directory::{Directory, Server};
-use keeljunction_core::serving::distance::Distances;
 use keeljunction_core::serving::duty_lease::DutyLease;
 use keeljunction_core::serving::era::Eras;
 use keeljunction_core::serving::freshness::Freshness;
-use keeljunction_core::serving::handover::Handover;
 use keeljunction_core::serving::health::Health;
-use keeljunction_core::serving::held;
-use keeljunction_core::serving::load::{LoadBook, short_id};
+use keeljunction_core::serving::in_flight_bytes;
+use keeljunction_core::serving::load::{LoadTracker, short_id};
 use keeljunction_core::serving::members::{Entry, Members};
-use keeljunction_core::serving::memory::Accountant;
+use keeljunction_core::serving::memory::MemoryBudget;
 use keeljunction_core::serving::quarantine::{self, Fingerprint};
 use keeljunction_core::serving::quota::{self, Quotas, Tolerance};
+use keeljunction_core::serving::report_log::ReportLog;
 use keeljunction_core::serving::rollout;
-use keeljunction_core::serving::spill::Links;
+use keeljunction_core::serving::round_trip::RoundTrips;
+use keeljunction_core::serving::spill::LinkBudgets;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
@@ -154,15 +154,15 @@
     /// Entries of the list that cannot be read.
     pub skipped_entries: skipped::Entries,
     /// How busy the servers are.
-    pub loads: LoadBook,
+    pub loads: LoadTracker,
     /// What the servers' answers showed.
     pub health: Health,
     /// What servers say about the requests that follow.
-    pub backpressure: backpressure::Book,
+    pub backpressure: backpressure::Tracker,
     /// Bytes of requests that each server holds for this node.
-    pub server_held_bytes: held::Book,
+    pub server_held_bytes: in_flight_bytes::Limiter,
     /// Requests that crash servers.
-    pub quarantine: quarantine::Book,
+    pub quarantine: quarantine::Tracker,
     /// What client accounts have used.
     pub quotas: Quotas,
     /// Repeats.
@@ -176,23 +176,23 @@
     /// Tokens requested, by service.
     pub demand: DemandTracker,
     /// Moves of services to other versions.
-    pub rollouts: rollout::Book,
+    pub rollouts: rollout::Registry,
     /// How fast the servers of each service read prompts.
     pub throughputs: HashMap<String, Throughput>,
     /// Other nodes.
     pub members: Members,
     /// Round trips to other regions.
-    pub round_trips: Distances,
+    pub round_trips: RoundTrips,
     /// The budgets of the links to other regions.
-    pub region_links: Links,
+    pub region_links: LinkBudgets,
     /// Summaries that this node sends to other regions.
     pub(super) carrying: Carrying,
     /// Memory that is held for callers and servers.
-    pub memory: Accountant,
+    pub memory: MemoryBudget,
     /// Whom this node reports its counts to.
     pub(super) audience: Audience,
     /// Which of its counts have arrived there.
-    pub handover: Handover,
+    pub handover: ReportLog,
     /// Samples of throughput for the nodes of this node's group.
     pub(super) samples: Samples,
     /// The lease of the duties.
@@ -273,18 +273,18 @@
             configuration: None,
             configuration_document: None,
             configuration_row: None,
-            demand: DemandTracker::new(topology.get_own()),
-            rollouts: rollout::Book::default(),
+            demand: DemandTracker::new(topology.get_own_region()),
+            rollouts: rollout::Registry::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
             directory: Directory::default(),
             servers_freshness: Freshness::default(),
             skipped_entries: skipped::Entries::default(),
-            loads: LoadBook::default(),
+            loads: LoadTracker::default(),
             health: Health::default(),
-            backpressure: backpressure::Book::new(fastrand::f64()),
-            server_held_bytes: held::Book::default(),
-            quarantine: quarantine::Book::default(),
+            backpressure: backpressure::Tracker::new(fastrand::f64()),
+            server_held_bytes: in_flight_bytes::Limiter::default(),
+            quarantine: quarantine::Tracker::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
@@ -292,12 +292,12 @@
             outgoing_usage: ReportFilter::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
-            round_trips: Distances::default(),
-            region_links: Links::new(settings.regions.spill_mbps),
+            round_trips: RoundTrips::default(),
+            region_links: LinkBudgets::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             audience: Audience::default(),
-            handover: Handover::new(incarnation.clone()),
+            handover: ReportLog::new(incarnation.clone()),
             samples: Samples::new(),
             lease: DutyLease::new(
                 incarnation.node.clone(),
@@ -352,7 +352,7 @@
     /// The configuration holds how long callers use connections that rest. A later one may hold a longer
     /// time, and a connection must not close while its caller may use it.
     pub fn get_rest_bound(&self) -> Duration {
-        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle));
+        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle_timeout));
         Duration::from_millis(known.unwrap_or(REST_WHILE_UNKNOWN)) * REST_FACTOR
     }
 
@@ -387,12 +387,12 @@
     /// `None` where it is served.
     pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
-        self.with(|state| state.quarantine.get_refused_for(now, fingerprint))
+        self.with(|state| state.quarantine.get_quarantine_left(now, fingerprint))
     }
 
     /// Returns `true` if callers should go to other nodes, for want of memory.
     pub fn is_short_of_memory(&self) -> bool {
-        self.with(|state| state.memory.is_short())
+        self.with(|state| state.memory.is_under_pressure())
     }
 
     /// Returns `true` if the node is about to end.
@@ -438,10 +438,10 @@
 
 /// Makes the accountant of what may be held for callers and servers. Each run of a node draws anew
 /// at which level of its memory callers should go elsewhere.
-fn make_accountant(settings: &Settings, run: u64) -> Accountant {
+fn make_accountant(settings: &Settings, run: u64) -> MemoryBudget {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
-    Accountant::new((bytes * HELD_PART) as u64, bytes as u64, draw)
+    MemoryBudget::new((bytes * HELD_PART) as u64, bytes as u64, draw)
 }
 
 fn get_entry(settings: &Settings) -> Entry {
