--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -78,7 +78,13 @@
     /// A node that hears a part of the others only gives that part of the rate: those that it does not
     /// hear may have an owner of their own. A bucket begins empty, because another node may have given
     /// permits until now.
-    pub fn decide(&mut self, now: Millis, key: InstanceKey, rate: f64, reach: Reachability) -> Decision {
+    pub fn decide(
+        &mut self,
+        now: Millis,
+        key: InstanceKey,
+        rate: f64,
+        reach: Reachability,
+    ) -> Decision {
         let fraction = reach.get_fraction();
         let rate = rate.max(LOWEST_RATE) * fraction;
         let pool = self.get_pool(now, key, -self.draw * (1.0 - fraction));
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::health::Health;
 use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Role};
-use keeljunction_core::serving::quarantine::{ Fingerprint, Standing, Tracker, Verdict};
+use keeljunction_core::serving::quarantine::{Fingerprint, Standing, Tracker, Verdict};
 use proptest::prelude::*;
 
 const LEASE: u64 = 3_000;
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -63,7 +63,12 @@
 
 /// Announces to the other nodes a request that is sent to a server, where its prompt keeps the server
 /// busy for long. In groups nodes request the loads of servers instead.
-pub(crate) fn notify_request_started(node: &Node, server: &str, work: &RequestCost, reading_ms: Millis) {
+pub(crate) fn notify_request_started(
+    node: &Node,
+    server: &str,
+    work: &RequestCost,
+    reading_ms: Millis,
+) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
     let least = period.as_millis() as f64 * REPORT_AT_ONCE_PART;
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -79,8 +79,8 @@
 /// Returns how long the decision of an owner is waited for.
 fn get_wait(node: &Node, owner: SocketAddr) -> Duration {
     let region = node.link.get_far_region(owner);
-    let wait =
-        region.map(|region| node.with(|state| state.round_trips.get_timeout(&region, DECIDED_WITHIN)));
+    let wait = region
+        .map(|region| node.with(|state| state.round_trips.get_timeout(&region, DECIDED_WITHIN)));
     Duration::from_millis(wait.unwrap_or(DECIDED_WITHIN))
 }
 
