--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -21,7 +21,7 @@
     /// Until when starts here are not tried, because one was refused.
     pub refused_until: Option<Millis>,
     /// The most VMs to hold here.
-    pub most: u32,
+    pub max_vms: u32,
 }
 
 /// What the VMs must carry.
@@ -56,7 +56,7 @@
 }
 
 /// Counts the VMs left after the worst loss of one data centre's reclaimable VMs.
-pub fn survivors(offers: &[Offer], plan: &Plan) -> u32 {
+pub fn count_survivors(offers: &[Offer], plan: &Plan) -> u32 {
     let mut exposed: BTreeMap<&str, u32> = BTreeMap::new();
     for (place, held) in plan {
         if offers[*place].reclaimable {
@@ -90,7 +90,7 @@
     let mut plan = Plan::new();
     for place in by_price(now, offers) {
         let offer = &offers[place];
-        let mut room = offer.most.min(need - count(&plan));
+        let mut room = offer.max_vms.min(need - count(&plan));
         if offer.reclaimable {
             let exposed = exposed.entry(&offer.data_centre).or_default();
             room = room.min(bound - *exposed);
@@ -115,6 +115,6 @@
 fn rank(offers: &[Offer], demand: &Demand, plan: &Plan) -> (u32, u32, u64) {
     let need = demand.target.max(demand.floor);
     let short = need.saturating_sub(count(plan));
-    let exposed = demand.after_loss.saturating_sub(survivors(offers, plan));
+    let exposed = demand.after_loss.saturating_sub(count_survivors(offers, plan));
     (short, exposed, price(offers, plan))
 }
--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -22,7 +22,7 @@
 ///
 /// The room for bursts follows the load of all regions together, split by their loads: what is too
 /// much for one region may go to another.
-pub fn needs(policy: &Policy, demands: &BTreeMap<String, Demand>) -> BTreeMap<String, u32> {
+pub fn compute_needs(policy: &Policy, demands: &BTreeMap<String, Demand>) -> BTreeMap<String, u32> {
     let reading = |demand: &Demand| demand.tokens_per_second / demand.server_tokens_per_second;
     let filled = |demand: &Demand| demand.in_flight / demand.slots.max(1.0);
     let all_reading: f64 = demands.values().map(reading).sum();
@@ -46,7 +46,7 @@
 const BITS_PER_MEGABIT: f64 = 1e6;
 
 /// Counts the servers of a region's need whose work may go to other regions at `spill_mbps`.
-pub fn count_crossing(need: u32, tokens_per_second: f64, spill_mbps: f64) -> u32 {
+pub fn count_spillable(need: u32, tokens_per_second: f64, spill_mbps: f64) -> u32 {
     let mbps = tokens_per_second * BITS_PER_TOKEN / BITS_PER_MEGABIT;
     let part = if mbps > spill_mbps { spill_mbps / mbps } else { 1.0 };
     (f64::from(need) * part) as u32
@@ -60,7 +60,7 @@
 
 impl PeakWindow {
     /// Notes a value and returns the largest within `span`.
-    pub fn follow(&mut self, now: Millis, value: u32, span: Millis) -> u32 {
+    pub fn record(&mut self, now: Millis, value: u32, span: Millis) -> u32 {
         self.values.push((now, value));
         self.values.retain(|(at, _)| at + span >= now);
         self.get_largest().unwrap_or(value)
@@ -80,17 +80,17 @@
 
 /// The needs of a service by region, which rise at once and fall slowly.
 #[derive(Clone, Debug, Default)]
-pub struct Needs {
+pub struct PeakNeeds {
     by_region: BTreeMap<String, PeakWindow>,
 }
 
-impl Needs {
+impl PeakNeeds {
     /// Notes what the demand needs now and returns the largest need within `span`, of all regions
     /// whose need is known.
     ///
     /// The need of regions that are not heard stays as it was: requests go on there, and nobody
     /// reports them. Without this, the servers of a region that serves on its own would be given up.
-    pub fn follow(
+    pub fn record(
         &mut self,
         now: Millis,
         needs: &BTreeMap<String, u32>,
@@ -99,7 +99,7 @@
     ) -> BTreeMap<String, u32> {
         let heard = needs.iter().filter(|(region, _)| !unheard.contains(region.as_str()));
         for (region, need) in heard {
-            self.by_region.entry(region.clone()).or_default().follow(now, *need, span);
+            self.by_region.entry(region.clone()).or_default().record(now, *need, span);
         }
         for region in unheard {
             if let Some(window) = self.by_region.get_mut(*region) {
--- a/crates/core/src/serving/members/owner.rs
+++ b/crates/core/src/serving/members/owner.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use super::Members;
-use crate::succession;
+use crate::rendezvous;
 
 /// The aggregator that keeps a server's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     /// Where it listens for other nodes.
     pub address: SocketAddr,
     /// Its region, where that is not the asking node's own.
-    pub far_region: Option<&'a str>,
+    pub remote_region: Option<&'a str>,
 }
 
 impl Members {
@@ -26,13 +26,13 @@
     pub fn find_load_owner(&self, server: u64, data_centre: &str) -> Option<LoadOwner<'_>> {
         if !self.topology.is_multi_region() {
             let address = self.find_owner(server)?;
-            return Some(LoadOwner { address, far_region: None });
+            return Some(LoadOwner { address, remote_region: None });
         }
-        let own = self.topology.get_own();
+        let own = self.topology.get_own_region();
         let region = self.topology.get_region(data_centre).unwrap_or(own);
         let owner = self.find_owner_in(server, region).or_else(|| self.find_owner_in(server, own));
         let entry = &self.known.get(owner?)?.entry;
-        Some(LoadOwner { address: entry.address, far_region: self.get_far_region(entry) })
+        Some(LoadOwner { address: entry.address, remote_region: self.get_far_region(entry) })
     }
 
     /// Returns `true` if this node keeps the load of a server.
@@ -52,7 +52,7 @@
     /// `benches/serving.rs` measures it: 0.17 us among 83 nodes, 0.28 us among 1,000.
     fn find_owner_in(&self, key: u64, region: &str) -> Option<&str> {
         let names = self.view.ranking.by_region.get(region)?;
-        succession::owner_of_number(key, names.iter().map(String::as_str))
+        rendezvous::owner_of_hash(key, names.iter().map(String::as_str))
     }
 
     /// Returns how many nodes of this node's own region may be serving, this one included.
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -7,8 +7,8 @@
 use super::entry::Entry;
 use super::{GONE_AFTER, Member, Members, Overview, Role};
 use crate::serving::load::short_id;
-use crate::serving::quota::Reach;
-use crate::{Millis, succession};
+use crate::serving::quota::Reachability;
+use crate::{Millis, rendezvous};
 
 /// The time between two reports. In groups a report passes two aggregators on its way: with 0.4 s a
 /// client account that suddenly sent six times its limit exceeded the operator's tolerance.
@@ -57,18 +57,18 @@
     /// read the list yet assumes that many others are there.
     ///
     /// A node that has not computed this for some periods, because it slept, hears nobody.
-    pub fn get_reach(&self, now: Millis) -> Reach {
+    pub fn get_reachability(&self, now: Millis) -> Reachability {
         let known = match self.overview {
-            Some((_, overview)) if !self.view.is_aggregating => overview.all,
+            Some((_, overview)) if !self.view.is_aggregating => overview.known,
             _ => self.view.nodes + self.count_unknown_seeds(),
         };
         let known = self.correct_count(now, known);
         let is_unlisted = !self.is_listed && now < self.started_at + UNLISTED_FOR;
         let is_recent = now < self.view.at + self.get_heard_within();
-        Reach {
+        Reachability {
             heard: if is_recent { self.view.heard } else { 1 },
-            all: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
-            period: self.get_delay().as_millis() as Millis,
+            known: if is_unlisted { known.max(NODES_WHILE_UNLISTED) } else { known },
+            report_delay: self.get_report_delay().as_millis() as Millis,
             is_grouped: self.view.is_grouped,
         }
     }
@@ -76,7 +76,7 @@
     /// Returns how long a report may take to reach all nodes: in groups it passes two aggregators.
     ///
     /// Between regions the second of them sends less often, and the way counts too.
-    pub fn get_delay(&self) -> Duration {
+    pub fn get_report_delay(&self) -> Duration {
         let within = if self.view.is_grouped { PERIOD * GROUPED_PERIODS } else { PERIOD };
         within + self.get_transit_delay()
     }
@@ -88,7 +88,7 @@
 
     /// Returns what an aggregator says of the whole.
     pub fn get_overview(&self) -> Overview {
-        Overview { heard: self.view.heard, all: self.view.nodes }
+        Overview { heard: self.view.heard, known: self.view.nodes }
     }
 
     /// Returns `true` if nodes report in groups.
@@ -130,7 +130,7 @@
     /// Lists the nodes with which this aggregator exchanges sums: the others, and those that say
     /// that they are aggregators; all addresses of the settings that are not known yet, too. Where
     /// groups stand in several regions, only those of its own region.
-    pub fn list_exchange(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn list_exchange_peers(&self, now: Millis) -> Vec<SocketAddr> {
         let says_so = self
             .known
             .iter()
@@ -141,8 +141,8 @@
         let others = says_so.chain(silent).map(|(name, _)| name).chain(far);
         let names: BTreeSet<&String> = self.view.ranking.aggregators.iter().chain(others).collect();
         let known = names.into_iter().filter_map(|name| self.known.get(name));
-        let is_crossing = self.is_crossing();
-        let known = known.filter(|m| !is_crossing || self.topology.is_near(&m.entry.data_centre));
+        let is_crossing = self.is_using_carriers();
+        let known = known.filter(|m| !is_crossing || self.topology.is_local(&m.entry.data_centre));
         let mut addresses: Vec<SocketAddr> = known.map(|member| member.entry.address).collect();
         for seed in &self.seeds {
             if !self.known.values().any(|member| member.entry.address == *seed) {
@@ -155,7 +155,7 @@
     /// Lists the entries to pass on: those that were new to this node lately, and those of regions out
     /// of reach, of which a node that starts meanwhile may hear nowhere else. Each turn gives the next
     /// ones, because one message may not hold all. Once in a second any known entry is among them.
-    pub fn list_joined(&self, now: Millis, turn: usize) -> Vec<Entry> {
+    pub fn list_gossip_entries(&self, now: Millis, turn: usize) -> Vec<Entry> {
         let mut joined = self.list_recent(now, turn);
         if joined.len() < MOST_PASSED_ON {
             joined.extend(self.repeat_known(now, turn));
@@ -194,7 +194,7 @@
 
     /// Returns `true` if a node that may be serving, and that reported to this one, was not heard
     /// since a time: neither by this node nor by another aggregator.
-    pub fn is_any_unheard_since(&self, now: Millis, since: Millis) -> bool {
+    pub fn is_any_node_missing_since(&self, now: Millis, since: Millis) -> bool {
         let serving = self.known.values().filter(|member| !member.is_stopping);
         let mut reporting = serving.filter_map(|member| Some((member, member.heard_at?)));
         reporting.any(|(member, heard_at)| {
@@ -207,7 +207,7 @@
     /// Returns `true` if every node that this one hears by itself was heard after a time, and none has started
     /// again since another one. In groups these are the aggregators and the nodes of the own group, and this node must
     /// have aggregated since then: those it did not hear before may be gone unnoticed.
-    pub fn is_whole(&self, heard_since: Millis, running_since: Millis) -> bool {
+    pub fn is_every_node_heard(&self, heard_since: Millis, running_since: Millis) -> bool {
         let is_none_replaced = self.replaced_at.is_none_or(|at| at < running_since);
         let is_grouped = self.is_grouped();
         let is_hearing_all =
@@ -220,12 +220,12 @@
     }
 
     /// Returns `true` if a node that holds the duties was heard of within a time.
-    pub fn is_holder_heard(&self, now: Millis, within: Millis) -> bool {
-        self.get_holder_age(now).is_some_and(|age| age < within)
+    pub fn is_duty_holder_heard(&self, now: Millis, within: Millis) -> bool {
+        self.get_duty_holder_age(now).is_some_and(|age| age < within)
     }
 
     /// Returns how long ago the holder of the duties was heard of.
-    pub fn get_holder_age(&self, now: Millis) -> Option<Millis> {
+    pub fn get_duty_holder_age(&self, now: Millis) -> Option<Millis> {
         self.holder_heard_at.map(|at| now.saturating_sub(at))
     }
 
@@ -238,18 +238,18 @@
 
     /// Returns `true` if this node reads the platform's tables for all: one of a few, by an order
     /// that all nodes which hear each other share.
-    pub fn is_reader(&self, now: Millis) -> bool {
+    pub fn is_table_reader(&self, now: Millis) -> bool {
         self.is_settled(now) && self.view.readers.contains(&self.own.name)
     }
 
     /// Lists the addresses of the other nodes that read the platform's tables for all.
-    pub fn get_readers(&self) -> Vec<SocketAddr> {
+    pub fn list_table_readers(&self) -> Vec<SocketAddr> {
         let readers = self.view.readers.iter().filter_map(|name| self.known.get(name));
         readers.map(|member| member.entry.address).collect()
     }
 
     /// Lists the addresses of the nodes that were heard lately.
-    pub fn get_heard(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn list_reachable(&self, now: Millis) -> Vec<SocketAddr> {
         let heard = self.known.values().filter(|member| self.is_heard(now, member));
         heard.map(|member| member.entry.address).collect()
     }
@@ -264,7 +264,7 @@
     pub fn find_owner(&self, key: u64) -> Option<SocketAddr> {
         let own = self.view.ranking.is_aggregator.then_some(self.own.name.as_str());
         let names = self.view.ranking.aggregators.iter().map(String::as_str).chain(own);
-        let owner = succession::owner_of_number(key, names)?;
+        let owner = rendezvous::owner_of_hash(key, names)?;
         self.known.get(owner).map(|member| member.entry.address)
     }
 
--- a/crates/core/src/serving/quarantine/evidence.rs
+++ b/crates/core/src/serving/quarantine/crash_analyzer.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{Answered, Crash, Fingerprint, QUARANTINED_FOR, Standing, Verdict};
+use super::{CompletedRequests, Crash, Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
 use crate::Millis;
 
 /// Crashes in a row under a request that nothing else explains, before it is refused. One may happen by
@@ -31,7 +31,7 @@
 /// longer to start.
 const SAME_CRASH: Millis = 1_000;
 /// How long a crash is remembered, in milliseconds: as long as a request is refused.
-const REMEMBERED_FOR: Millis = QUARANTINED_FOR;
+const REMEMBERED_FOR: Millis = QUARANTINE_PERIOD;
 /// How long a suspicion is repeated, in milliseconds: some times what an answer takes.
 const SUSPICION_TOLD_FOR: Millis = 60_000;
 /// The most crashes that are remembered, which is most of the servers of the two-year size.
@@ -44,7 +44,7 @@
 
 /// What the keeper knows of servers that crashed.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct CrashAnalyzer {
     crashes: VecDeque<Case>,
     /// Requests that are or were refused, with the time until which that is remembered.
     refused: BTreeMap<Fingerprint, Millis>,
@@ -74,9 +74,9 @@
     last_crash: Option<Millis>,
 }
 
-impl Evidence {
+impl CrashAnalyzer {
     /// Takes a report of a node, without the requests that were answered whole lately.
-    pub fn note(&mut self, now: Millis, crash: &Crash, answered: &Answered) {
+    pub fn record(&mut self, now: Millis, crash: &Crash, answered: &CompletedRequests) {
         let at = now.saturating_sub(crash.age);
         let runs: Vec<(Fingerprint, Millis)> = crash
             .runs
@@ -119,7 +119,7 @@
 
     /// Notes that a server answered a request whole; returns `true` if the request was suspected or is
     /// refused.
-    pub fn note_answered(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_completion(&mut self, fingerprint: Fingerprint) -> bool {
         for crash in &mut self.crashes {
             crash.runs.remove(&fingerprint);
         }
@@ -168,8 +168,8 @@
                 return verdicts;
             }
             for fingerprint in found {
-                self.remember_refused(now, fingerprint, now + QUARANTINED_FOR + REMEMBERED_FOR);
-                let (standing, left) = (Standing::Quarantined, QUARANTINED_FOR);
+                self.remember_refused(now, fingerprint, now + QUARANTINE_PERIOD + REMEMBERED_FOR);
+                let (standing, left) = (Standing::Quarantined, QUARANTINE_PERIOD);
                 verdicts.push(make_verdict(fingerprint, &suspects, standing, left));
             }
         }
--- a/crates/core/src/serving/rollout/tally.rs
+++ b/crates/core/src/serving/rollout/tally.rs
@@ -111,7 +111,7 @@
 
 impl Tally {
     /// Counts a good answer, with its latency where that is known to be typical.
-    pub fn succeed(&mut self, latency: Option<Millis>) {
+    pub fn record_success(&mut self, latency: Option<Millis>) {
         self.good += 1;
         if let Some(latency) = latency {
             self.latencies.record(latency);
@@ -119,7 +119,7 @@
     }
 
     /// Counts a failed answer.
-    pub fn fail(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failed += 1;
     }
 
@@ -169,22 +169,22 @@
 
 /// Answers of the new version and of the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct Comparison {
     /// Those of the new version.
     pub target: Tally,
     /// Those of all others.
-    pub rest: Tally,
+    pub baseline: Tally,
 }
 
 /// Answers of a service since a roll-out was ordered.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tallies(BTreeMap<Series, Pair>);
+pub struct Tallies(BTreeMap<Series, Comparison>);
 
 impl Tallies {
     /// Returns the tally of a series for the new version, or for the others.
     pub fn get_mut(&mut self, series: Series, is_target: bool) -> &mut Tally {
         let pair = self.0.entry(series).or_default();
-        if is_target { &mut pair.target } else { &mut pair.rest }
+        if is_target { &mut pair.target } else { &mut pair.baseline }
     }
 
     /// Adds what others counted.
@@ -192,12 +192,12 @@
         for (series, pair) in &other.0 {
             let sum = self.0.entry(series.clone()).or_default();
             sum.target.add(&pair.target);
-            sum.rest.add(&pair.rest);
+            sum.baseline.add(&pair.baseline);
         }
     }
 
     /// Lists all series.
-    pub fn iter(&self) -> impl Iterator<Item = (&Series, &Pair)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Series, &Comparison)> {
         self.0.iter()
     }
 
--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::Millis;
 
-pub use self::frozen::Frozen;
+pub use self::frozen::FrozenWindows;
 pub use self::window_set::WindowSet;
 
 /// The number of a window: window `k` begins `k` times its length after the Unix epoch.
@@ -41,7 +41,7 @@
 
 /// The counts of all incarnations in some windows, in few bytes: each client account is named once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct LedgerSnapshot {
     accounts: Vec<String>,
     windows: Vec<(WindowNumber, Vec<KeptIncarnation>)>,
 }
@@ -53,7 +53,7 @@
     counts: Vec<u64>,
 }
 
-impl Kept {
+impl LedgerSnapshot {
     /// Returns `true` if there are no windows.
     pub fn is_empty(&self) -> bool {
         self.windows.is_empty()
@@ -135,7 +135,10 @@
     }
 
     /// Lists the counts of one incarnation in all windows that are kept.
-    pub fn of_incarnation(&self, incarnation: &Incarnation) -> Vec<(WindowNumber, Counts)> {
+    pub fn list_incarnation_counts(
+        &self,
+        incarnation: &Incarnation,
+    ) -> Vec<(WindowNumber, Counts)> {
         let windows = self.windows.iter();
         windows
             .filter_map(|(window, incarnations)| {
@@ -151,7 +154,7 @@
 
     /// Lists the counts of all incarnations in the windows from one on, so that they can be kept
     /// elsewhere.
-    pub fn get_since(&self, first: WindowNumber) -> Kept {
+    pub fn get_snapshot(&self, first: WindowNumber) -> LedgerSnapshot {
         let windows = || self.windows.range(first..);
         let counts = windows().flat_map(|(_, incarnations)| incarnations.values());
         let accounts: BTreeSet<&String> = counts.flat_map(|counts| counts.keys()).collect();
@@ -161,14 +164,14 @@
         };
         let windows = windows()
             .map(|(window, incarnations)| (*window, incarnations.iter().map(keep).collect()));
-        Kept {
+        LedgerSnapshot {
             windows: windows.collect(),
             accounts: accounts.iter().map(|name| (*name).clone()).collect(),
         }
     }
 
     /// Takes over counts that were kept.
-    pub fn merge_kept(&mut self, kept: &Kept) {
+    pub fn merge_snapshot(&mut self, kept: &LedgerSnapshot) {
         for (window, incarnations) in &kept.windows {
             for known in incarnations {
                 let counts = kept.accounts.iter().cloned().zip(known.counts.iter().copied());
@@ -212,12 +215,12 @@
 /// Of the latest windows, all but one or two have ended. Each holds a count for every client account, and
 /// an aggregator sends them to all others.
 #[derive(Clone, Debug, Default)]
-pub struct Outgoing {
+pub struct ReportFilter {
     /// What stands for the counts of a window, and the report in which they last changed.
     sent: BTreeMap<WindowNumber, (u64, u64)>,
 }
 
-impl Outgoing {
+impl ReportFilter {
     /// Leaves out of a report, the number of which is `turn`, the windows that have not changed lately.
     pub fn select(
         &mut self,
@@ -273,7 +276,7 @@
 
 /// Returns for how many windows rows and counts are kept; `due` is the time after a window's end at which its report
 /// must be there. Any holder that may still report a window finds what was reported of it.
-pub fn count_kept(due: Millis, length: Millis) -> u64 {
+pub fn count_retained_windows(due: Millis, length: Millis) -> u64 {
     due.div_ceil(length.max(1)) + KEPT_BEYOND_DUE
 }
 
--- a/crates/core/tests/serving/fleet.rs
+++ b/crates/core/tests/serving/fleet.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::serving::load::short_id;
 use keeljunction_core::serving::members::sample::{estimate_count, make_key};
-use keeljunction_core::serving::members::{Entry, Heard, Members, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Role};
 
 const PERIOD: u64 = 200;
 const DATA_CENTRES: usize = 6;
@@ -51,7 +51,7 @@
         let nodes = (0..size).map(|number| {
             let mut members = Members::new(0, entry(number), &[]);
             let listed = (0..64).map(|_| entry(random.usize(..size))).collect();
-            members.take_list(0, listed, true);
+            members.merge_list(0, listed, true);
             members
         });
         let nodes = nodes.collect();
@@ -80,8 +80,8 @@
     fn hear(&mut self, to: usize, from: usize, role: Role) {
         let entry = entry(from);
         let heard =
-            Heard { entry: &entry, incarnation: 1, is_stopping: false, role, holder_age: None };
-        self.nodes[to].hear(self.now, &heard);
+            Heartbeat { entry: &entry, incarnation: 1, is_stopping: false, role, holder_age: None };
+        self.nodes[to].record_heartbeat(self.now, &heard);
     }
 
     /// Lets a node get what another one's list holds and its own lacks.
@@ -90,9 +90,9 @@
         let Some((from, after)) = self.nodes[number].pick_roster_source(now) else { return };
         let source = number_of(from);
         if !self.is_lost(source) {
-            let additions = self.nodes[source].list_additions(now, after);
+            let additions = self.nodes[source].get_roster_delta(now, after);
             sent.called += additions.entries.len();
-            self.nodes[number].take_additions(now, from, &additions);
+            self.nodes[number].apply_roster_delta(now, from, &additions);
         }
     }
 
@@ -111,24 +111,24 @@
         }
         let node = &self.nodes[number];
         let (group, group_age) = node.get_group(now);
-        let joined = node.list_joined(now, self.turn);
+        let joined = node.list_gossip_entries(now, self.turn);
         let (overview, silent) = (node.get_overview(), node.list_silent());
-        let exchange = node.list_exchange(now);
+        let exchange = node.list_exchange_peers(now);
         let members = node.get_group_addresses(now);
-        let (roster, ranked) = (node.get_roster(), node.list_ranked());
+        let (roster, ranked) = (node.get_roster_summary(), node.list_aggregator_ids());
         for to in exchange.iter().map(|address| number_of(*address)) {
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
-                self.nodes[to].take_entries(now, &joined);
-                self.nodes[to].take_roster(&name, roster);
-                self.nodes[to].take_group(now, &name, group.clone(), group_age);
+                self.nodes[to].merge_entries(now, &joined);
+                self.nodes[to].record_roster_summary(&name, roster);
+                self.nodes[to].record_group(now, &name, group.clone(), group_age);
             }
         }
         for to in members.iter().map(|address| number_of(*address)) {
             if !self.is_lost(to) {
                 self.hear(to, number, Role::Aggregator);
-                self.nodes[to].take_roster(&name, roster);
-                self.nodes[to].take_overview(now, &name, overview, &silent);
+                self.nodes[to].record_roster_summary(&name, roster);
+                self.nodes[to].apply_overview(now, &name, overview, &silent);
                 self.nodes[to].follow_aggregators(&name, ranked.clone());
             }
         }
@@ -138,7 +138,7 @@
     /// Counts the nodes that an aggregator knows of at the least, and any node.
     fn count_known(&self) -> (usize, usize) {
         let there = || self.nodes.iter().enumerate().filter(|(n, _)| !self.away.contains(n));
-        let known = |node: &Members| node.get_overview().all;
+        let known = |node: &Members| node.get_overview().known;
         let aggregators = there().filter(|(_, node)| node.is_aggregator());
         let least = aggregators.map(|(_, node)| known(node)).min().unwrap_or(0);
         (least, there().map(|(_, node)| known(node)).min().unwrap_or(0))
@@ -207,11 +207,14 @@
 #[test]
 fn a_node_with_a_sample_assumes_that_all_nodes_serve() {
     let mut members = Members::new(0, entry(0), &[]);
-    members.take_sample(100, (1..128).map(entry).collect(), 986, true);
-    assert_eq!((members.get_reach(200).heard, members.get_reach(200).all), (1, 986));
+    members.merge_sample(100, (1..128).map(entry).collect(), 986, true);
+    assert_eq!(
+        (members.get_reachability(200).heard, members.get_reachability(200).known),
+        (1, 986)
+    );
     members.refresh(10_200);
-    assert_eq!(members.get_reach(10_200).all, 128);
+    assert_eq!(members.get_reachability(10_200).known, 128);
     // Once most of them are known, those count: the sample is not exact.
-    members.take_sample(20_000, (1..128).map(entry).collect(), 150, true);
-    assert_eq!(members.get_reach(20_000).all, 128);
+    members.merge_sample(20_000, (1..128).map(entry).collect(), 150, true);
+    assert_eq!(members.get_reachability(20_000).known, 128);
 }
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
+use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_stalled};
 
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::runtime;
@@ -22,18 +22,18 @@
 /// Looks after callers for as long as the node runs.
 pub fn watch(node: &Arc<Node>) {
     let node = node.clone();
-    runtime::every(LOOK, move || {
+    runtime::spawn_periodic(LOOK, move || {
         look_at_all(&node);
         std::future::ready(())
     });
 }
 
 /// Disconnects all callers that rest; called shortly before the node ends.
-pub fn disconnect_resting(node: &Node) {
+pub fn disconnect_stalled(node: &Node) {
     let now = node.now();
-    for feed in node.feeds.list() {
-        let Some(look) = (feed.look)(now) else { continue };
-        if look.caller.resting >= RESTING_AFTER {
+    for feed in node.active_responses.list() {
+        let Some(look) = (feed.check_status)(now) else { continue };
+        if look.caller.stalled >= STALL_TIMEOUT {
             disconnect(node, &feed, &look, "stopping");
         }
     }
@@ -41,10 +41,10 @@
 
 fn look_at_all(node: &Node) {
     let now = node.now();
-    let feeds = node.feeds.list();
-    let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.look)(now)?)));
-    let looked: Vec<(&Arc<Handle>, Look)> = looked.collect();
-    for (feed, look) in looked.iter().filter(|(_, look)| look.is_over) {
+    let feeds = node.active_responses.list();
+    let looked = feeds.iter().filter_map(|feed| Some((feed, (feed.check_status)(now)?)));
+    let looked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = looked.collect();
+    for (feed, look) in looked.iter().filter(|(_, look)| look.is_too_slow) {
         disconnect(node, feed, look, "no_progress");
     }
     let is_short = looked.iter().any(|(_, look)| look.is_short);
@@ -53,8 +53,8 @@
         return;
     }
     let callers: Vec<Caller> =
-        looked.iter().filter(|(_, look)| !look.is_over).map(|(_, look)| look.caller).collect();
-    let picked = pick_resting(&callers, missing);
+        looked.iter().filter(|(_, look)| !look.is_too_slow).map(|(_, look)| look.caller).collect();
+    let picked = pick_stalled(&callers, missing);
     for (feed, look) in looked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
         disconnect(node, feed, look, "memory");
     }
@@ -70,12 +70,12 @@
     (total - capacity * EASED_PART) as usize
 }
 
-fn disconnect(node: &Node, feed: &Handle, look: &Look, reason: &'static str) {
+fn disconnect(node: &Node, feed: &ResponseHandle, look: &ResponseStatus, reason: &'static str) {
     event::emit(&Event::CallerDisconnected {
         request: &feed.request,
         reason,
         held_bytes: look.caller.bytes,
-        resting_ms: look.caller.resting,
+        resting_ms: look.caller.stalled,
     });
     let labels = ReasonLabels { reason: reason.to_owned() };
     node.metrics.callers_disconnected.get_or_create(&labels).inc();
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -17,14 +17,15 @@
 use futures_lite::{Stream, future};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::memory::Kind;
-use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_bound};
+use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_limit};
 
 use super::flow::Flow;
 use super::respond::{Passage, Record};
 use super::source::{Source, Step};
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
-use crate::http::{Body, Peer};
+
+use crate::http::{Body, ConnectionHandle};
 use crate::node::{Node, Reservation};
 use crate::runtime::{self, lock};
 
@@ -47,7 +48,7 @@
 pub(super) struct Recipient {
     request: String,
     passage: Arc<Passage>,
-    peer: Option<Peer>,
+    peer: Option<ConnectionHandle>,
 }
 
 impl Recipient {
@@ -63,7 +64,7 @@
     let held = Reservation::new(node, Kind::ReadAhead);
     let feed = Feed::new(node, recipient, held, due);
     lock(&feed.flow).source = Some(source);
-    Body::stream(FeedBody(feed), None)
+    Body::from_stream(FeedBody(feed), None)
 }
 
 /// Returns the body that passes on an answer that was read whole. `held` is its reservation.
@@ -78,28 +79,28 @@
     flow.record = Some(Box::new(record));
     flow.is_ended = true;
     drop(flow);
-    Body::stream(FeedBody(feed), Some(length))
+    Body::from_stream(FeedBody(feed), Some(length))
 }
 
 impl Feed {
     fn new(node: &Arc<Node>, recipient: Recipient, held: Reservation, due: Millis) -> Arc<Self> {
         let Recipient { request, passage, peer } = recipient;
         passage.open();
-        let bound = get_bound(node.with(|state| state.memory.get_capacity()));
+        let bound = get_limit(node.with(|state| state.memory.get_capacity()));
         let flow = Flow::new(Buffer::new(bound), held, peer, node.now());
         let flow = Mutex::new(flow);
-        let id = node.feeds.make_id();
+        let id = node.active_responses.make_id();
         let feed = Arc::new(Self { node: node.clone(), id, request, passage, due, flow });
-        node.feeds.add(id, feed.make_handle());
+        node.active_responses.add(id, feed.make_handle());
         feed
     }
 
     /// Makes what the node keeps of the answer, which does not keep the answer itself.
-    fn make_handle(self: &Arc<Self>) -> Handle {
+    fn make_handle(self: &Arc<Self>) -> ResponseHandle {
         let (looking, disconnecting) = (Arc::downgrade(self), Arc::downgrade(self));
-        Handle {
+        ResponseHandle {
             request: self.request.clone(),
-            look: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
+            check_status: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
             disconnect: Box::new(move |reason| {
                 if let Some(feed) = disconnecting.upgrade() {
                     feed.disconnect(reason);
@@ -116,7 +117,7 @@
             match flow.poll_source(self.node.now(), context) {
                 Poll::Pending => {
                     flow.is_caller_waiting = true;
-                    flow.progress.note_waiting();
+                    flow.progress.reset();
                     // The server now wakes the caller's connection, and no longer this task.
                     flow.reading = None;
                     flow.is_reading_ahead = false;
@@ -153,26 +154,26 @@
                 held_bytes: flow.buffer.get_bytes(),
                 is_held_full: !flow.buffer.is_reading(),
                 unread_ms: self.node.now().saturating_sub(flow.read_at),
-                resting_ms: flow.progress.get_resting(),
+                resting_ms: flow.progress.get_stalled(),
             });
         }
         flow.take(step);
     }
 
     fn pass_on(&self, flow: &mut Flow, piece: Bytes) -> Bytes {
-        flow.progress.note_taken(piece.len());
+        flow.progress.record_read(piece.len());
         self.passage.note_piece(self.node.now());
         piece
     }
 
     /// Notes whether the caller takes what is there, and starts to read ahead where it does not.
-    fn look(self: &Arc<Self>, now: Millis) -> Look {
+    fn look(self: &Arc<Self>, now: Millis) -> ResponseStatus {
         let mut flow = lock(&self.flow);
         let since = now.saturating_sub(flow.looked_at);
         flow.looked_at = now;
         match flow.is_caller_waiting {
-            true => flow.progress.note_waiting(),
-            false => flow.progress.note_look(since),
+            true => flow.progress.reset(),
+            false => flow.progress.record_check(since),
         }
         let is_short = !flow.settle();
         // After `due` the source only ends, which needs no room.
@@ -181,11 +182,11 @@
             flow.is_reading_ahead = true;
             let feed = self.clone();
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
-            flow.reading = Some(runtime::task(reading));
+            flow.reading = Some(runtime::spawn_with_handle(reading));
         }
-        let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
-        let caller = Caller { id: self.id, bytes, resting };
-        Look { caller, is_over: flow.progress.is_too_slow(), is_short }
+        let (bytes, stalled) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
+        let caller = Caller { id: self.id, bytes, stalled };
+        ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short }
     }
 
     /// Reads the server until the caller's connection polls, the buffer is full, or the answer has
@@ -218,7 +219,7 @@
         drop(flow);
         drop(leftover);
         if let Some(peer) = peer {
-            peer.cut();
+            peer.reset();
         }
     }
 }
@@ -236,7 +237,7 @@
 
 impl Drop for FeedBody {
     fn drop(&mut self) {
-        self.0.node.feeds.remove(self.0.id);
+        self.0.node.active_responses.remove(self.0.id);
         let leftover = lock(&self.0.flow).end();
         drop(leftover);
     }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{Decision, Key, Sighting};
+use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Observation};
 use keeljunction_core::serving::directory::Server;
 
 use super::message::Message;
@@ -40,7 +40,7 @@
 }
 
 /// Takes a permit to send a request to a server; `None` where the server takes none now.
-pub(crate) async fn take(node: &Node, server: &Server) -> Option<Permit> {
+pub(crate) async fn acquire(node: &Node, server: &Server) -> Option<Permit> {
     let now = node.now();
     let sighting = node.with(|state| state.backpressure.get_limit(now, server));
     let permit = match sighting {
@@ -49,18 +49,18 @@
     };
     // The server may have said something while the decision was waited for.
     let now = node.now();
-    if node.with(|state| state.is_barred(now, server)) {
-        return_unsent(node, server, permit).await;
+    if node.with(|state| state.is_in_backoff(now, server)) {
+        release_unused(node, server, permit).await;
         return None;
     }
     Some(permit)
 }
 
 /// Takes a permit of the owner of a limited server.
-async fn take_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
+async fn take_counted(node: &Node, server: &Server, sighting: Observation) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.far_region.map(str::to_owned);
+        let far_region = found.remote_region.map(str::to_owned);
         Some(Owner { address: found.address, far_region })
     });
     let now = node.now();
@@ -69,8 +69,9 @@
         None => node.with(|state| decide(state, now, &server.data_centre, &sighting)),
     };
     let now = node.now();
-    let is_granted = node
-        .with(|state| state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_FOR));
+    let is_granted = node.with(|state| {
+        state.backpressure.apply_decision(now, sighting.key, decision, UNDECIDED_FOR)
+    });
     if !is_granted {
         node.metrics.permits_denied.inc();
         return None;
@@ -82,7 +83,7 @@
 }
 
 /// Asks the owner of a server; undecided where it does not answer in time.
-async fn ask(node: &Node, owner: &Owner, server: &Server, sighting: Sighting) -> Decision {
+async fn ask(node: &Node, owner: &Owner, server: &Server, sighting: Observation) -> Decision {
     let question = node.pending_permits.begin();
     let data_centre = match node.topology.is_multi_region() {
         true => server.data_centre.clone(),
@@ -91,7 +92,7 @@
     let message = Message::AskPermit { question: question.number, sighting, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
     let wait = owner.far_region.as_deref().map_or(DECIDED_WITHIN, |region| {
-        node.with(|state| state.distances.get_wait(region, DECIDED_WITHIN))
+        node.with(|state| state.round_trips.get_timeout(region, DECIDED_WITHIN))
     });
     let decision = question.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
@@ -101,11 +102,11 @@
 }
 
 /// Returns the permit of a request that was not sent.
-pub(crate) async fn return_unsent(node: &Node, server: &Server, permit: Permit) {
-    let key = Key::of(server);
+pub(crate) async fn release_unused(node: &Node, server: &Server, permit: Permit) {
+    let key = InstanceKey::of(server);
     match permit {
         Permit::Unlimited => {}
-        Permit::Counted(None) => node.with(|state| state.backpressure.take_back(key)),
+        Permit::Counted(None) => node.with(|state| state.backpressure.return_permit(key)),
         Permit::Counted(Some(owner)) => {
             node.link.send(node.now(), owner, &Message::ReturnPermit(key)).await;
         }
@@ -113,11 +114,11 @@
 }
 
 /// Decides as the owner; undecided where this node is not the owner.
-fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Sighting) -> Decision {
+fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Observation) -> Decision {
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     state.backpressure.decide(now, sighting, reach)
 }
 
@@ -126,7 +127,7 @@
     node: &Node,
     from: SocketAddr,
     question: u32,
-    sighting: &Sighting,
+    sighting: &Observation,
     data_centre: &str,
 ) {
     let now = node.now();
@@ -140,7 +141,7 @@
     node: &Node,
     from: SocketAddr,
     question: u32,
-    key: Key,
+    key: InstanceKey,
     decision: Decision,
 ) {
     let is_taken = node.pending_permits.answer(question, decision);
@@ -150,18 +151,18 @@
 }
 
 /// Takes back the permit of a request that another node did not send.
-pub(super) fn take_back(node: &Node, key: Key) {
-    node.with(|state| state.backpressure.take_back(key));
+pub(super) fn take_back(node: &Node, key: InstanceKey) {
+    node.with(|state| state.backpressure.return_permit(key));
 }
 
 /// Takes what another node saw of a server's limit; returns `true` if it is news.
-pub(super) fn take_sighting(node: &Node, sighting: &Sighting) -> bool {
+pub(super) fn take_sighting(node: &Node, sighting: &Observation) -> bool {
     let now = node.now();
     node.with(|state| state.backpressure.merge(now, sighting))
 }
 
 /// Takes the sightings that came with a report.
-pub(super) fn take_sightings(node: &Node, sightings: &[Sighting]) {
+pub(super) fn take_sightings(node: &Node, sightings: &[Observation]) {
     for sighting in sightings {
         take_sighting(node, sighting);
     }
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -11,7 +11,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINED_FOR, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
 use serde::{Deserialize, Serialize};
 
 use super::pause::Pause;
@@ -75,7 +75,7 @@
             *clock = Some(load(node).await?);
             let now = node.now();
             node.with(|state| {
-                if state.eras.is_return() {
+                if state.eras.is_restored() {
                     // The rows of what was decided before may be gone.
                     state.quarantine.save_all(now);
                 }
@@ -107,13 +107,13 @@
 /// Takes over the rows that hold, and removes the others.
 async fn load(node: &Arc<Node>) -> Result<TableClock, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN).await?;
     let mut removals = Vec::new();
     for row in &rows.rows {
         match decode(row) {
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
                 // The clock of an older copy may be behind the one that the row was written by.
-                let left = (refused.until - rows.table_time).min(QUARANTINED_FOR);
+                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD);
                 peers::quarantine::take_kept(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
@@ -142,11 +142,11 @@
     }
     let Verdict { service, servers_crashed, .. } = *verdict;
     let value = serde_json::to_vec(&Refused { service, until, servers_crashed }).ok();
-    Write { table: TableName::Own(TABLE), key, value }
+    Write { table: TableName::Internal(TABLE), key, value }
 }
 
 fn make_removal(key: String) -> Write {
-    Write { table: TableName::Own(TABLE), key, value: None }
+    Write { table: TableName::Internal(TABLE), key, value: None }
 }
 
 fn make_verdict(fingerprint: Fingerprint, refused: Refused, left: Millis) -> Verdict {
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -2,10 +2,12 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::rollout::{Announcement, Order, Phase, Side, Stage, Tolerance};
+use keeljunction_core::serving::rollout::{
+    Announcement, Order, Phase, Stage, Tolerance, VersionFilter,
+};
 
 use super::Node;
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::state::State;
 use crate::event::{self, Event};
 use crate::port::Row;
@@ -18,14 +20,14 @@
         log::warn!("the order {} is gone from its table: the roll-out goes on", row.key);
         return;
     };
-    let order = match (node.platform.rollouts.decode)(&row.key, value, row.version) {
+    let order = match (node.platform.rollout_codec.decode)(&row.key, value, row.version) {
         Ok(order) => order,
         Err(error) => return event::emit(&Event::DocumentRejected { error: error.to_string() }),
     };
     let announcement = Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
     let now = node.now();
     if node.with(|state| merge(state, now, &announcement)) {
-        node.push(News::RolloutChanged(announcement));
+        node.notify_peers(Notification::RolloutChanged(announcement));
     }
 }
 
@@ -33,21 +35,21 @@
 pub(super) fn take_deferred(node: &Node) {
     let now = node.now();
     let orders = node.with(|state| match state.eras.is_settled(now) {
-        true => state.rollouts.take_deferred(),
+        true => state.rollouts.apply_deferred(),
         false => Vec::new(),
     });
     for order in orders {
         emit_changed(&order, Stage::Pending);
         let announcement =
             Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
-        node.push(News::RolloutChanged(announcement));
+        node.notify_peers(Notification::RolloutChanged(announcement));
     }
 }
 
 /// Merges what another node announces of a roll-out; returns `true` if that was new.
 pub(super) fn merge(state: &mut State, now: Millis, announcement: &Announcement) -> bool {
     let is_settled = state.eras.is_settled(now);
-    let is_new = state.rollouts.take_order(announcement.order.clone(), is_settled);
+    let is_new = state.rollouts.apply_order(announcement.order.clone(), is_settled);
     let advanced = state.rollouts.merge_announcement(now, announcement, is_settled);
     if !is_new && advanced.is_none() {
         return false;
@@ -66,14 +68,14 @@
 }
 
 /// Decides which servers of a service a request may go to.
-pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> Side {
+pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> VersionFilter {
     let now = node.now();
     node.with(|state| {
         if !is_first {
-            return state.rollouts.pick_retry_side(now, service);
+            return state.rollouts.pick_retry_filter(now, service);
         }
         let tolerance = get_tolerance(node, state, now);
-        state.rollouts.pick_side(now, service, &tolerance, fastrand::f64())
+        state.rollouts.pick_filter(now, service, &tolerance, fastrand::f64())
     })
 }
 
@@ -90,7 +92,7 @@
 
 fn get_tolerance(node: &Node, state: &State, now: Millis) -> Tolerance {
     let bounds = &node.settings.bounds;
-    let nodes = state.members.get_reach(now).all;
+    let nodes = state.members.get_reachability(now).known;
     Tolerance { share: bounds.expose_share, slack: bounds.canary_slack, nodes }
 }
 
@@ -103,10 +105,10 @@
     latency: Millis,
 ) {
     let now = node.now();
-    node.with(|state| state.rollouts.succeed(now, server, route, phase, latency));
+    node.with(|state| state.rollouts.record_success(now, server, route, phase, latency));
 }
 
 /// Counts an answer of a server that failed.
 pub(crate) fn note_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
-    node.with(|state| state.rollouts.fail(server, route, phase));
+    node.with(|state| state.rollouts.record_failure(server, route, phase));
 }
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -15,7 +15,7 @@
 use super::Node;
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, Rows, Selection, TableError, TableName, Transaction, Write, answer_within,
+    Condition, RowRange, Rows, TableError, TableName, Transaction, Write, with_timeout,
 };
 
 /// Stands between a row's key and its era.
@@ -72,10 +72,10 @@
 /// Returns the call's error.
 pub(super) async fn read_some(
     node: &Node,
-    selection: Selection,
+    selection: RowRange,
     within: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, answer_within(within, (node.platform.table.read_some)(selection)).await)
+    take(node, with_timeout(within, (node.platform.table.read_range)(selection)).await)
 }
 
 /// Waits for rows that changed after a version. The service holds the call for `hold` where nothing changes,
@@ -95,7 +95,7 @@
         return Err(TableError::HistoryGone);
     }
     let watching = (node.platform.table.watch)(table, after, hold);
-    let rows = take(node, answer_within(hold + within, watching).await)?;
+    let rows = take(node, with_timeout(hold + within, watching).await)?;
     if rows.version.era != after.era {
         return Err(TableError::HistoryGone);
     }
@@ -106,7 +106,7 @@
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::Superseded`] where a condition is of an earlier era than the
+/// Returns the call's error, and [`TableError::StaleEra`] where a condition is of an earlier era than the
 /// table service: the write counts for nothing.
 pub(super) async fn commit(
     node: &Node,
@@ -115,16 +115,16 @@
 ) -> Result<Rows, TableError> {
     let era = transaction.conditions.first().map(|condition| condition.version.era);
     if era.is_some_and(|era| node.with(|state| state.eras.is_superseded(era))) {
-        return Err(TableError::Superseded);
+        return Err(TableError::StaleEra);
     }
     let committing = (node.platform.table.commit)(transaction);
-    let answer = take(node, answer_within(within, committing).await);
+    let answer = take(node, with_timeout(within, committing).await);
     let answered_in = match &answer {
         Ok(rows) | Err(TableError::Conflict(rows)) => Some(rows.version.era),
         Err(_) => None,
     };
     match era.zip(answered_in) {
-        Some((era, answered_in)) if era != answered_in => Err(TableError::Superseded),
+        Some((era, answered_in)) if era != answered_in => Err(TableError::StaleEra),
         _ => answer,
     }
 }
@@ -158,7 +158,7 @@
                 era: rows.version.era.get_number(),
                 known: known.get_number(),
             });
-            return Err(TableError::Superseded);
+            return Err(TableError::StaleEra);
         }
     }
     answer
@@ -171,7 +171,7 @@
         let begun = state.eras.note(now, era)?;
         state.lease.begin_era(era);
         if begun.before.is_some() {
-            state.directory.note_era(now);
+            state.directory.note_table_restored(now);
             state.frozen.repeat();
         }
         Some(begun)
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -155,8 +155,8 @@
         let judged = stands.and_then(|row| Some((*row, serde_json::from_str(&row.value).ok()?)));
         let verdict = match judged {
             None => Err(fault.clone()),
-            Some((row, stands)) => match claim::judge(&stands, &pending.row) {
-                Verdict::Free => replace(node, row, &pending.row).await,
+            Some((row, stands)) => match claim::evaluate(&stands, &pending.row) {
+                Verdict::Available => replace(node, row, &pending.row).await,
                 verdict => Ok(verdict),
             },
         };
@@ -171,7 +171,7 @@
         Transaction::new().expect(&stands.key, Some(stands.version)).put(&stands.key, value);
     match node.platform.commit(&transaction).await? {
         Commit::Done(_) => Ok(Verdict::Run),
-        Commit::Conflict(_) => Ok(Verdict::Taken(String::new())),
+        Commit::Conflict(_) => Ok(Verdict::HeldByOther(String::new())),
     }
 }
 
--- a/crates/keeljunction/src/node/shard.rs
+++ b/crates/keeljunction/src/node/shard.rs
@@ -6,7 +6,7 @@
 
 use async_channel::{Receiver, Sender};
 use keeljunction_core::Millis;
-use keeljunction_core::shard::{Ask, Decision, Grant, Queue, Refusal};
+use keeljunction_core::shard::{Decision, Grant, GrantRequest, Queue, Refusal};
 
 use crate::runtime::{self, Clock};
 
@@ -45,12 +45,12 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`], at once or when the turn has not come in time.
-    pub async fn acquire(&self, ask: Ask, node: &str) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, ask: GrantRequest, node: &str) -> Result<Grant, Refusal> {
         let id = ask.id.clone();
         let (sender, receiver) = async_channel::bounded(1);
         runtime::lock(&self.waiters).insert(id.clone(), sender);
         let wait = Duration::from_millis(ask.wait);
-        let decision = runtime::lock(&self.queue).offer(self.clock.now(), ask);
+        let decision = runtime::lock(&self.queue).submit(self.clock.now(), ask);
         let turn = Turn { shard: self, id: &id, receiver, is_taken: false };
         let grant = match decision {
             Decision::Granted(grant) => Ok(grant),
@@ -148,7 +148,7 @@
 impl Turn<'_> {
     /// Waits for the turn. When the time is over the queue is made to say so.
     async fn wait(mut self, time: Duration) -> Result<Grant, Refusal> {
-        let decision = match runtime::within(time, self.receiver.recv()).await {
+        let decision = match runtime::timeout(time, self.receiver.recv()).await {
             Some(decision) => decision,
             None => {
                 self.shard.poll();
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use keeljunction_core::takeover::{self, Facts};
+use keeljunction_core::takeover::{self, RequestFacts};
 use uuid::Uuid;
 
 use super::answer::{Attempt, not_run, unknown};
@@ -78,7 +78,7 @@
 async fn start(node: &Arc<Node>, answer: &Arc<Answer>, record: &Record) -> Option<Start> {
     let request = &answer.request;
     let running = running_attempt(record);
-    let facts = Facts {
+    let facts = RequestFacts {
         is_model: request.is_model(),
         is_repeatable: request.class.repeatable || request.service.deduplicates,
         has_attempt: running.is_some(),
@@ -88,15 +88,15 @@
         true => claims::claim(node, request, &attempt).await.ok(),
         false => None,
     };
-    match takeover::start(facts, request.needs_claim(), claim) {
-        takeover::Start::Attach => running.map(Start::Attached),
-        takeover::Start::Anew => Some(Start::Anew),
-        takeover::Start::Claimed => Some(Start::Claimed(attempt)),
-        takeover::Start::Recorded(recorded) => end(node, answer, ending::recorded(&recorded)),
-        takeover::Start::NotRun => {
+    match takeover::choose_strategy(facts, request.needs_claim(), claim) {
+        takeover::Strategy::Attach => running.map(Start::Attached),
+        takeover::Strategy::Rerun => Some(Start::Anew),
+        takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
+        takeover::Strategy::Recorded(recorded) => end(node, answer, ending::recorded(&recorded)),
+        takeover::Strategy::NotRun => {
             end(node, answer, not_run(503, "the request was given up before it was sent", 0))
         }
-        takeover::Start::Unknown => {
+        takeover::Strategy::Unknown => {
             let why = "the node that had the request is gone and it is not to be repeated";
             end(node, answer, unknown(502, why, 0))
         }
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use keeljunction::http::{Body, Limits, Server, Stop};
+use keeljunction::http::{Body, Limits, Server, StopSignal};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -29,12 +29,12 @@
 pub fn cut() -> Response<Body> {
     let (sender, receiver) = async_channel::bounded(1);
     let _ = sender.try_send(Err(io::Error::from(io::ErrorKind::ConnectionReset)));
-    Response::new(Body::pieces(receiver))
+    Response::new(Body::from_channel(receiver))
 }
 
 /// Reads a body as bytes.
 pub async fn read(body: Incoming) -> Bytes {
-    keeljunction::http::read(body, MAX_BODY).await.unwrap_or_default()
+    keeljunction::http::read_body(body, MAX_BODY).await.unwrap_or_default()
 }
 
 /// Reads a body as JSON.
@@ -58,7 +58,7 @@
     Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
-    let server = match Server::bind(address, Limits::default(), Stop::new()).await {
+    let server = match Server::bind(address, Limits::default(), StopSignal::new()).await {
         Ok(server) => server,
         Err(error) => return eprintln!("cannot listen at {address}: {error}"),
     };
