--- a/crates/gateway/src/node/pause.rs
+++ b/crates/gateway/src/node/backoff.rs
@@ -5,8 +5,8 @@
 use crate::runtime;
 
 /// The first pause after a failure; doubled up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Spreads a period over three quarters to five quarters of itself, so that nodes do not call at
 /// once.
@@ -16,11 +16,11 @@
 
 /// A pause that grows with each failure.
 #[derive(Debug, Default)]
-pub struct Pause {
+pub struct Backoff {
     failures: u32,
 }
 
-impl Pause {
+impl Backoff {
     /// Notes a success.
     pub fn reset(&mut self) {
         self.failures = 0;
@@ -28,8 +28,8 @@
 
     /// Waits, longer after each failure.
     pub async fn wait(&mut self) {
-        let bound = FIRST_PAUSE * (1 << self.failures.min(5));
+        let bound = INITIAL_BACKOFF * (1 << self.failures.min(5));
         self.failures += 1;
-        runtime::sleep(jitter(bound.min(LONGEST_PAUSE))).await;
+        runtime::sleep(jitter(bound.min(MAX_BACKOFF))).await;
     }
 }
--- a/crates/gateway/src/node/uploads.rs
+++ b/crates/gateway/src/node/eviction_signals.rs
@@ -10,9 +10,9 @@
 
 /// Signals to uploads that they are evicted.
 #[derive(Default)]
-pub(crate) struct Uploads(pub(super) Mutex<HashMap<HolderId, Stop>>);
+pub(crate) struct EvictionSignals(pub(super) Mutex<HashMap<HolderId, Stop>>);
 
-impl Uploads {
+impl EvictionSignals {
     pub(super) fn evict(&self, ids: &[HolderId]) {
         let stops = lock(&self.0);
         for stop in ids.iter().filter_map(|id| stops.get(id)) {
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -46,7 +46,7 @@
     /// Returns the signal that this upload is evicted.
     pub(crate) fn watch_eviction(&mut self) -> Stop {
         self.has_stop = true;
-        let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
+        let stop = lock(&self.node.eviction_signals.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
             stop.give();
@@ -75,7 +75,7 @@
                 Ok(())
             }
             Err(shortage) => {
-                self.node.uploads.evict(&shortage.evicted);
+                self.node.eviction_signals.evict(&shortage.evicted);
                 let is_made = !shortage.evicted.is_empty();
                 Err(NoRoom { retry_after: shortage.retry_after, is_made })
             }
@@ -126,7 +126,7 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         if self.has_stop {
-            lock(&self.node.uploads.0).remove(&self.id);
+            lock(&self.node.eviction_signals.0).remove(&self.id);
         }
         let now = self.node.now();
         self.node.with(|state| state.memory.close(now, self.id));
@@ -157,7 +157,7 @@
         let evicted = state.memory.observe(now, resident);
         (was_short, state.memory.is_short(), state.memory.get_use(), evicted)
     });
-    node.uploads.evict(&evicted);
+    node.eviction_signals.evict(&evicted);
     if was_short != is_short {
         let Use { reserved, capacity, resident, part } = used;
         event::emit(&Event::MemoryPressureChanged { is_short, part, reserved, capacity, resident });
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -7,10 +7,10 @@
 //! | [`watch`] | follows the configuration and the list of servers |
 //! | [`skipped`] | remembers which entries of the platform's tables cannot be read |
 //! | `staleness` | says how old the knowledge of the platform's tables is |
-//! | `pauses` | notices that the process stood still |
+//! | `pause_detector` | notices that the process stood still |
 //! | `peers` | exchanges what nodes tell each other |
 //! | [`memory`] | reserves memory for what is held for callers and servers |
-//! | `interrupted_attempts`, `uploads` | hold what `crashes` and [`memory`] keep of requests that are served |
+//! | `interrupted_attempts`, `eviction_signals` | hold what `crashes` and [`memory`] keep of requests that are served |
 //! | `crashes` | finds out which servers crashed, and under which requests |
 //! | `cross_region` | counts what requests send to other regions and get from there |
 //! | [`document`] | packs what peers get from each other |
@@ -21,6 +21,7 @@
 //! | `table` | calls the table service, and follows its eras |
 //! | [`stop`] | ends the node without cutting an answer |
 
+mod backoff;
 mod capacity_duty;
 mod connections;
 pub(crate) mod crashes;
@@ -28,11 +29,11 @@
 pub mod document;
 pub mod duty;
 mod era_origin;
+mod eviction_signals;
 pub(crate) mod interrupted_attempts;
 mod listeners;
 pub mod memory;
-mod pause;
-mod pauses;
+mod pause_detector;
 mod peers;
 mod quarantine_rows;
 mod rollout_duty;
@@ -44,7 +45,6 @@
 pub mod state;
 pub mod stop;
 mod table;
-mod uploads;
 mod usage_duty;
 pub mod usage_rows;
 pub mod watch;
--- a/crates/gateway/src/node/pauses.rs
+++ b/crates/gateway/src/node/pause_detector.rs
@@ -14,16 +14,16 @@
 
 /// How much later than its period a look may be before that counts as a pause, in milliseconds: leases
 /// and freshness bounds are a few seconds.
-const LEAST_PAUSE: Millis = 1_000;
+const MIN_PAUSE_MS: Millis = 1_000;
 
 /// Looks for pauses, in each period of reports.
 #[derive(Debug)]
-pub(super) struct Pauses {
+pub(super) struct PauseDetector {
     looked_at: Millis,
     suspension: Suspension,
 }
 
-impl Pauses {
+impl PauseDetector {
     /// Begins at a time on the node's clock.
     pub(super) fn begin(now: Millis) -> Self {
         let suspension = Suspension::new(runtime::boot_time(), runtime::steady_time());
@@ -38,7 +38,7 @@
         }
         let paused = now.saturating_sub(self.looked_at);
         self.looked_at = now;
-        if paused >= LEAST_PAUSE || suspended.is_some() {
+        if paused >= MIN_PAUSE_MS || suspended.is_some() {
             let suspended_ms = suspended.unwrap_or(Duration::ZERO).as_millis() as u64;
             node.metrics.pauses.inc();
             event::emit(&Event::Paused { paused_ms: paused, suspended_ms });
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -93,7 +93,7 @@
 
 /// Gets a peer's configuration and adopts it where it is newer.
 pub(super) async fn get_configuration(node: Arc<Node>, from: SocketAddr) {
-    let Some(_call) = Call::begin(&node.fetching.configuration) else { return };
+    let Some(_call) = Call::begin(&node.active_fetches.configuration) else { return };
     let Some(document) = fetch(&node, from, CONFIGURATION_PATH).await else { return };
     let Some(text) = document::unpack(&document) else { return };
     let row = Row { key: String::new(), value: Some(text), version: TableVersion::default() };
@@ -120,7 +120,7 @@
 
 /// Gets from a peer what this node lacks of the list of servers.
 pub(super) async fn get_servers(node: Arc<Node>, from: SocketAddr) {
-    let Some(_call) = Call::begin(&node.fetching.servers) else { return };
+    let Some(_call) = Call::begin(&node.active_fetches.servers) else { return };
     let after =
         node.with(|state| state.directory.is_known().then(|| state.directory.get_version()));
     let path = match after {
@@ -129,7 +129,7 @@
     };
     let Some(document) = fetch(&node, from, &path).await else { return };
     match postcard::from_bytes(&document) {
-        Ok(update) => watch::take_update(&node, update),
+        Ok(update) => watch::apply_update(&node, update),
         Err(error) => log::warn!("the list of servers of {from} cannot be read: {error}"),
     }
 }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -6,7 +6,7 @@
 //! depends on the requests and not on the number of nodes, and the answer is some milliseconds old.
 //!
 //! Answers from other regions are waited for as long as measured round trips say. Each answer is a
-//! measurement ([`super::carry::note_round_trip`]), also one that comes too late.
+//! measurement ([`super::summary_relay::note_round_trip`]), also one that comes too late.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -61,16 +61,17 @@
         return true;
     }
     let within = get_wait(node, &by_owner);
-    let waiting = node.pending_loads.begin(by_owner.len());
-    let question = waiting.number;
+    let pending = node.pending_loads.begin(by_owner.len());
+    let query_id = pending.id;
     for (owner, Kept { servers, .. }) in by_owner {
-        let message = Message::AskLoads { question, node: node.incarnation.node.clone(), servers };
+        let message =
+            Message::QueryLoads { query_id, node: node.incarnation.node.clone(), servers };
         node.link.send(node.now(), owner, &message).await;
     }
-    if runtime::within(within, waiting.done.recv()).await.is_none() {
+    if runtime::within(within, pending.done.recv()).await.is_none() {
         node.metrics.unanswered_load_questions.inc();
     }
-    waiting.is_any_answered()
+    pending.is_any_answered()
 }
 
 /// Returns how long answers are waited for, some of which come from other regions.
@@ -117,10 +118,10 @@
 }
 
 /// Answers another node with what all but that one have in flight.
-pub(super) async fn answer(
+pub(super) async fn answer_query(
     node: &Node,
     from: SocketAddr,
-    question: u32,
+    query_id: u32,
     asking: &str,
     servers: &[u64],
 ) {
@@ -132,22 +133,22 @@
         };
         servers.iter().map(others).collect()
     });
-    node.link.send(node.now(), from, &Message::Loads { question, loads }).await;
+    node.link.send(node.now(), from, &Message::Loads { query_id, loads }).await;
 }
 
 /// Takes an answer.
-pub(super) fn take(node: &Node, question: u32, loads: Vec<(u64, Load)>) {
+pub(super) fn handle_answer(node: &Node, query_id: u32, loads: Vec<(u64, Load)>) {
     let valid_until = node.now() + ANSWER_VALID_FOR;
     node.with(|state| {
         for (server, load) in loads {
             state.loads.merge_server(valid_until, ANSWERS, server, load);
         }
     });
-    node.pending_loads.answer(question);
+    node.pending_loads.answer(query_id);
 }
 
 /// Takes what another node has in flight at servers whose load this node keeps.
-pub(super) fn take_change(node: &Node, peer: &str, loads: Vec<(u64, Load)>) {
+pub(super) fn handle_change(node: &Node, peer: &str, loads: Vec<(u64, Load)>) {
     let valid_until = node.now() + CHANGE_VALID_FOR;
     node.with(|state| {
         for (server, load) in loads {
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -39,15 +39,15 @@
     /// From an aggregator to each node of its group.
     Overview(Box<Overview>),
     /// Asks which versions of the platform's tables the peer knows, and how old that knowledge is.
-    AskVersions,
+    QueryVersions,
     /// Answers that.
     Versions(Versions),
     /// Something that must not wait for the next report.
     Notification(Notification),
     /// Asks the node that keeps the load of some servers for it.
-    AskLoads {
+    QueryLoads {
         /// Names the question at the one who asks.
-        question: u32,
+        query_id: u32,
         /// The name of the one who asks, whose own load is left out.
         node: String,
         /// The servers, by short name.
@@ -56,14 +56,14 @@
     /// Answers with what all nodes but the one who asks have in flight there.
     Loads {
         /// The question.
-        question: u32,
+        query_id: u32,
         /// The loads, by the servers' short names.
         loads: Vec<(u64, Load)>,
     },
     /// Asks the owner of a client account whether a request is within its limit.
-    AskQuota {
+    QueryQuota {
         /// Names the question at the one who asks.
-        question: u32,
+        query_id: u32,
         /// The client account.
         account: String,
         /// The units of the request.
@@ -72,7 +72,7 @@
     /// Answers that.
     Quota {
         /// The question.
-        question: u32,
+        query_id: u32,
         /// The client account.
         account: String,
         /// The units of the request, which one who no longer waits refunds.
@@ -81,9 +81,9 @@
         decision: Decision,
     },
     /// Asks the owner of a limited server for a permit.
-    AskPermit {
+    RequestPermit {
         /// Names the question at the one who asks.
-        question: u32,
+        query_id: u32,
         /// What the one who asks knows of the server's limit.
         sighting: Sighting,
         /// The server's data centre; empty where there is one region only.
@@ -92,16 +92,16 @@
     /// Answers that.
     Permit {
         /// The question.
-        question: u32,
+        query_id: u32,
         /// The server.
         key: Key,
         /// What the owner decided.
         decision: backpressure::Decision,
     },
     /// Returns the permit of a request that was not sent.
-    ReturnPermit(Key),
+    ReleasePermit(Key),
     /// A summary of an aggregator of another region, as it came there.
-    Carried {
+    RelayedSummary {
         /// The run of the aggregator's process.
         run: u32,
         /// When the aggregator sent it, on its own clock.
@@ -112,7 +112,7 @@
     /// A server that crashed, for the keeper of its service.
     ServerCrashed(Crash),
     /// A server answered a request whole that is suspected or refused, for the keeper of its service.
-    RequestAnswered(Fingerprint),
+    RequestCompleted(Fingerprint),
     /// What the sender has in flight at some servers, for the node that keeps their load.
     LoadChanged {
         /// The sender's name.
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -75,19 +75,19 @@
 }
 
 /// Takes the news of another node.
-pub(super) async fn take(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
+pub(super) async fn handle(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
     match notification {
         Notification::RequestStarted { node: peer, server, work, reading_ms } => {
             let until = node.now() + reading_ms;
             node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
         }
         Notification::RequestJudged(verdict) => {
-            if quarantine::take_verdict(node, verdict) {
+            if quarantine::apply_verdict(node, verdict) {
                 pass_on(node, from, notification).await;
             }
         }
         Notification::LimitSeen(sighting) => {
-            if permits::take_sighting(node, &sighting) {
+            if permits::apply_sighting(node, &sighting) {
                 pass_on(node, from, notification).await;
             }
         }
@@ -97,10 +97,12 @@
             }
         }
         Notification::UsageFrozen(window, counts) => {
-            node.with(|state| state.frozen.note_heard(window, &counts));
+            node.with(|state| state.frozen_usage.note_heard(window, &counts));
         }
-        Notification::RolloutChanged(announcement) => take_rollout(node, from, announcement).await,
-        Notification::ServersChanged(batch) => take_servers(node, from, batch).await,
+        Notification::RolloutChanged(announcement) => {
+            handle_rollout(node, from, announcement).await
+        }
+        Notification::ServersChanged(batch) => handle_servers(node, from, batch).await,
         Notification::ConfigurationChanged { version } => {
             let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
             if known < Some(version) {
@@ -111,7 +113,7 @@
 }
 
 /// Takes the news of a roll-out, and passes on what is new.
-async fn take_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
+async fn handle_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
     let now = node.now();
     if node.with(|state| rollouts::merge(state, now, &announcement)) {
         pass_on(node, from, Notification::RolloutChanged(announcement)).await;
@@ -119,7 +121,7 @@
 }
 
 /// Takes changes of the list of servers, or gets the whole list where some are missing.
-async fn take_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
+async fn handle_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
     let version = batch.version;
     table::note_era(node, version.era);
     let notification = Notification::ServersChanged(batch.clone());
--- a/crates/gateway/src/node/peers/pending_loads.rs
+++ b/crates/gateway/src/node/peers/pending_loads.rs
@@ -9,27 +9,27 @@
 use crate::runtime::lock;
 
 /// Changes that wait to be sent; more are dropped, and are repeated with all the others.
-const MOST_CHANGES: usize = 1_024;
+const CHANGE_CAPACITY: usize = 1_024;
 
 /// Questions that wait for answers, and changes that wait to be sent.
 #[derive(Debug)]
 pub(in crate::node) struct Pending {
     next: AtomicU32,
-    waiting: Mutex<HashMap<u32, Question>>,
+    waiting: Mutex<HashMap<u32, Query>>,
     pub(super) changes: (Sender<Change>, Receiver<Change>),
 }
 
 #[derive(Debug)]
-struct Question {
+struct Query {
     answers_missing: usize,
     is_any_answered: bool,
     done: Sender<()>,
 }
 
-/// A question that waits for its answers, until it is dropped: its caller may leave meanwhile.
-pub(super) struct Waiting<'a> {
+/// A query that waits for its answers, until it is dropped: its caller may leave meanwhile.
+pub(super) struct PendingQuery<'a> {
     pending: &'a Pending,
-    pub(super) number: u32,
+    pub(super) id: u32,
     pub(super) done: Receiver<()>,
 }
 
@@ -45,28 +45,28 @@
 
 impl Default for Pending {
     fn default() -> Self {
-        let changes = async_channel::bounded(MOST_CHANGES);
+        let changes = async_channel::bounded(CHANGE_CAPACITY);
         Self { next: AtomicU32::default(), waiting: Mutex::default(), changes }
     }
 }
 
 impl Pending {
-    pub(super) fn begin(&self, answers_missing: usize) -> Waiting<'_> {
+    pub(super) fn begin(&self, answers_missing: usize) -> PendingQuery<'_> {
         let (sender, done) = async_channel::bounded(1);
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let question = Question { answers_missing, is_any_answered: false, done: sender };
-        lock(&self.waiting).insert(number, question);
-        Waiting { pending: self, number, done }
+        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let query = Query { answers_missing, is_any_answered: false, done: sender };
+        lock(&self.waiting).insert(id, query);
+        PendingQuery { pending: self, id, done }
     }
 
-    pub(super) fn answer(&self, number: u32) {
+    pub(super) fn answer(&self, id: u32) {
         let mut waiting = lock(&self.waiting);
-        let Some(question) = waiting.get_mut(&number) else { return };
-        question.answers_missing = question.answers_missing.saturating_sub(1);
-        question.is_any_answered = true;
-        if question.answers_missing == 0 {
+        let Some(query) = waiting.get_mut(&id) else { return };
+        query.answers_missing = query.answers_missing.saturating_sub(1);
+        query.is_any_answered = true;
+        if query.answers_missing == 0 {
             // The receiver may be gone: the request's caller may have left.
-            let _ = question.done.try_send(());
+            let _ = query.done.try_send(());
         }
     }
 
@@ -77,15 +77,15 @@
     }
 }
 
-impl Waiting<'_> {
+impl PendingQuery<'_> {
     pub(super) fn is_any_answered(&self) -> bool {
         let waiting = lock(&self.pending.waiting);
-        waiting.get(&self.number).is_some_and(|question| question.is_any_answered)
+        waiting.get(&self.id).is_some_and(|query| query.is_any_answered)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingQuery<'_> {
     fn drop(&mut self) {
-        lock(&self.pending.waiting).remove(&self.number);
+        lock(&self.pending.waiting).remove(&self.id);
     }
 }
--- a/crates/gateway/src/node/peers/questions.rs
+++ b/crates/gateway/src/node/peers/pending_queries.rs
@@ -1,4 +1,4 @@
-//! Questions to other nodes that wait for answers.
+//! PendingQueries to other nodes that wait for answers.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,44 +9,44 @@
 
 use crate::runtime::{self, lock};
 
-/// Questions that wait for answers of one kind.
+/// PendingQueries that wait for answers of one kind.
 #[derive(Debug)]
-pub(in crate::node) struct Questions<T> {
+pub(in crate::node) struct PendingQueries<T> {
     next: AtomicU32,
     waiting: Mutex<HashMap<u32, Sender<T>>>,
 }
 
 /// A question that waits for its answer, until it is dropped.
-pub(super) struct Question<'a, T> {
-    questions: &'a Questions<T>,
+pub(super) struct PendingQuery<'a, T> {
+    queries: &'a PendingQueries<T>,
     /// Names the question at the one who asks.
-    pub number: u32,
+    pub id: u32,
     answer: Receiver<T>,
 }
 
-impl<T> Default for Questions<T> {
+impl<T> Default for PendingQueries<T> {
     fn default() -> Self {
         Self { next: AtomicU32::default(), waiting: Mutex::default() }
     }
 }
 
-impl<T> Questions<T> {
+impl<T> PendingQueries<T> {
     /// Begins a question.
-    pub(super) fn begin(&self) -> Question<'_, T> {
+    pub(super) fn begin(&self) -> PendingQuery<'_, T> {
         let (sender, answer) = async_channel::bounded(1);
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        lock(&self.waiting).insert(number, sender);
-        Question { questions: self, number, answer }
+        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        lock(&self.waiting).insert(id, sender);
+        PendingQuery { queries: self, id, answer }
     }
 
     /// Answers a question; returns `false` where nobody waits for the answer any more.
-    pub(super) fn answer(&self, number: u32, answer: T) -> bool {
-        let waiting = lock(&self.waiting).remove(&number);
+    pub(super) fn answer(&self, id: u32, answer: T) -> bool {
+        let waiting = lock(&self.waiting).remove(&id);
         waiting.is_some_and(|sender| sender.try_send(answer).is_ok())
     }
 }
 
-impl<T> Question<'_, T> {
+impl<T> PendingQuery<'_, T> {
     /// Waits for the answer; `None` where it does not come in time.
     pub(super) async fn wait(&self, within: Duration) -> Option<T> {
         let answer = runtime::within(within, self.answer.recv()).await;
@@ -55,9 +55,9 @@
     }
 }
 
-impl<T> Drop for Question<'_, T> {
+impl<T> Drop for PendingQuery<'_, T> {
     fn drop(&mut self) {
         // No answer can be put into the channel while its sender is not in the table.
-        lock(&self.questions.waiting).remove(&self.number);
+        lock(&self.queries.waiting).remove(&self.id);
     }
 }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -45,7 +45,7 @@
     let sighting = node.with(|state| state.backpressure.get_limit(now, server));
     let permit = match sighting {
         None => Permit::Unlimited,
-        Some(sighting) => take_counted(node, server, sighting).await?,
+        Some(sighting) => acquire_counted(node, server, sighting).await?,
     };
     // The server may have said something while the decision was waited for.
     let now = node.now();
@@ -57,7 +57,7 @@
 }
 
 /// Takes a permit of the owner of a limited server.
-async fn take_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
+async fn acquire_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
         let far_region = found.far_region.map(str::to_owned);
@@ -65,7 +65,7 @@
     });
     let now = node.now();
     let decision = match &owner {
-        Some(owner) => ask(node, owner, server, sighting).await,
+        Some(owner) => request_from_owner(node, owner, server, sighting).await,
         None => node.with(|state| decide(state, now, &server.data_centre, &sighting)),
     };
     let now = node.now();
@@ -82,18 +82,23 @@
 }
 
 /// Asks the owner of a server; undecided where it does not answer in time.
-async fn ask(node: &Node, owner: &Owner, server: &Server, sighting: Sighting) -> Decision {
-    let question = node.pending_permits.begin();
+async fn request_from_owner(
+    node: &Node,
+    owner: &Owner,
+    server: &Server,
+    sighting: Sighting,
+) -> Decision {
+    let query = node.pending_permits.begin();
     let data_centre = match node.topology.is_multi_region() {
         true => server.data_centre.clone(),
         false => String::new(),
     };
-    let message = Message::AskPermit { question: question.number, sighting, data_centre };
+    let message = Message::RequestPermit { query_id: query.id, sighting, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
     let wait = owner.far_region.as_deref().map_or(DECIDED_WITHIN, |region| {
         node.with(|state| state.round_trips.get_wait(region, DECIDED_WITHIN))
     });
-    let decision = question.wait(Duration::from_millis(wait)).await;
+    let decision = query.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
         node.metrics.unanswered_permit_questions.inc();
         Decision::Undecided
@@ -107,7 +112,7 @@
         Permit::Unlimited => {}
         Permit::Counted(None) => node.with(|state| state.backpressure.take_back(key)),
         Permit::Counted(Some(owner)) => {
-            node.link.send(node.now(), owner, &Message::ReturnPermit(key)).await;
+            node.link.send(node.now(), owner, &Message::ReleasePermit(key)).await;
         }
     }
 }
@@ -122,47 +127,47 @@
 }
 
 /// Answers another node.
-pub(super) async fn answer(
+pub(super) async fn answer_request(
     node: &Node,
     from: SocketAddr,
-    question: u32,
+    query_id: u32,
     sighting: &Sighting,
     data_centre: &str,
 ) {
     let now = node.now();
     let key = sighting.key;
     let decision = node.with(|state| decide(state, now, data_centre, sighting));
-    node.link.send(now, from, &Message::Permit { question, key, decision }).await;
+    node.link.send(now, from, &Message::Permit { query_id, key, decision }).await;
 }
 
 /// Takes a decision. A permit that comes too late is returned.
-pub(super) async fn take_answer(
+pub(super) async fn handle_decision(
     node: &Node,
     from: SocketAddr,
-    question: u32,
+    query_id: u32,
     key: Key,
     decision: Decision,
 ) {
-    let is_taken = node.pending_permits.answer(question, decision);
+    let is_taken = node.pending_permits.answer(query_id, decision);
     if !is_taken && decision == Decision::Granted {
-        node.link.send(node.now(), from, &Message::ReturnPermit(key)).await;
+        node.link.send(node.now(), from, &Message::ReleasePermit(key)).await;
     }
 }
 
 /// Takes back the permit of a request that another node did not send.
-pub(super) fn take_back(node: &Node, key: Key) {
+pub(super) fn handle_release(node: &Node, key: Key) {
     node.with(|state| state.backpressure.take_back(key));
 }
 
 /// Takes what another node saw of a server's limit; returns `true` if it is news.
-pub(super) fn take_sighting(node: &Node, sighting: &Sighting) -> bool {
+pub(super) fn apply_sighting(node: &Node, sighting: &Sighting) -> bool {
     let now = node.now();
     node.with(|state| state.backpressure.merge(now, sighting))
 }
 
 /// Takes the sightings that came with a report.
-pub(super) fn take_sightings(node: &Node, sightings: &[Sighting]) {
+pub(super) fn apply_sightings(node: &Node, sightings: &[Sighting]) {
     for sighting in sightings {
-        take_sighting(node, sighting);
+        apply_sighting(node, sighting);
     }
 }
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -37,7 +37,7 @@
 }
 
 /// Takes the report of a server that crashed, as the keeper.
-pub(super) fn take_report(node: &Node, crash: &Crash) {
+pub(super) fn handle_report(node: &Node, crash: &Crash) {
     let now = node.now();
     node.with(|state| state.quarantine.take_report(now, crash));
 }
@@ -47,22 +47,22 @@
     let now = node.now();
     let service = node.with(|state| state.quarantine.note_answered(now, fingerprint));
     if let Some(service) = service {
-        runtime::spawn(tell_answered(node.clone(), service, fingerprint));
+        runtime::spawn(notify_completed(node.clone(), service, fingerprint));
     }
 }
 
 /// Notifies the keeper of a service that a request was answered whole.
-async fn tell_answered(node: Arc<Node>, service: u64, fingerprint: Fingerprint) {
+async fn notify_completed(node: Arc<Node>, service: u64, fingerprint: Fingerprint) {
     match node.with(|state| state.members.find_owner(service)) {
         Some(keeper) => {
-            node.link.send(node.now(), keeper, &Message::RequestAnswered(fingerprint)).await;
+            node.link.send(node.now(), keeper, &Message::RequestCompleted(fingerprint)).await;
         }
-        None => take_answered(&node, fingerprint),
+        None => handle_completed(&node, fingerprint),
     }
 }
 
 /// Takes the word of a node that a request was answered whole, as the keeper.
-pub(super) fn take_answered(node: &Node, fingerprint: Fingerprint) {
+pub(super) fn handle_completed(node: &Node, fingerprint: Fingerprint) {
     let now = node.now();
     let cleared = node.with(|state| state.quarantine.take_answered(now, fingerprint));
     if let Some(verdict) = cleared {
@@ -77,28 +77,28 @@
 }
 
 /// Takes what another node knows of a request; returns `true` if it is news.
-pub(super) fn take_verdict(node: &Arc<Node>, verdict: Verdict) -> bool {
+pub(super) fn apply_verdict(node: &Arc<Node>, verdict: Verdict) -> bool {
     let now = node.now();
     let merged = node.with(|state| state.quarantine.merge(now, verdict));
     if merged.is_news {
         log(&verdict, false);
     }
     if merged.is_answered_here {
-        runtime::spawn(tell_answered(node.clone(), verdict.service, verdict.fingerprint));
+        runtime::spawn(notify_completed(node.clone(), verdict.service, verdict.fingerprint));
     }
     merged.is_news
 }
 
 /// Takes the verdicts that came with a report.
-pub(super) fn take_verdicts(node: &Arc<Node>, verdicts: Vec<Verdict>) {
+pub(super) fn apply_verdicts(node: &Arc<Node>, verdicts: Vec<Verdict>) {
     for verdict in verdicts {
-        take_verdict(node, verdict);
+        apply_verdict(node, verdict);
     }
 }
 
 /// Takes a verdict from the platform's table, and sends it to all nodes where it is news.
-pub(in crate::node) fn take_kept(node: &Arc<Node>, verdict: Verdict) {
-    if take_verdict(node, verdict) {
+pub(in crate::node) fn apply_persisted(node: &Arc<Node>, verdict: Verdict) {
+    if apply_verdict(node, verdict) {
         node.notify_peers(Notification::RequestJudged(verdict));
     }
 }
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -39,7 +39,7 @@
         return Ok(());
     }
     let decision = match node.with(|state| state.members.find_owner(short_id(name))) {
-        Some(owner) => ask(node, owner, name, units).await,
+        Some(owner) => query_owner(node, owner, name, units).await,
         None => node.with(|state| decide(state, now, account, units)),
     };
     let now = node.now();
@@ -64,12 +64,11 @@
 }
 
 /// Asks the owner of a client account; undecided where it does not answer in time.
-async fn ask(node: &Node, owner: SocketAddr, account: &str, units: u64) -> Decision {
-    let question = node.pending_decisions.begin();
-    let message =
-        Message::AskQuota { question: question.number, account: account.to_owned(), units };
+async fn query_owner(node: &Node, owner: SocketAddr, account: &str, units: u64) -> Decision {
+    let query = node.pending_decisions.begin();
+    let message = Message::QueryQuota { query_id: query.id, account: account.to_owned(), units };
     node.link.send(node.now(), owner, &message).await;
-    let decided = question.wait(get_wait(node, owner)).await;
+    let decided = query.wait(get_wait(node, owner)).await;
     decided.unwrap_or_else(|| {
         node.metrics.unanswered_quota_questions.inc();
         Decision::Undecided
@@ -98,10 +97,10 @@
 }
 
 /// Answers another node.
-pub(super) async fn answer(
+pub(super) async fn answer_query(
     node: &Node,
     from: SocketAddr,
-    question: u32,
+    query_id: u32,
     account: String,
     units: u64,
 ) {
@@ -111,14 +110,20 @@
         let known = configuration.as_ref().and_then(|known| known.get_account(&account));
         known.map_or(Decision::Undecided, |known| decide(state, now, known, units))
     });
-    let message = Message::Quota { question, account, units, decision };
+    let message = Message::Quota { query_id, account, units, decision };
     node.link.send(now, from, &message).await;
 }
 
 /// Takes a decision. One that comes too late is refunded: the request has consumed units of the
 /// local share meanwhile, or was refused.
-pub(super) fn take(node: &Node, question: u32, account: &str, units: u64, decision: Decision) {
-    let is_taken = node.pending_decisions.answer(question, decision);
+pub(super) fn handle_decision(
+    node: &Node,
+    query_id: u32,
+    account: &str,
+    units: u64,
+    decision: Decision,
+) {
+    let is_taken = node.pending_decisions.answer(query_id, decision);
     if !is_taken && decision == Decision::Admitted {
         node.with(|state| state.quotas.refund(account, units));
     }
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::serving::members::{Entry, sample};
 
 use crate::event::{self, Event};
-use crate::node::pause::{Pause, jitter};
+use crate::node::backoff::{Backoff, jitter};
 use crate::node::{Node, table};
 use crate::port::{Row, Rows, Selection, TableError, TableName, Transaction, Write};
 use crate::runtime;
@@ -75,14 +75,14 @@
 /// Lists this node where its row is gone after a return of the table service.
 async fn list_again(node: &Node) {
     runtime::sleep(LISTED_WITHIN.mul_f64(fastrand::f64())).await;
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     loop {
         match is_listed(node).await {
             Ok(true) => return,
             Ok(false) => return list_until_done(node).await,
             Err(error) => note_failure("read nodes", &error),
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
@@ -104,7 +104,7 @@
 
 /// Reads the list, again after each failure; returns whether this node is listed as it is.
 async fn read_until_done(node: &Node, part: Part) -> bool {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     loop {
         let reading = match part {
             Part::Sample { is_settled } => read_sample(node, is_settled).await,
@@ -114,7 +114,7 @@
             Ok(is_listed) => return is_listed,
             Err(error) => note_failure("read nodes", &error),
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
--- a/crates/gateway/src/node/peers/carrying.rs
+++ b/crates/gateway/src/node/peers/relay_state.rs
@@ -4,11 +4,11 @@
 
 use keeljunction_core::serving::crossing::Crossing;
 
-use super::audience::Samples;
+use super::report_target::Samples;
 
 /// What this node sends to other regions.
 #[derive(Debug)]
-pub(in crate::node) struct Carrying {
+pub(in crate::node) struct RelayState {
     pub(super) pace: Crossing,
     /// Summaries that crossed, which are sent to the carriers by turns.
     pub(super) sent: usize,
@@ -18,7 +18,7 @@
     pub(super) lost: BTreeSet<String>,
 }
 
-impl Carrying {
+impl RelayState {
     /// Makes the state of a node whose region may send so many kilobits a second to the others.
     pub(in crate::node) fn new(control_kbps: f64) -> Self {
         Self {
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -14,11 +14,11 @@
 use keeljunction_core::serving::quota::{Limit, Source};
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
-use super::audience::{Audience, Samples, pass_on};
 use super::message::{Message, Overview, Report, Sender, Summary, Totals};
-use super::{calls, carry, loads, permits, quarantine, versions};
+use super::report_target::{ReportTarget, Samples, buffer_samples};
+use super::{calls, loads, permits, quarantine, summary_relay, versions};
 use crate::event::{self, Event};
-use crate::node::pauses::Pauses;
+use crate::node::pause_detector::PauseDetector;
 use crate::node::state::State;
 use crate::node::{Node, rollouts, staleness, watch};
 use crate::runtime;
@@ -31,17 +31,17 @@
 /// Reports for as long as the process runs.
 pub(super) async fn run(node: Arc<Node>) {
     let mut turn = 0;
-    let mut pauses = Pauses::begin(node.now());
+    let mut pause_detector = PauseDetector::begin(node.now());
     loop {
         let now = node.now();
-        pauses.look(&node, now);
+        pause_detector.look(&node, now);
         watch::expire_lapsed(&node);
         node.with(|state| refresh(state, now));
-        carry::refresh(&node, turn);
+        summary_relay::refresh(&node, turn);
         let is_grouped = node.with(|state| state.members.is_grouped());
-        match node.with(|state| state.audience.clone()) {
-            Audience::Aggregators => report_to_aggregators(&node, now, turn).await,
-            Audience::Aggregator(name) => report_to_aggregator(&node, now, &name).await,
+        match node.with(|state| state.report_target.clone()) {
+            ReportTarget::AllAggregators => report_to_aggregators(&node, now, turn).await,
+            ReportTarget::OwnAggregator(name) => report_to_aggregator(&node, now, &name).await,
         }
         if is_grouped {
             loads::repeat(&node, turn);
@@ -71,22 +71,22 @@
     state.demand.sample_all(now);
     state.throughputs.values_mut().for_each(|throughput| throughput.rate_servers(now));
     let own_aggregator = state.members.get_own_aggregator();
-    let audience = match own_aggregator {
-        Some(entry) => Audience::Aggregator(entry.name.clone()),
-        None => Audience::Aggregators,
+    let report_target = match own_aggregator {
+        Some(entry) => ReportTarget::OwnAggregator(entry.name.clone()),
+        None => ReportTarget::AllAggregators,
     };
-    if audience != state.audience {
-        let was_own_sum = state.audience == Audience::Aggregators;
-        state.audience = audience;
+    if report_target != state.report_target {
+        let was_own_sum = state.report_target == ReportTarget::AllAggregators;
+        state.report_target = report_target;
         begin_incarnation(state, now, was_own_sum);
         emit_change(state, now);
     }
 }
 
 fn emit_change(state: &State, now: Millis) {
-    let aggregator = match &state.audience {
-        Audience::Aggregator(name) => Some(name.as_str()),
-        Audience::Aggregators => None,
+    let aggregator = match &state.report_target {
+        ReportTarget::OwnAggregator(name) => Some(name.as_str()),
+        ReportTarget::AllAggregators => None,
     };
     let reach = state.members.get_reach(now);
     event::emit(&Event::AggregatorChanged {
@@ -214,13 +214,13 @@
             limits: overview.limits.clone(),
             departures: overview.departures.clone(),
             versions,
-            frozen_windows: state.frozen.get_names(),
-            frozen: state.frozen.list_due(),
+            frozen_windows: state.frozen_usage.get_names(),
+            frozen: state.frozen_usage.list_due(),
         };
         let aggregators = state.members.list_exchange(now);
         (summary, overview, aggregators, state.members.get_group_addresses(now))
     });
-    let summary = carry::send(node, now, summary).await;
+    let summary = summary_relay::send(node, now, summary).await;
     node.link.send_to_all(now, aggregators, &Message::Summary(Box::new(summary))).await;
     if !group.is_empty() {
         node.link.send_to_all(now, group, &Message::Overview(Box::new(overview))).await;
@@ -249,7 +249,7 @@
 }
 
 /// Takes over what a node of this node's group counts.
-pub(super) fn take_report(node: &Node, asked_at: Option<Millis>, report: Report) {
+pub(super) fn handle_report(node: &Node, asked_at: Option<Millis>, report: Report) {
     let now = node.now();
     let Report { sender, totals } = report;
     if sender.entry.name == node.incarnation.node {
@@ -275,7 +275,7 @@
 
 /// Takes over what another aggregator counts for its group; `asked_at` where it came from there
 /// directly.
-pub(super) fn take_summary(node: &Arc<Node>, asked_at: Option<Millis>, summary: Summary) {
+pub(super) fn handle_summary(node: &Arc<Node>, asked_at: Option<Millis>, summary: Summary) {
     let now = node.now();
     let Summary { sender, totals, loads, group, group_age, roster, joined, .. } = summary;
     let (verdicts, limits, departures) = (summary.verdicts, summary.limits, summary.departures);
@@ -297,16 +297,16 @@
         }
         state.demand.merge(now, false, from, &totals.demand);
         state.rollouts.merge(false, from, &totals.rollouts);
-        state.frozen.note_named(frozen_windows);
+        state.frozen_usage.note_named(frozen_windows);
         for (window, counts) in &frozen {
-            state.frozen.note_heard(*window, counts);
+            state.frozen_usage.note_heard(*window, counts);
         }
         let is_grouped = state.members.is_grouped();
         for (service, samples) in totals.throughputs {
             let throughput = state.throughputs.entry(service.clone()).or_default();
             samples.iter().for_each(|sample| throughput.merge(now, *sample));
             if is_grouped {
-                pass_on(&mut state.samples, service, samples);
+                buffer_samples(&mut state.samples, service, samples);
             }
         }
         if !is_grouped {
@@ -315,13 +315,13 @@
             state.loads.merge(valid_until, name, loads);
         }
     });
-    quarantine::take_verdicts(node, verdicts);
-    permits::take_sightings(node, &limits);
+    quarantine::apply_verdicts(node, verdicts);
+    permits::apply_sightings(node, &limits);
     watch::apply_departures(node, &departures);
 }
 
 /// Takes over what this node's aggregator says of the whole.
-pub(super) fn take_overview(
+pub(super) fn handle_overview(
     node: &Arc<Node>,
     from: SocketAddr,
     asked_at: Option<Millis>,
@@ -340,7 +340,7 @@
         state.members.take_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
         state.members.take_lost_regions(name, lost_regions);
-        let is_own = state.audience == Audience::Aggregator(name.to_owned());
+        let is_own = state.report_target == ReportTarget::OwnAggregator(name.to_owned());
         if is_own && is_region_overdue {
             state.quotas.note_overdue_region(now);
         }
@@ -352,10 +352,10 @@
             samples.into_iter().for_each(|sample| throughput.merge(now, sample));
         }
     });
-    quarantine::take_verdicts(node, verdicts);
-    permits::take_sightings(node, &limits);
+    quarantine::apply_verdicts(node, verdicts);
+    permits::apply_sightings(node, &limits);
     watch::apply_departures(node, &departures);
-    versions::take(node, from, asked_at, &versions);
+    versions::handle(node, from, asked_at, &versions);
 }
 
 /// Notes that a node was heard, and which of this node's reports it had got by then; returns the
@@ -383,7 +383,7 @@
         state.demand.forget(name, former);
         state.rollouts.forget(name, former);
         // The aggregator began anew and knows nothing of what this node reported.
-        if state.audience == Audience::Aggregator(name.clone()) {
+        if state.report_target == ReportTarget::OwnAggregator(name.clone()) {
             begin_incarnation(state, now, false);
         }
     }
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -12,7 +12,7 @@
 use keeljunction_core::Millis;
 
 use super::message::{Message, Summary};
-use super::{audience, report, versions};
+use super::{report, report_target, versions};
 use crate::event::{self, Event};
 use crate::node::Node;
 use crate::node::state::State;
@@ -32,7 +32,7 @@
         let regions = node.topology.list_regions().into_iter();
         let others = regions.filter(|region| *region != node.topology.get_own());
         let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
-        let period = state.carrying.pace.get_period();
+        let period = state.summary_relay.pace.get_period();
         state.members.set_transit(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
         turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_far())
@@ -44,10 +44,10 @@
 
 fn log_lost(state: &mut State) {
     let lost: BTreeSet<String> = state.members.list_lost_regions().into_iter().collect();
-    for region in lost.symmetric_difference(&state.carrying.lost) {
+    for region in lost.symmetric_difference(&state.summary_relay.lost) {
         event::emit(&Event::RegionReached { region, is_reached: !lost.contains(region) });
     }
-    state.carrying.lost = lost;
+    state.summary_relay.lost = lost;
 }
 
 /// Sends a summary to a carrier of each other region where it is time, and returns it.
@@ -59,16 +59,16 @@
             return Vec::new();
         }
         for (service, samples) in own.iter().cloned() {
-            audience::pass_on(&mut state.carrying.samples, service, samples);
+            report_target::buffer_samples(&mut state.summary_relay.samples, service, samples);
         }
         let senders = state.members.count_near_aggregators();
-        if !state.carrying.pace.is_due(now, crossed, senders) {
+        if !state.summary_relay.pace.is_due(now, crossed, senders) {
             return Vec::new();
         }
-        state.carrying.pace.note_sent(now);
-        state.carrying.sent += 1;
-        let turn = state.carrying.sent;
-        summary.totals.throughputs = std::mem::take(&mut state.carrying.samples);
+        state.summary_relay.pace.note_sent(now);
+        state.summary_relay.sent += 1;
+        let turn = state.summary_relay.sent;
+        summary.totals.throughputs = std::mem::take(&mut state.summary_relay.samples);
         state.members.pick_carriers(now, turn)
     });
     let message = Message::Summary(Box::new(summary));
@@ -81,7 +81,7 @@
 }
 
 /// Takes a summary that came directly, and passes on one of another region.
-pub(super) fn take(
+pub(super) fn handle_summary(
     node: &Arc<Node>,
     from: SocketAddr,
     sent: (u32, Millis),
@@ -93,8 +93,8 @@
     }
     let reported = summary.versions;
     if node.topology.is_near(&summary.sender.entry.data_centre) {
-        report::take_summary(node, asked_at, summary);
-        return versions::take(node, from, asked_at, &reported);
+        report::handle_summary(node, asked_at, summary);
+        return versions::handle(node, from, asked_at, &reported);
     }
     if note_crossed(node, sent, &summary) {
         if node.with(|state| state.members.is_crossing()) {
@@ -108,7 +108,7 @@
 /// Takes a summary that a carrier of this region passed on.
 ///
 /// When the carrier last heard of this node says nothing of the one who sent the summary.
-pub(super) fn take_carried(node: &Arc<Node>, sent: (u32, Millis), summary: Summary) {
+pub(super) fn handle_relayed(node: &Arc<Node>, sent: (u32, Millis), summary: Summary) {
     if note_crossed(node, sent, &summary) {
         take_over(node, None, summary);
     }
@@ -118,7 +118,7 @@
 /// out of reach for both then.
 fn take_over(node: &Arc<Node>, asked_at: Option<Millis>, summary: Summary) {
     if node.with(|state| state.members.is_own_region_heard(&summary.unheard_regions)) {
-        report::take_summary(node, asked_at, summary);
+        report::handle_summary(node, asked_at, summary);
     }
 }
 
@@ -137,7 +137,7 @@
 async fn pass_on(node: Arc<Node>, (run, sent_at): (u32, Millis), summary: Summary) {
     let now = node.now();
     let to = node.with(|state| state.members.list_exchange(now));
-    let message = Message::Carried { run, sent_at, summary: Box::new(summary) };
+    let message = Message::RelayedSummary { run, sent_at, summary: Box::new(summary) };
     node.link.send_to_all(now, to, &message).await;
 }
 
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -16,7 +16,7 @@
 use super::calls;
 use super::message::Message;
 use crate::event::{self, Event};
-use crate::node::pause::jitter;
+use crate::node::backoff::jitter;
 use crate::node::{Node, staleness, table};
 use crate::runtime;
 
@@ -30,8 +30,8 @@
 
 /// Asks the nodes that read for all while this node's knowledge is ageing, and any other as well
 /// while it is old.
-pub(super) async fn ask(node: Arc<Node>) {
-    let bound = node.get_fresh_bound();
+pub(super) async fn run(node: Arc<Node>) {
+    let bound = node.get_max_configuration_age();
     let mut was_fresh = true;
     loop {
         runtime::sleep(jitter(LOOK)).await;
@@ -49,7 +49,7 @@
         }
         let targets = list_targets(&node, now).into_iter().chain(list_far_targets(&node, now));
         for address in targets.collect::<Vec<SocketAddr>>() {
-            node.link.send(now, address, &Message::AskVersions).await;
+            node.link.send(now, address, &Message::QueryVersions).await;
         }
     }
 }
@@ -96,7 +96,7 @@
 
 /// Takes what a node knows, of a time after `asked_at` on this node's clock: confirms what this
 /// node has, or gets what it lacks.
-pub(super) fn take(
+pub(super) fn handle(
     node: &Arc<Node>,
     from: SocketAddr,
     asked_at: Option<Millis>,
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -14,7 +14,7 @@
 use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINED_FOR, Standing, Verdict};
 use serde::{Deserialize, Serialize};
 
-use super::pause::Pause;
+use super::backoff::Backoff;
 use super::{Node, peers, table};
 use crate::event::{self, Event};
 use crate::port::{Row, TableError, TableName, Transaction, Write};
@@ -55,15 +55,15 @@
 /// Reads and writes rows for as long as the process runs.
 pub(super) async fn run(node: Arc<Node>) {
     let mut clock = None;
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     loop {
         runtime::sleep(LOOK).await;
         let Err(error) = step(&node, &mut clock).await else {
-            pause.reset();
+            backoff.reset();
             continue;
         };
         event::emit(&Event::TableCallFailed { what: TABLE, error: error.to_string() });
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
@@ -114,7 +114,7 @@
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
                 // The clock of an older copy may be behind the one that the row was written by.
                 let left = (refused.until - rows.table_time).min(QUARANTINED_FOR);
-                peers::quarantine::take_kept(node, make_verdict(fingerprint, refused, left));
+                peers::quarantine::apply_persisted(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
             None => {
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -301,7 +301,7 @@
 
 fn sum_all(node: &Node, order: &Order) -> Option<Report> {
     node.with(|state| {
-        let in_flight = |order: &Order| state.count_on_other_versions(order);
+        let in_flight = |order: &Order| state.count_in_flight_on_other_versions(order);
         state.rollouts.sum_all(&order.service, in_flight)
     })
 }
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -13,7 +13,7 @@
 /// Takes an order from the operator's table, and announces it where it is new.
 ///
 /// An order whose row is gone goes on: its servers run, and only a verdict ends that.
-pub(super) fn take_order(node: &Node, row: &Row) {
+pub(super) fn apply_order(node: &Node, row: &Row) {
     let Some(value) = row.value.as_deref() else {
         log::warn!("the order {} is gone from its table: the roll-out goes on", row.key);
         return;
@@ -30,7 +30,7 @@
 }
 
 /// Takes the orders that were read before the era was settled, and announces them.
-pub(super) fn take_deferred(node: &Node) {
+pub(super) fn announce_deferred(node: &Node) {
     let now = node.now();
     let orders = node.with(|state| match state.eras.is_settled(now) {
         true => state.rollouts.take_deferred(),
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -12,7 +12,7 @@
 use keeljunction_core::{Error, ErrorKind};
 
 use super::peers::link::Link;
-use super::state::{BYTES_PER_MB, Start};
+use super::state::{BYTES_PER_MB, ProcessContext};
 use super::{Node, connections, duty, listeners, memory, peers, quarantine_rows, stop, watch};
 use crate::event::{self, Event};
 use crate::exchange;
@@ -22,17 +22,17 @@
 use crate::settings::Settings;
 
 /// Descriptors kept back from callers' connections, for files, servers and peers.
-const DESCRIPTORS_KEPT: usize = 1_000;
+const RESERVED_DESCRIPTORS: usize = 1_000;
 /// The part of the process's memory that callers' connections may take: as much as bodies and
 /// answers may. Where both are full, samples of the resident memory take off the latter.
-const CONNECTIONS_PART: f64 = 0.4;
+const CONNECTION_MEMORY_FRACTION: f64 = 0.4;
 /// Memory of a connection, in bytes: 42 kB of resident memory for each of 300 whose small bodies
 /// rested, and what the system keeps for its socket.
 const BYTES_PER_CONNECTION: f64 = 50_000.0;
 /// Connections that are taken in any case, for operators and probes.
-const LEAST_CONNECTIONS: usize = 100;
+const MIN_CONNECTIONS: usize = 100;
 /// Time for answers in flight to be written out at the very end.
-const WRITE_OUT: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs a node until it has stopped.
 ///
@@ -41,9 +41,9 @@
 /// Returns [`ErrorKind::Unavailable`] where an address cannot be listened at.
 pub async fn serve(settings: Settings, path: PathBuf, platform: Platform) -> Result<(), Error> {
     let mut settings = settings;
-    let closing = Stop::new();
+    let listener_stop = Stop::new();
     let (callers, at) =
-        bind("listen.callers", settings.listen.callers, &settings, &closing).await?;
+        bind("listen.callers", settings.listen.callers, &settings, &listener_stop).await?;
     settings.listen.callers = at;
     let never = Stop::new();
     let (readiness, at) =
@@ -55,10 +55,10 @@
     settings.listen.peers = at;
     let incarnation = Incarnation { node: settings.node.name.clone(), number: fastrand::u64(..) };
     let link = Link::bind(at, incarnation.number, settings.limits.link_mbps)
-        .map_err(|error| busy("listen.peers", at, &error))?;
+        .map_err(|error| make_bind_error("listen.peers", at, &error))?;
     let topology = settings.get_topology()?;
-    let start = Start { incarnation, clock: Clock::new(), link, topology };
-    let node = Node::new(settings, platform, closing, start);
+    let context = ProcessContext { incarnation, clock: Clock::new(), link, topology };
+    let node = Node::new(settings, platform, listener_stop, context);
     let listen = &node.settings.listen;
     event::emit(&Event::Started {
         node: &node.incarnation.node,
@@ -83,11 +83,11 @@
     runtime::spawn(readiness.serve(move |request| listeners::readiness(checked.clone(), request)));
     runtime::spawn(metrics.serve(move |request| listeners::metrics(shown.clone(), request)));
     let resting = node.clone();
-    let callers = callers.with_head_within(Arc::new(move || resting.get_rest_bound()));
+    let callers = callers.with_head_within(Arc::new(move || resting.get_idle_timeout()));
     let open = callers.get_open();
     runtime::spawn(callers.serve(move |request| exchange::answer(answering.clone(), request)));
-    wait_for_end(&node, path).await?;
-    runtime::within(WRITE_OUT, async {
+    run_until_stopped(&node, path).await?;
+    runtime::within(FLUSH_TIMEOUT, async {
         while open.get() > 0 {
             runtime::sleep(Duration::from_millis(10)).await;
         }
@@ -100,10 +100,10 @@
 /// Returns how many connections a listener takes at once: as many as there are descriptors and
 /// memory for.
 fn count_connections(settings: &Settings) -> usize {
-    let descriptors = settings.limits.descriptors.saturating_sub(DESCRIPTORS_KEPT);
-    let bytes = settings.limits.memory_mb * BYTES_PER_MB * CONNECTIONS_PART;
+    let descriptors = settings.limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    let bytes = settings.limits.memory_mb * BYTES_PER_MB * CONNECTION_MEMORY_FRACTION;
     let fitting = (bytes / BYTES_PER_CONNECTION) as usize;
-    descriptors.min(fitting).max(LEAST_CONNECTIONS)
+    descriptors.min(fitting).max(MIN_CONNECTIONS)
 }
 
 async fn bind(
@@ -114,13 +114,13 @@
 ) -> Result<(Server, SocketAddr), Error> {
     let limits = Limits { connections: count_connections(settings), ..Limits::default() };
     let bound = Server::bind(address, limits, stop.clone()).await;
-    let server = bound.map_err(|error| busy(key, address, &error))?;
-    let at = server.get_address().map_err(|error| busy(key, address, &error))?;
+    let server = bound.map_err(|error| make_bind_error(key, address, &error))?;
+    let at = server.get_address().map_err(|error| make_bind_error(key, address, &error))?;
     Ok((server, at))
 }
 
 /// Waits for the signal to stop, and then until the node has stopped.
-async fn wait_for_end(node: &Arc<Node>, path: PathBuf) -> Result<(), Error> {
+async fn run_until_stopped(node: &Arc<Node>, path: PathBuf) -> Result<(), Error> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| {
         Error::new(ErrorKind::Unavailable, format!("no signals can be had: {error}"))
     })?;
@@ -147,7 +147,7 @@
     }
 }
 
-fn busy(key: &str, address: SocketAddr, error: &io::Error) -> Error {
+fn make_bind_error(key: &str, address: SocketAddr, error: &io::Error) -> Error {
     Error::new(ErrorKind::Unavailable, format!("cannot listen: {error}"))
         .key(key)
         .value(address.to_string())
--- a/crates/gateway/src/node/staleness.rs
+++ b/crates/gateway/src/node/staleness.rs
@@ -48,7 +48,7 @@
 /// Returns `true` if the configuration is older than a part of what it should be.
 pub(super) fn is_configuration_older_than(node: &Node, part: f64) -> bool {
     let apply = node.settings.bounds.config_apply_ms as f64 * CONFIGURATION_OLD_PART;
-    let confirmation = node.get_fresh_bound() as f64 * CONFIRMATION_OLD_PART;
+    let confirmation = node.get_max_configuration_age() as f64 * CONFIRMATION_OLD_PART;
     let bound = apply.min(confirmation) * part;
     let now = node.now();
     !node.with(|state| state.freshness.is_within(now, bound as Millis))
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -34,15 +34,15 @@
 };
 
 use super::document::Document;
+use super::eviction_signals::EvictionSignals;
 use super::interrupted_attempts;
-use super::peers::audience::{Audience, Samples};
-use super::peers::carrying::Carrying;
 use super::peers::link::Link;
 use super::peers::message::Notification;
 use super::peers::pending_loads;
-use super::peers::questions::Questions;
+use super::peers::pending_queries::PendingQueries;
+use super::peers::relay_state::RelayState;
+use super::peers::report_target::{ReportTarget, Samples};
 use super::skipped;
-use super::uploads::Uploads;
 use crate::feeds::Feeds;
 use crate::http::{Client, Stop};
 use crate::metrics::Metrics;
@@ -53,27 +53,27 @@
 /// The part of the revocation bound in which a configuration may be acted on without being
 /// confirmed. A request that was sent after a key's removal and the bound arrives, and is checked,
 /// later than that; the rest is left for clocks that drift.
-const FRESH_PART: f64 = 0.95;
+const FRESHNESS_FRACTION: f64 = 0.95;
 /// Notifications for other nodes that wait to be sent; more are dropped, and show in the next report.
 const NOTIFICATION_CAPACITY: usize = 256;
 /// A server that does not take a connection within this time is passed over: the way there takes
 /// some milliseconds, and a lost opening packet is sent again only after a second.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long callers are taken to use a connection that rests, where no configuration is known, in
 /// milliseconds.
-const REST_WHILE_UNKNOWN: Millis = 15_000;
+const DEFAULT_CLIENT_IDLE_MS: Millis = 15_000;
 /// A connection that rests is kept open this many times as long as callers use it.
-const REST_FACTOR: u32 = 2;
+const IDLE_TIMEOUT_FACTOR: u32 = 2;
 /// The fraction of the operator's retry budget that nodes use: callers' own retries and lost answers
 /// add to it at the edges of windows.
-const BUDGET_USED: f64 = 0.7;
+const RETRY_BUDGET_FRACTION: f64 = 0.7;
 /// Bytes of a megabyte, as the settings count them.
 pub(super) const BYTES_PER_MB: f64 = 1_000_000.0;
 /// The part of the process's memory that may be held for callers and servers. The rest is for what
 /// the node knows, for its sockets, and for what the allocator keeps.
-const HELD_PART: f64 = 0.4;
+const BUFFER_MEMORY_FRACTION: f64 = 0.4;
 /// The part of a lease that its holder leaves unused.
-const LEASE_MARGIN_PART: f64 = 0.2;
+const LEASE_MARGIN_FRACTION: f64 = 0.2;
 
 /// A node: its settings, its adapter, and what it knows.
 pub struct Node {
@@ -94,7 +94,7 @@
     /// Answers on their way to callers.
     pub feeds: Feeds,
     /// The signal on which the listeners close.
-    pub closing: Stop,
+    pub listener_stop: Stop,
     /// Datagrams between nodes.
     pub(super) link: Link,
     /// Notifications for other nodes that wait to be sent.
@@ -102,24 +102,24 @@
     /// Requests for loads that wait for answers, and changed loads that wait to be sent.
     pub(super) pending_loads: pending_loads::Pending,
     /// Requests that the owners of their client accounts decide about.
-    pub(super) pending_decisions: Questions<quota::Decision>,
+    pub(super) pending_decisions: PendingQueries<quota::Decision>,
     /// Requests for permits of limited servers that wait for decisions.
-    pub(super) pending_permits: Questions<backpressure::Decision>,
+    pub(super) pending_permits: PendingQueries<backpressure::Decision>,
     /// Runs that broke off at servers that may have ended.
     pub(super) interrupted_attempts: interrupted_attempts::Pending,
     /// Signals to uploads that are evicted.
-    pub(crate) uploads: Uploads,
+    pub(crate) eviction_signals: EvictionSignals,
     /// What the node knows of the deployment.
     pub state: Mutex<State>,
     /// What is being got from peers.
-    pub(super) fetching: Fetching,
+    pub(super) active_fetches: ActiveFetches,
     is_stopping: AtomicBool,
     in_flight: AtomicUsize,
 }
 
 /// How many calls for each document are going on.
 #[derive(Debug, Default)]
-pub(super) struct Fetching {
+pub(super) struct ActiveFetches {
     pub configuration: AtomicUsize,
     pub servers: AtomicUsize,
 }
@@ -170,7 +170,7 @@
     /// Requests that began.
     pub usage: Ledger,
     /// Windows of them that were frozen.
-    pub frozen: Frozen,
+    pub frozen_usage: Frozen,
     /// Which windows of them the next summary holds.
     pub(super) outgoing_usage: Outgoing,
     /// Tokens requested, by service.
@@ -186,11 +186,11 @@
     /// The budgets of the links to other regions.
     pub region_links: Links,
     /// Summaries that this node sends to other regions.
-    pub(super) carrying: Carrying,
+    pub(super) summary_relay: RelayState,
     /// Memory that is held for callers and servers.
     pub memory: Accountant,
     /// Whom this node reports its counts to.
-    pub(super) audience: Audience,
+    pub(super) report_target: ReportTarget,
     /// Which of its counts have arrived there.
     pub handover: Handover,
     /// Samples of throughput for the nodes of this node's group.
@@ -230,7 +230,7 @@
 
     /// Counts this node's requests in flight at servers of a service that have another version than
     /// a roll-out moves to.
-    pub(super) fn count_on_other_versions(&self, order: &rollout::Order) -> u32 {
+    pub(super) fn count_in_flight_on_other_versions(&self, order: &rollout::Order) -> u32 {
         let others = self.directory.iter_service(&order.service);
         let others = others.filter(|server| server.version != order.target_version);
         others.map(|server| self.loads.get_own_of(short_id(&server.id)).requests).sum()
@@ -238,14 +238,19 @@
 
     /// Lists what this node and those that report to it counted of roll-outs.
     pub(super) fn report_rollouts(&self) -> Vec<rollout::Report> {
-        self.rollouts.report_group(|order| self.count_on_other_versions(order))
+        self.rollouts.report_group(|order| self.count_in_flight_on_other_versions(order))
     }
 }
 
 impl Node {
     /// Makes a node that knows nothing yet.
-    pub fn new(settings: Settings, platform: Platform, closing: Stop, start: Start) -> Arc<Self> {
-        let Start { incarnation, clock, link, topology } = start;
+    pub fn new(
+        settings: Settings,
+        platform: Platform,
+        listener_stop: Stop,
+        context: ProcessContext,
+    ) -> Arc<Self> {
+        let ProcessContext { incarnation, clock, link, topology } = context;
         let topology = Arc::new(topology);
         let bounds = settings.bounds;
         let due = (bounds.usage_late_s * 1_000.0) as Millis;
@@ -254,14 +259,14 @@
             ratio: bounds.retry_budget_ratio,
             least: bounds.budget_min_retries,
             window: (bounds.budget_window_s * 1_000.0) as Millis,
-            used: BUDGET_USED,
+            used: RETRY_BUDGET_FRACTION,
         };
         let tolerance = Tolerance {
             window_seconds: bounds.quota_window_s,
             overshoot: bounds.quota_overshoot,
             slack: bounds.quota_slack,
         };
-        let margin = (bounds.lease_ms as f64 * LEASE_MARGIN_PART) as Millis;
+        let margin = (bounds.lease_ms as f64 * LEASE_MARGIN_FRACTION) as Millis;
         let state = State {
             eras: Eras::default(),
             configuration: None,
@@ -282,15 +287,15 @@
             quotas: Quotas::new(clock.now(), tolerance),
             retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
-            frozen: Frozen::new(windows_kept),
+            frozen_usage: Frozen::new(windows_kept),
             outgoing_usage: Outgoing::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
             round_trips: Distances::default(),
             region_links: Links::new(settings.regions.spill_mbps),
-            carrying: Carrying::new(settings.regions.control_kbps),
+            summary_relay: RelayState::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
-            audience: Audience::default(),
+            report_target: ReportTarget::default(),
             handover: Handover::new(incarnation.clone()),
             samples: Samples::new(),
             lease: DutyLease::new(
@@ -308,19 +313,19 @@
             clock,
             topology,
             incarnation,
-            http_client: Client::new(CONNECT_WITHIN),
+            http_client: Client::new(CONNECT_TIMEOUT),
             metrics,
             feeds: Feeds::default(),
-            closing,
+            listener_stop,
             link,
             notifications: async_channel::bounded(NOTIFICATION_CAPACITY),
             pending_loads: pending_loads::Pending::default(),
-            pending_decisions: Questions::default(),
-            pending_permits: Questions::default(),
+            pending_decisions: PendingQueries::default(),
+            pending_permits: PendingQueries::default(),
             interrupted_attempts: interrupted_attempts::Pending::default(),
-            uploads: Uploads::default(),
+            eviction_signals: EvictionSignals::default(),
             state: Mutex::new(state),
-            fetching: Fetching::default(),
+            active_fetches: ActiveFetches::default(),
             is_stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
         })
@@ -337,17 +342,17 @@
     }
 
     /// Returns how old the knowledge that the configuration is the newest may be.
-    pub fn get_fresh_bound(&self) -> Millis {
-        (self.settings.bounds.revoke_ms as f64 * FRESH_PART) as Millis
+    pub fn get_max_configuration_age(&self) -> Millis {
+        (self.settings.bounds.revoke_ms as f64 * FRESHNESS_FRACTION) as Millis
     }
 
     /// Returns how long a caller's new connection may rest between two requests.
     ///
     /// The configuration holds how long callers use connections that rest. A later one may hold a longer
     /// time, and a connection must not close while its caller may use it.
-    pub fn get_rest_bound(&self) -> Duration {
+    pub fn get_idle_timeout(&self) -> Duration {
         let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle));
-        Duration::from_millis(known.unwrap_or(REST_WHILE_UNKNOWN)) * REST_FACTOR
+        Duration::from_millis(known.unwrap_or(DEFAULT_CLIENT_IDLE_MS)) * IDLE_TIMEOUT_FACTOR
     }
 
     /// Returns `true` if requests that carry a key may be dispatched.
@@ -356,7 +361,7 @@
             return true;
         }
         let now = self.now();
-        self.with(|state| state.freshness.is_within(now, self.get_fresh_bound()))
+        self.with(|state| state.freshness.is_within(now, self.get_max_configuration_age()))
     }
 
     /// Sends news to the other nodes soon.
@@ -419,7 +424,7 @@
 }
 
 /// What a run of the process has of its own, before the node is made.
-pub struct Start {
+pub struct ProcessContext {
     /// The run.
     pub incarnation: Incarnation,
     /// Its steady clock.
@@ -435,7 +440,7 @@
 fn make_accountant(settings: &Settings, run: u64) -> Accountant {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
-    Accountant::new((bytes * HELD_PART) as u64, bytes as u64, draw)
+    Accountant::new((bytes * BUFFER_MEMORY_FRACTION) as u64, bytes as u64, draw)
 }
 
 fn get_entry(settings: &Settings) -> Entry {
--- a/crates/gateway/src/node/stop.rs
+++ b/crates/gateway/src/node/stop.rs
@@ -30,7 +30,7 @@
     let grace = Duration::from_secs_f64(node.settings.bounds.grace_s).saturating_sub(END_MARGIN);
     let notices = BALANCER_NOTICES.min(grace / 2);
     runtime::sleep(notices).await;
-    node.closing.give();
+    node.listener_stop.give();
     let release_at = runtime::boot_time() + (grace - notices).saturating_sub(RELEASE_MARGIN);
     let drained = runtime::within(grace - notices, async {
         while node.get_in_flight() > 0 {
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -172,7 +172,7 @@
         state.lease.begin_era(era);
         if begun.before.is_some() {
             state.directory.note_era(now);
-            state.frozen.repeat();
+            state.frozen_usage.repeat();
         }
         Some(begun)
     });
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -149,7 +149,7 @@
     /// Returns `true` if the counts of a window are known as they were frozen, or if it surely was not reported.
     fn is_reportable(&self, node: &Node, window: WindowNumber) -> bool {
         let is_frozen = self.frozen.contains_key(&window)
-            || node.with(|state| state.frozen.get(window).is_some());
+            || node.with(|state| state.frozen_usage.get(window).is_some());
         is_frozen || (!self.in_earlier_eras.contains(&window) && is_surely_unreported(node, window))
     }
 
@@ -193,7 +193,7 @@
         if self.frozen.contains_key(&window) {
             return true;
         }
-        let known = node.with(|state| state.frozen.get(window).cloned());
+        let known = node.with(|state| state.frozen_usage.get(window).cloned());
         let counts = known.unwrap_or_else(|| node.with(|state| state.usage.total(window)));
         let transaction = self.make_transaction(node, window, &counts);
         match table::commit(node, transaction, CALL_WITHIN).await {
@@ -303,7 +303,7 @@
 /// Remembers a frozen window, whose row may be gone after a return; returns `true` if that is news. A table
 /// service that names no eras loses nothing.
 fn remember(node: &Node, era: Era, window: WindowNumber, counts: &Counts) -> bool {
-    era != Era::UNNAMED && node.with(|state| state.frozen.note_own(window, counts))
+    era != Era::UNNAMED && node.with(|state| state.frozen_usage.note_own(window, counts))
 }
 
 /// Returns `true` if a window without a row was surely not reported: nothing was lost since, or each node that
@@ -319,7 +319,7 @@
         }
         let is_too_old_to_be_named =
             window + WindowSet::SPAN <= window_at(runtime::unix_ms(), length);
-        if is_too_old_to_be_named || state.frozen.is_named(window) {
+        if is_too_old_to_be_named || state.frozen_usage.is_named(window) {
             return false;
         }
         let Some(era_age) = state.eras.get_age(now) else { return false };
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -11,8 +11,8 @@
 
 use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of, read};
 use crate::event::{self, Event};
+use crate::node::backoff::{Backoff, jitter};
 use crate::node::document::Document;
-use crate::node::pause::{Pause, jitter};
 use crate::node::peers::message::Notification;
 use crate::node::state::ConfigurationRow;
 use crate::node::{Node, era_origin, rollouts, staleness, table};
@@ -39,7 +39,7 @@
 
 /// Follows the configuration for ever, where this node reads for all or knows none yet.
 pub async fn configuration(node: Arc<Node>) {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     let mut read_at = None;
     loop {
         let now = node.now();
@@ -55,13 +55,13 @@
                 if let Err(error) = confirm_configuration(&node, now).await {
                     note_failure("era", &error);
                 }
-                pause.reset();
+                backoff.reset();
                 read_at = Some(now);
                 follow_configuration(&node, rows.version).await;
             }
             Err(error) => note_failure("configuration", &error),
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
@@ -86,8 +86,8 @@
 
 /// Reads the configuration again and again, to know that it is the newest.
 pub async fn freshness(node: Arc<Node>) {
-    let bound = Duration::from_millis(node.get_fresh_bound()) / CONFIRMS_IN_BOUND;
-    let mut pause = Pause::default();
+    let bound = Duration::from_millis(node.get_max_configuration_age()) / CONFIRMS_IN_BOUND;
+    let mut backoff = Backoff::default();
     let mut unconfirmed_since = None;
     loop {
         let now = node.now();
@@ -104,7 +104,7 @@
         }
         match confirm(&node).await {
             Ok(()) => {
-                pause.reset();
+                backoff.reset();
                 let is_grouped = node.with(|state| state.members.is_grouped());
                 let part = if is_grouped { CONFIRM_PART_GROUPED } else { CONFIRM_PART };
                 let period = part_of(node.settings.bounds.config_apply_ms, part);
@@ -112,7 +112,7 @@
             }
             Err(error) => {
                 note_failure("freshness", &error);
-                pause.wait().await;
+                backoff.wait().await;
             }
         }
     }
@@ -136,7 +136,7 @@
     };
     note_rewritten(node, &rows);
     adopt_and_push(node, &rows);
-    rollouts::take_deferred(node);
+    rollouts::announce_deferred(node);
     confirm_configuration(node, asked_at).await
 }
 
@@ -230,7 +230,7 @@
 
 fn adopt_row(node: &Node, row: &Row) -> Option<u64> {
     if (node.platform.rollouts.is_order)(&row.key) {
-        rollouts::take_order(node, row);
+        rollouts::apply_order(node, row);
         return None;
     }
     let value = row.value.as_deref()?;
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -24,7 +24,7 @@
 pub use configuration::{configuration, freshness};
 pub(crate) use servers::apply_departure;
 pub use servers::{apply, servers};
-pub(super) use servers::{apply_departures, expire_lapsed, take_update};
+pub(super) use servers::{apply_departures, apply_update, expire_lapsed};
 
 /// The time between two looks whether this node has to read.
 const LOOK: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -11,7 +11,7 @@
 
 use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of};
 use crate::event::{self, Event};
-use crate::node::pause::Pause;
+use crate::node::backoff::Backoff;
 use crate::node::peers::message::Notification;
 use crate::node::{Node, staleness, table};
 use crate::port::{Row, Rows, TableError, TableName};
@@ -34,7 +34,7 @@
 
 /// Follows the list of servers for ever, where this node reads for all or its own list is old.
 pub async fn servers(node: Arc<Node>) {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     let mut is_long = false;
     loop {
         let is_left = is_long && is_left_to_aggregator(&node);
@@ -48,7 +48,7 @@
                 continue;
             }
             Ok(Some(version)) => {
-                pause.reset();
+                backoff.reset();
                 let bound = node.settings.bounds.drain_ms;
                 let watch = Watch {
                     table: TableName::Servers,
@@ -66,7 +66,7 @@
                 node.with(|state| state.directory.note_away());
             }
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Takes over what a peer knows of the list of servers and this node lacked.
-pub(in crate::node) fn take_update(node: &Node, update: Update<'_>) {
+pub(in crate::node) fn apply_update(node: &Node, update: Update<'_>) {
     table::note_era(node, update.get_version().era);
     note_servers_known(node);
     let changes = node.with(|state| state.directory.take(update));
