--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_controller.rs
@@ -18,16 +18,16 @@
 use crate::runtime;
 
 /// How long the answer of the platform's control service is waited for.
-const CALL_WITHIN: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The span over which the demand is measured, in milliseconds.
-const DEMAND_SPAN: Millis = 4_000;
+const DEMAND_WINDOW_MS: Millis = 4_000;
 /// The span in which the largest need counts, in milliseconds: servers are given up slowly.
-const FALL_SPAN: Millis = 8_000;
+const SCALE_DOWN_WINDOW_MS: Millis = 8_000;
 /// The pause after an order was refused or not answered, in milliseconds.
-const REFUSED_PAUSE: Millis = 2_000;
+const ORDER_BACKOFF_MS: Millis = 2_000;
 /// The pause between orders of spot servers while the list of servers grows: a tenth of a usual boot,
 /// so that few calls are made and few on-demand servers wait for their replacement.
-const LIST_PAUSE: Millis = 500;
+const GROWING_LIST_ORDER_INTERVAL_MS: Millis = 500;
 /// The HTTP status of an accepted order.
 const STATUS_OK: u16 = 200;
 
@@ -39,10 +39,10 @@
 
 /// The orders of the holder of the duties, and what they go by.
 #[derive(Debug, Default)]
-pub struct CapacityDuty {
+pub struct CapacityController {
     fence: Option<u64>,
     ordered: BTreeMap<Place, Order>,
-    paused_until: BTreeMap<Place, Millis>,
+    backoff_until: BTreeMap<Place, Millis>,
     /// The largest needs of late, by service.
     needs: BTreeMap<String, Needs>,
     /// Since when this holder has known the demand, by service.
@@ -50,10 +50,10 @@
     /// On-demand servers as they were found, by service and region.
     found: BTreeMap<(String, String), Found>,
     /// When spot servers may be ordered next while the list of servers grows.
-    next_list_order: BTreeMap<String, Millis>,
+    next_growing_list_order_at: BTreeMap<String, Millis>,
 }
 
-impl CapacityDuty {
+impl CapacityController {
     /// Orders what the plan lacks.
     pub async fn step(&mut self, node: &Node) {
         let fence = node.with(|state| state.lease.get_fence(node.now()));
@@ -80,25 +80,25 @@
         scaling: &Scaling,
     ) {
         let now = node.now();
-        let mut inventories = self.take_inventories(node, name, scaling);
-        let (found, is_complete) = self.follow_found(node, name, &inventories, now);
+        let mut inventories = self.count_inventories(node, name, scaling);
+        let (found, is_complete) = self.track_found_servers(node, name, &inventories, now);
         let is_mixed = inventories.values().flat_map(BTreeMap::values).any(|held| held.spot > 0);
         let policy = node.settings.capacity.get_policy();
         let demands = get_demands(node, name, service, now);
-        let is_demand_followed = self.follow_demand(name, demands.is_some(), now);
-        let unheard = list_unheard(node, &inventories);
+        let is_demand_settled = self.track_demand(name, demands.is_some(), now);
+        let unreachable = list_unreachable_regions(node, &inventories);
         let (needs, policy) = match &demands {
             Some(demands) => {
                 let latest = needs(&policy, demands);
-                let unheard = unheard.iter().map(String::as_str).collect();
+                let unreachable = unreachable.iter().map(String::as_str).collect();
                 let followed = self.needs.entry(name.to_owned()).or_default();
-                (followed.follow(now, &latest, &unheard, FALL_SPAN), policy)
+                (followed.follow(now, &latest, &unreachable, SCALE_DOWN_WINDOW_MS), policy)
             }
             // A holder that does not know the demand yet leaves an earlier holder's mix as it is.
-            None if is_mixed && !self.has_ordered(name) => return,
+            None if is_mixed && !self.has_orders(name) => return,
             // Servers list themselves one by one. Before the first request, spot servers are ordered
             // for those that have; what is needed later must not be taken from a part of the list.
-            None if !is_complete && !self.is_list_due(node, name, now) => return,
+            None if !is_complete && !self.is_growing_list_order_due(node, name, now) => return,
             // Servers that nobody has mixed yet: as many as were found, in the usual mix.
             None => (found, Policy { spot_part: policy.spot_part.min(1.0), ..policy }),
         };
@@ -107,18 +107,18 @@
             inventories.entry(region.clone()).or_default();
         }
         // A region that serves on its own keeps what it has, where its need was never known.
-        inventories.retain(|region, _| needs.contains_key(region) || !unheard.contains(region));
+        inventories.retain(|region, _| needs.contains_key(region) || !unreachable.contains(region));
         let snapshots =
             self.make_snapshots(node, name, &inventories, &needs, demands.as_ref(), now);
         let plan = plan_regions(&policy, scaling, &snapshots);
         set_metrics(node, name, &needs, &plan);
         let inventory = inventories.values().flat_map(BTreeMap::clone).collect();
-        for order in self.list_changes(name, &plan, &inventory, now) {
+        for order in self.list_orders(name, &plan, &inventory, now) {
             // On-demand servers that have not listed themselves yet must not be given up, unless they
             // are known to be too many.
             let snapshot = snapshots.get(get_region(node, &order.data_centre));
             let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_carried_by_spot(scaling));
-            let is_surplus = is_demand_followed && is_carried;
+            let is_surplus = is_demand_settled && is_carried;
             if !is_complete && !order.is_spot && !is_surplus {
                 continue;
             }
@@ -129,13 +129,13 @@
 
     /// Returns `true` if this holder has known the demand for a whole span of its measurement: that of a
     /// shorter time after all nodes started again is too low.
-    fn follow_demand(&mut self, name: &str, is_known: bool, now: Millis) -> bool {
+    fn track_demand(&mut self, name: &str, is_known: bool, now: Millis) -> bool {
         if !is_known {
             self.demand_known_since.remove(name);
             return false;
         }
         let since = self.demand_known_since.entry(name.to_owned()).or_insert(now);
-        now >= *since + DEMAND_SPAN
+        now >= *since + DEMAND_WINDOW_MS
     }
 
     /// Returns what the plan of each region goes by.
@@ -167,18 +167,21 @@
     }
 
     /// Returns `true` if spot servers may be ordered from a list that still grows.
-    fn is_list_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
+    fn is_growing_list_order_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
         let is_untouched = node.with(|state| state.demand.is_untouched(name));
-        let next = self.next_list_order.entry(name.to_owned()).or_insert(now + LIST_PAUSE);
+        let next = self
+            .next_growing_list_order_at
+            .entry(name.to_owned())
+            .or_insert(now + GROWING_LIST_ORDER_INTERVAL_MS);
         let is_due = is_untouched && now >= *next;
         if is_due {
-            *next = now + LIST_PAUSE;
+            *next = now + GROWING_LIST_ORDER_INTERVAL_MS;
         }
         is_due
     }
 
     /// Returns `true` if this holder has ordered servers of a service.
-    fn has_ordered(&self, name: &str) -> bool {
+    fn has_orders(&self, name: &str) -> bool {
         self.ordered.keys().any(|(service, _, _)| service == name)
     }
 
@@ -193,7 +196,7 @@
 
     /// Returns the number of on-demand servers as it was found in each region, and whether all have
     /// listed themselves.
-    fn follow_found(
+    fn track_found_servers(
         &mut self,
         node: &Node,
         name: &str,
@@ -215,9 +218,9 @@
     }
 
     /// Counts what each data centre holds, by region.
-    fn take_inventories(&mut self, node: &Node, name: &str, scaling: &Scaling) -> Inventories {
+    fn count_inventories(&mut self, node: &Node, name: &str, scaling: &Scaling) -> Inventories {
         let mut inventories = Inventories::new();
-        for (data_centre, held) in self.take_inventory(node, name, scaling) {
+        for (data_centre, held) in self.count_inventory(node, name, scaling) {
             let region = get_region(node, &data_centre).to_owned();
             inventories.entry(region).or_default().insert(data_centre, held);
         }
@@ -226,7 +229,7 @@
 
     /// Counts what each data centre holds; a data centre that the configuration prices is listed
     /// also if empty.
-    fn take_inventory(
+    fn count_inventory(
         &mut self,
         node: &Node,
         name: &str,
@@ -263,14 +266,14 @@
         inventory: &BTreeMap<String, Inventory>,
         now: Millis,
     ) -> bool {
-        let mut refused = self.paused_until.iter().filter(|((service, data_centre, kind), _)| {
+        let mut refused = self.backoff_until.iter().filter(|((service, data_centre, kind), _)| {
             service == name && *kind && inventory.contains_key(data_centre)
         });
-        refused.any(|(_, until)| now < until + REFUSED_PAUSE)
+        refused.any(|(_, until)| now < until + ORDER_BACKOFF_MS)
     }
 
     /// Lists the orders by which the plan differs from what was ordered, or is there.
-    fn list_changes(
+    fn list_orders(
         &self,
         name: &str,
         plan: &Plan,
@@ -295,7 +298,7 @@
 
     /// Returns `true` if an order for `count` servers is to be sent now.
     fn is_due(&self, place: &Place, count: u32, held: &Inventory, now: Millis) -> bool {
-        if self.paused_until.get(place).is_some_and(|until| now < *until) {
+        if self.backoff_until.get(place).is_some_and(|until| now < *until) {
             return false;
         }
         let (present, booting) = match place.2 {
@@ -317,7 +320,7 @@
         let place = (order.service.clone(), order.data_centre.clone(), order.is_spot);
         let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
         let calling = (node.platform.control.set_capacity)(holder, order.clone());
-        let status = runtime::within(CALL_WITHIN, calling).await.flatten();
+        let status = runtime::within(CALL_TIMEOUT, calling).await.flatten();
         event::emit(&Event::CapacityOrdered {
             service: &order.service,
             region: get_region(node, &order.data_centre),
@@ -332,7 +335,7 @@
             self.ordered.insert(place, Order::new(node.now(), order.count, present));
         } else {
             self.ordered.remove(&place);
-            self.paused_until.insert(place, node.now() + REFUSED_PAUSE);
+            self.backoff_until.insert(place, node.now() + ORDER_BACKOFF_MS);
         }
     }
 }
@@ -346,7 +349,7 @@
 ) -> Option<BTreeMap<String, Demand>> {
     let slots = service.engine.as_ref().map_or(1, |engine| engine.slots);
     let (totals, covered, throughput, in_flight) = node.with(|state| {
-        let (totals, covered) = state.demand.within(now, name, DEMAND_SPAN)?;
+        let (totals, covered) = state.demand.within(now, name, DEMAND_WINDOW_MS)?;
         let throughput = state.throughputs.get(name)?.get_prefill_rate()?;
         Some((totals, covered, throughput, state.demand.get_in_flight(now, name)))
     })?;
@@ -369,7 +372,7 @@
 
 /// Lists the regions of which no node is heard and whose servers accept requests: their callers are
 /// still served there. Where no server is left, the demand moves to other regions.
-fn list_unheard(node: &Node, inventories: &Inventories) -> BTreeSet<String> {
+fn list_unreachable_regions(node: &Node, inventories: &Inventories) -> BTreeSet<String> {
     let lost = node.with(|state| state.members.list_lost_regions()).into_iter();
     let is_serving = |region: &String| {
         let held = inventories.get(region).into_iter().flat_map(BTreeMap::values);
--- a/crates/gateway/src/node/connections.rs
+++ b/crates/gateway/src/node/connections.rs
@@ -9,13 +9,13 @@
 use crate::runtime;
 
 /// The time between two looks: configurations and nodes change seldom.
-const LOOK: Duration = Duration::from_secs(1);
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// The fraction of a server's connections that may rest at all nodes together; the rest is for
 /// requests under way, of which one node may have many.
-const RESTING_PART: f64 = 0.5;
+const IDLE_FRACTION: f64 = 0.5;
 /// Connections that a node may keep to a server in any case: one that is used again and again, and
 /// one for a second request.
-const LEAST_RESTING: usize = 2;
+const MIN_IDLE_CONNECTIONS: usize = 2;
 
 /// Sets how many connections to a server may rest, for as long as the process runs.
 pub(super) async fn run(node: Arc<Node>) {
@@ -26,19 +26,19 @@
             state.configuration.clone().map(|configuration| (configuration, nodes))
         });
         if let Some((configuration, nodes)) = known
-            && let Some(most) = get_share(&configuration, nodes)
+            && let Some(max) = get_max_idle(&configuration, nodes)
         {
-            node.http_client.set_idle_per_address(most);
+            node.http_client.set_idle_per_address(max);
         }
-        runtime::sleep(LOOK).await;
+        runtime::sleep(UPDATE_INTERVAL).await;
     }
 }
 
 /// Returns how many connections to a server one of the nodes may keep; `None` where no service
 /// bounds them.
-fn get_share(configuration: &Configuration, nodes: usize) -> Option<usize> {
+fn get_max_idle(configuration: &Configuration, nodes: usize) -> Option<usize> {
     let bounds = configuration.services.values().map(|service| service.max_connections);
-    let least = bounds.filter(|most| *most > 0).min()?;
-    let share = f64::from(least) * RESTING_PART / nodes.max(1) as f64;
-    Some((share as usize).max(LEAST_RESTING))
+    let min_bound = bounds.filter(|max| *max > 0).min()?;
+    let share = f64::from(min_bound) * IDLE_FRACTION / nodes.max(1) as f64;
+    Some((share as usize).max(MIN_IDLE_CONNECTIONS))
 }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -18,29 +18,29 @@
 use crate::metrics::ServiceLabels;
 use crate::runtime::{self, lock};
 
-/// The pause before the look at a server, in which the other connections that ended with it are
+/// The pause before the probe at a server, in which the other connections that ended with it are
 /// noticed: on a small VM some tens of tasks take their turns.
-const GATHER: Duration = Duration::from_millis(40);
+const CORRELATION_DELAY: Duration = Duration::from_millis(40);
 /// The most requests that are noted of one server; it works on fewer at once.
-const MOST_RUNS: usize = 64;
+const MAX_ATTEMPTS_PER_SERVER: usize = 64;
 
 /// Notes that the connection of a run broke off, and looks at the server soon.
 ///
 /// A server that is leaving or gone breaks off for another reason.
 pub(crate) fn note_interrupted_attempt(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
-    let is_suspect =
+    let is_suspected =
         run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPECTED_FOR);
-    if !is_suspect || node.with(|state| is_leaving(&state.directory, server)) {
+    if !is_suspected || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
     let mut pending = lock(&node.interrupted_attempts);
     let is_first = !pending.contains_key(&server.id);
     let runs = pending.entry(server.id.clone()).or_default();
-    if runs.len() < MOST_RUNS {
+    if runs.len() < MAX_ATTEMPTS_PER_SERVER {
         runs.push(run);
     }
     if is_first {
-        runtime::spawn(look(node.clone(), server.clone()));
+        runtime::spawn(probe(node.clone(), server.clone()));
     }
 }
 
@@ -51,8 +51,8 @@
 }
 
 /// Looks whether a server still listens, and has not started again.
-async fn look(node: Arc<Node>, server: Server) {
-    runtime::sleep(GATHER).await;
+async fn probe(node: Arc<Node>, server: Server) {
+    runtime::sleep(CORRELATION_DELAY).await;
     let is_listening = node.http_client.is_listening(server.address).await;
     let runs = lock(&node.interrupted_attempts).remove(&server.id).unwrap_or_default();
     if is_listening && !node.with(|state| state.directory.is_superseded(&server)) {
@@ -67,12 +67,12 @@
         .map(|run| Running { fingerprint: run.fingerprint.to_string(), ran_ms: run.get_span() });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
-    node.with(|state| state.quarantine.note_crash(now, make_report(now, &server, &runs)));
+    node.with(|state| state.quarantine.note_crash(now, make_crash(now, &server, &runs)));
     peers::quarantine::send_reports(&node).await;
 }
 
 /// Makes the report of a server that crashed.
-fn make_report(now: Millis, server: &Server, runs: &[InterruptedAttempt]) -> Crash {
+fn make_crash(now: Millis, server: &Server, runs: &[InterruptedAttempt]) -> Crash {
     let crashed_at = runs.iter().map(|run| run.interrupted_at).min().unwrap_or(now);
     let runs = runs.iter();
     let runs = runs.map(|run| Run { fingerprint: run.fingerprint, ran_for: run.get_span() });
--- a/crates/gateway/src/node/era_origin.rs
+++ b/crates/gateway/src/node/era_origin.rs
@@ -16,7 +16,7 @@
 use crate::runtime;
 
 const TABLE: TableName = TableName::Own("eras");
-const CALL_WITHIN: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The origin of an era, as its row keeps it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     if era == Era::UNNAMED || node.with(|state| state.eras.get_origin()).is_some() {
         return Ok(());
     }
-    let rows = table::read_all(node, TABLE, CALL_WITHIN).await?;
+    let rows = table::read_all(node, TABLE, CALL_TIMEOUT).await?;
     let key = make_key(rows.version.era);
     let found = rows.rows.iter().find(|row| row.key == key);
     let origin = match found {
@@ -61,7 +61,7 @@
     let key = make_key(era);
     let version = TableVersion::absent(era);
     let value = serde_json::to_vec(&origin).ok();
-    match table::replace(node, TABLE, &key, version, value, CALL_WITHIN).await {
+    match table::replace(node, TABLE, &key, version, value, CALL_TIMEOUT).await {
         Ok(_) => Ok(origin),
         Err(TableError::Conflict(found)) if !found.rows.is_empty() => {
             Ok(decode(&found.rows[0], rows.table_time))
--- a/crates/gateway/src/node/duty.rs
+++ b/crates/gateway/src/node/leader.rs
@@ -7,26 +7,26 @@
 use keeljunction_core::serving::duty_lease::{LeaseRow, Step, TableClock};
 use keeljunction_core::serving::table_version::TableVersion;
 
-use super::{Node, capacity_duty, era_origin, rollout_duty, table, usage_duty};
+use super::{Node, capacity_controller, era_origin, rollout_controller, table, usage_reporter};
 use crate::event::{self, Event};
 use crate::port::{Condition, Row, TableError, TableName, Transaction, Write};
 use crate::runtime;
 
 pub(super) const TABLE: &str = "leases";
 const KEY: &str = "duties";
-const TICK: Duration = Duration::from_millis(200);
-const ANSWER_WITHIN: Duration = Duration::from_millis(700);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// The first look at the lease comes within this time of the start.
-const FIRST_LOOK_WITHIN: Millis = 1_500;
+const MAX_START_DELAY_MS: Millis = 1_500;
 /// The part of a lease for which a holder is believed that was heard of: its row cannot end before
 /// the rest of the lease is over, and reports in groups take up to three periods.
-const HOLDER_BELIEVED_PART: f64 = 2.0 / 3.0;
+const HOLDER_TTL_FRACTION: f64 = 2.0 / 3.0;
 /// Renewals in each length of the lease.
-const RENEWALS: u64 = 3;
+const RENEWALS_PER_LEASE: u64 = 3;
 
 /// The lease's row as the table surely held it, with the clock reading that came with it.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownLease {
     /// `None` where there is no row yet.
     row: Option<LeaseRow>,
     /// The row's version.
@@ -38,7 +38,7 @@
 
 /// A row that cannot be read.
 #[derive(Clone, Copy, Debug)]
-struct Unreadable {
+struct UnreadableRow {
     version: TableVersion,
     /// When it was first seen, on the table service's clock.
     seen_at: Millis,
@@ -46,30 +46,30 @@
 
 /// Holds the lease where it is free, and does the duties while it is held.
 pub async fn run(node: Arc<Node>) {
-    let mut known: Option<Known> = None;
+    let mut known_lease: Option<KnownLease> = None;
     let mut unreadable = None;
     // Nodes that start together would all write the row at once.
-    let mut look_at: Millis = node.now() + fastrand::u64(..FIRST_LOOK_WITHIN);
-    let mut usage = usage_duty::UsageDuty::default();
-    let mut capacity = capacity_duty::CapacityDuty::default();
-    let mut rollouts = rollout_duty::RolloutDuty::default();
-    let mut held_before: Option<u64> = None;
+    let mut next_check_at: Millis = node.now() + fastrand::u64(..MAX_START_DELAY_MS);
+    let mut usage = usage_reporter::UsageReporter::default();
+    let mut capacity = capacity_controller::CapacityController::default();
+    let mut rollouts = rollout_controller::RolloutController::default();
+    let mut last_fence: Option<u64> = None;
     loop {
         let now = node.now();
-        if now >= look_at && !is_left_to_others(&node, now) {
-            look_at = now + keep(&node, &mut known, &mut unreadable).await;
+        if now >= next_check_at && !can_skip_lease(&node, now) {
+            next_check_at = now + acquire_or_renew(&node, &mut known_lease, &mut unreadable).await;
         }
         let fence = node.with(|state| state.lease.get_fence(node.now()));
-        if fence != held_before {
+        if fence != last_fence {
             event::emit(&Event::LeaseChanged { fence });
-            held_before = fence;
+            last_fence = fence;
         }
         if fence.is_some() && is_aggregator(&node) {
             usage.step(&node).await;
             rollouts.step(&node).await;
             capacity.step(&node).await;
         }
-        runtime::sleep(TICK).await;
+        runtime::sleep(TICK_INTERVAL).await;
     }
 }
 
@@ -80,8 +80,8 @@
 
 /// Returns `true` if this node need not look at the lease: it is no aggregator, or another node
 /// was heard to hold it. A holder that is none any more lets its lease end.
-fn is_left_to_others(node: &Node, now: Millis) -> bool {
-    let within = (node.settings.bounds.lease_ms as f64 * HOLDER_BELIEVED_PART) as Millis;
+fn can_skip_lease(node: &Node, now: Millis) -> bool {
+    let within = (node.settings.bounds.lease_ms as f64 * HOLDER_TTL_FRACTION) as Millis;
     node.with(|state| {
         let is_held_elsewhere = state.members.is_holder_heard(now, within);
         let is_candidate = state.members.is_aggregator() && state.members.is_settled(now);
@@ -92,18 +92,18 @@
 
 /// Takes or renews the lease; returns the time after which to look again.
 ///
-/// After a write whose outcome is not known the row is read before anything else is tried.
-async fn keep(
+/// After a write whose outcome is not known_lease the row is read before anything else is tried.
+async fn acquire_or_renew(
     node: &Node,
-    known: &mut Option<Known>,
-    unreadable: &mut Option<Unreadable>,
+    known_lease: &mut Option<KnownLease>,
+    unreadable: &mut Option<UnreadableRow>,
 ) -> Millis {
-    let retry = TICK.as_millis() as Millis;
+    let retry = TICK_INTERVAL.as_millis() as Millis;
     if node.is_stopping() {
         return node.settings.bounds.lease_ms;
     }
     let era = node.with(|state| state.eras.get());
-    let current = match known.take().filter(|known| known.version.era == era) {
+    let current = match known_lease.take().filter(|known| known.version.era == era) {
         Some(current) => current,
         None => match read(node, unreadable).await {
             Ok(current) => current,
@@ -119,19 +119,19 @@
         Step::Wait(time) => return time + retry / 2,
         Step::Write(row) => row,
     };
-    *known = write(node, row, &current).await;
-    if known.is_some() { node.settings.bounds.lease_ms / RENEWALS } else { retry }
+    *known_lease = write(node, row, &current).await;
+    if known_lease.is_some() { node.settings.bounds.lease_ms / RENEWALS_PER_LEASE } else { retry }
 }
 
 /// Writes the row where it has not changed since a version; `None` where that is not sure to be
 /// done.
-async fn write(node: &Node, row: LeaseRow, current: &Known) -> Option<Known> {
+async fn write(node: &Node, row: LeaseRow, current: &KnownLease) -> Option<KnownLease> {
     let asked_at = node.now();
-    match table::commit(node, transaction(&row, current), ANSWER_WITHIN).await {
+    match table::commit(node, make_transaction(&row, current), CALL_TIMEOUT).await {
         Ok(rows) => {
             let clock = TableClock { asked_at, table_time: rows.table_time };
             node.with(|state| state.lease.confirm(rows.version.era, &row, clock));
-            Some(Known { row: Some(row), version: rows.version, clock, earlier: Vec::new() })
+            Some(KnownLease { row: Some(row), version: rows.version, clock, earlier: Vec::new() })
         }
         Err(error) => {
             event::emit(&Event::TableCallFailed { what: "lease", error: error.to_string() });
@@ -140,7 +140,7 @@
     }
 }
 
-fn transaction(row: &LeaseRow, current: &Known) -> Transaction {
+fn make_transaction(row: &LeaseRow, current: &KnownLease) -> Transaction {
     let (table, version) = (TableName::Own(TABLE), current.version);
     let key = table::era_key(KEY, version.era);
     let condition = Condition { table, key: key.clone(), version };
@@ -151,9 +151,12 @@
 }
 
 /// Reads the lease's row; a row that is this node's confirms its lease.
-async fn read(node: &Node, unreadable: &mut Option<Unreadable>) -> Result<Known, TableError> {
+async fn read(
+    node: &Node,
+    unreadable: &mut Option<UnreadableRow>,
+) -> Result<KnownLease, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), ANSWER_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?;
     let clock = TableClock { asked_at, table_time: rows.table_time };
     let era = rows.version.era;
     let key = table::era_key(KEY, era);
@@ -165,14 +168,14 @@
         if node.with(|state| state.eras.get_age(asked_at)).is_none() {
             era_origin::find(node).await?;
         }
-        return Ok(Known { row: None, version: TableVersion::absent(era), clock, earlier });
+        return Ok(KnownLease { row: None, version: TableVersion::absent(era), clock, earlier });
     };
     let row = match decode(found) {
         Some(row) => row,
-        None => replace_unreadable(node, unreadable, found, clock),
+        None => make_unreadable_lease(node, unreadable, found, clock),
     };
     node.with(|state| state.lease.confirm(era, &row, clock));
-    Ok(Known { row: Some(row), version: found.version, clock, earlier })
+    Ok(KnownLease { row: Some(row), version: found.version, clock, earlier })
 }
 
 fn decode(row: &Row) -> Option<LeaseRow> {
@@ -181,9 +184,9 @@
 
 /// Returns a row in the place of one that cannot be read: whoever wrote it may hold the lease for its
 /// length from now on. The version of a row is higher than any fence that was ever written there.
-fn replace_unreadable(
+fn make_unreadable_lease(
     node: &Node,
-    unreadable: &mut Option<Unreadable>,
+    unreadable: &mut Option<UnreadableRow>,
     found: &Row,
     clock: TableClock,
 ) -> LeaseRow {
@@ -191,7 +194,7 @@
     let seen = known.unwrap_or_else(|| {
         let error = format!("the row {KEY} of {TABLE} cannot be read");
         event::emit(&Event::DocumentRejected { error });
-        Unreadable { version: found.version, seen_at: clock.table_time }
+        UnreadableRow { version: found.version, seen_at: clock.table_time }
     });
     *unreadable = Some(seen);
     let ends_at = seen.seen_at + node.settings.bounds.lease_ms;
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -17,9 +17,9 @@
 
 /// The time between two samples of the resident memory: at the bandwidth of a small VM's link, 10
 /// to 200 Mbit/s, at most some megabytes come meanwhile.
-const SAMPLE_PAUSE: Duration = Duration::from_millis(250);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 /// How long to wait for evicted uploads to release their memory: their tasks only have to be woken.
-const RELEASED_WITHIN: Duration = Duration::from_millis(20);
+const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
 /// Bytes that are held until this is dropped.
 pub struct Reservation {
@@ -27,7 +27,7 @@
     id: HolderId,
     bytes: u64,
     /// Whether a signal of eviction was taken.
-    has_stop: bool,
+    has_eviction_signal: bool,
 }
 
 impl Reservation {
@@ -40,12 +40,12 @@
     pub fn for_claim(node: &Arc<Node>, claim: &Claim<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
-        Self { node: node.clone(), id, bytes: 0, has_stop: false }
+        Self { node: node.clone(), id, bytes: 0, has_eviction_signal: false }
     }
 
     /// Returns the signal that this upload is evicted.
     pub(crate) fn watch_eviction(&mut self) -> Stop {
-        self.has_stop = true;
+        self.has_eviction_signal = true;
         let stop = lock(&self.node.eviction_signals.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
@@ -66,7 +66,7 @@
     ///
     /// Returns when to retry where there is no room, and whether some is being made; nothing is
     /// reserved then.
-    fn try_grow(&mut self, bytes: u64) -> Result<(), NoRoom> {
+    fn try_grow(&mut self, bytes: u64) -> Result<(), InsufficientMemory> {
         let now = self.node.now();
         let grown = self.node.with(|state| state.memory.grow(now, self.id, bytes));
         match grown {
@@ -76,8 +76,8 @@
             }
             Err(shortage) => {
                 self.node.eviction_signals.evict(&shortage.evicted);
-                let is_made = !shortage.evicted.is_empty();
-                Err(NoRoom { retry_after: shortage.retry_after, is_made })
+                let is_evicting = !shortage.evicted.is_empty();
+                Err(InsufficientMemory { retry_after: shortage.retry_after, is_evicting })
             }
         }
     }
@@ -90,10 +90,10 @@
     pub(crate) async fn grow_or_wait(&mut self, bytes: u64) -> Result<(), Millis> {
         match self.try_grow(bytes) {
             Ok(()) => Ok(()),
-            Err(NoRoom { retry_after, is_made: false }) => Err(retry_after),
-            Err(NoRoom { is_made: true, .. }) => {
-                runtime::sleep(RELEASED_WITHIN).await;
-                self.try_grow(bytes).map_err(|no_room| no_room.retry_after)
+            Err(InsufficientMemory { retry_after, is_evicting: false }) => Err(retry_after),
+            Err(InsufficientMemory { is_evicting: true, .. }) => {
+                runtime::sleep(EVICTION_WAIT).await;
+                self.try_grow(bytes).map_err(|error| error.retry_after)
             }
         }
     }
@@ -125,7 +125,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        if self.has_stop {
+        if self.has_eviction_signal {
             lock(&self.node.eviction_signals.0).remove(&self.id);
         }
         let now = self.node.now();
@@ -135,17 +135,17 @@
 
 /// Why bytes were not reserved.
 #[derive(Clone, Copy, Debug)]
-struct NoRoom {
+struct InsufficientMemory {
     retry_after: Millis,
     /// Whether uploads are being evicted for them.
-    is_made: bool,
+    is_evicting: bool,
 }
 
 /// Passes samples of the resident memory to the accountant for as long as the process runs.
 pub(super) async fn watch(node: Arc<Node>) {
     loop {
         observe(&node);
-        runtime::sleep(SAMPLE_PAUSE).await;
+        runtime::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -16,27 +16,27 @@
 //! | [`document`] | packs what peers get from each other |
 //! | `connections` | keeps the connections to servers that rest within the node's share |
 //! | `quarantine_rows` | keeps which requests crash servers in the platform's table |
-//! | [`duty`] | holds the lease and makes the calls that one node at a time may make |
+//! | [`leader`] | holds the lease and makes the calls that one node at a time may make |
 //! | `era_origin` | keeps when the eras of the table service began |
 //! | `table` | calls the table service, and follows its eras |
 //! | [`stop`] | ends the node without cutting an answer |
 
 mod backoff;
-mod capacity_duty;
+mod capacity_controller;
 mod connections;
 pub(crate) mod crashes;
 mod cross_region;
 pub mod document;
-pub mod duty;
 mod era_origin;
 mod eviction_signals;
 pub(crate) mod interrupted_attempts;
+pub mod leader;
 mod listeners;
 pub mod memory;
 mod pause_detector;
 mod peers;
 mod quarantine_rows;
-mod rollout_duty;
+mod rollout_controller;
 mod rollout_status;
 pub(crate) mod rollouts;
 pub mod serve;
@@ -45,7 +45,7 @@
 pub mod state;
 pub mod stop;
 mod table;
-mod usage_duty;
+mod usage_reporter;
 pub mod usage_rows;
 pub mod watch;
 
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -21,24 +21,24 @@
 const SERVERS_PATH: &str = "/servers";
 const NODES_PATH: &str = "/nodes";
 /// The part of the query of a list that gives the version from which changes are wanted.
-const AFTER: &str = "after=";
-const LONGEST_ANSWER: usize = 16 << 20;
+const AFTER_PARAMETER: &str = "after=";
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// How long a call may take, as a part of the time in which a configuration must be in force: a
 /// long document takes a while over a narrow link, and a peer may be silent.
-const CALL_PART: f64 = 0.5;
+const CALL_TIMEOUT_FRACTION: f64 = 0.5;
 /// Calls for the same document at the same time, of different peers: one of them may be silent, and
 /// more would hold each other up on a narrow link.
-const MOST_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_FETCHES: usize = 2;
 
 /// Serves what this node knows to peers.
 pub(in crate::node) async fn serve(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let document = match request.uri().path() {
         CONFIGURATION_PATH => {
             let document = node.with(|state| state.configuration_document.clone());
-            document.map(|document| document.get_packed())
+            document.map(|document| document.get_compressed())
         }
-        NODES_PATH => list_additions(&node, read_after(request.uri().query())),
-        SERVERS_PATH => get_update(&node, read_after(request.uri().query())),
+        NODES_PATH => encode_additions(&node, read_after(request.uri().query())),
+        SERVERS_PATH => encode_update(&node, read_after(request.uri().query())),
         _ => None,
     };
     let Some(document) = document else {
@@ -51,11 +51,11 @@
 
 /// Reads from a query the version up to which a peer knows the list; `None` where it knows none.
 fn read_after<T: FromStr>(query: Option<&str>) -> Option<T> {
-    query?.strip_prefix(AFTER)?.parse().ok()
+    query?.strip_prefix(AFTER_PARAMETER)?.parse().ok()
 }
 
 /// Encodes what a peer lacks of the list of servers.
-fn get_update(node: &Node, after: Option<TableVersion>) -> Option<Bytes> {
+fn encode_update(node: &Node, after: Option<TableVersion>) -> Option<Bytes> {
     let encoded = node.with(|state| {
         let is_known = state.directory.is_known();
         is_known.then(|| postcard::to_stdvec(&state.directory.get_update(after)))
@@ -70,7 +70,7 @@
 }
 
 /// Encodes what a peer lacks of the list of nodes.
-fn list_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
+fn encode_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
     let additions = node.with(|state| state.members.list_additions(now, after.unwrap_or(0)));
     let encoded = postcard::to_stdvec(&additions);
@@ -81,8 +81,8 @@
 }
 
 /// Gets from a peer what was added to its list of nodes.
-pub(super) async fn get_additions(node: Arc<Node>, from: SocketAddr, after: u64) {
-    let path = format!("{NODES_PATH}?{AFTER}{after}");
+pub(super) async fn fetch_additions(node: Arc<Node>, from: SocketAddr, after: u64) {
+    let path = format!("{NODES_PATH}?{AFTER_PARAMETER}{after}");
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
@@ -92,39 +92,39 @@
 }
 
 /// Gets a peer's configuration and adopts it where it is newer.
-pub(super) async fn get_configuration(node: Arc<Node>, from: SocketAddr) {
-    let Some(_call) = Call::begin(&node.active_fetches.configuration) else { return };
+pub(super) async fn fetch_configuration(node: Arc<Node>, from: SocketAddr) {
+    let Some(_slot) = FetchSlot::acquire(&node.active_fetches.configuration) else { return };
     let Some(document) = fetch(&node, from, CONFIGURATION_PATH).await else { return };
-    let Some(text) = document::unpack(&document) else { return };
+    let Some(text) = document::decompress(&document) else { return };
     let row = Row { key: String::new(), value: Some(text), version: TableVersion::default() };
     watch::adopt_configuration(&node, &[row]);
 }
 
 /// Counts a call until it is dropped.
-struct Call<'a>(&'a AtomicUsize);
+struct FetchSlot<'a>(&'a AtomicUsize);
 
-impl<'a> Call<'a> {
+impl<'a> FetchSlot<'a> {
     /// Begins, unless as many as may be at once are going on.
-    fn begin(calls: &'a AtomicUsize) -> Option<Self> {
+    fn acquire(calls: &'a AtomicUsize) -> Option<Self> {
         let before = calls.fetch_add(1, Ordering::SeqCst);
         let call = Self(calls);
-        (before < MOST_AT_ONCE).then_some(call)
+        (before < MAX_CONCURRENT_FETCHES).then_some(call)
     }
 }
 
-impl Drop for Call<'_> {
+impl Drop for FetchSlot<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 /// Gets from a peer what this node lacks of the list of servers.
-pub(super) async fn get_servers(node: Arc<Node>, from: SocketAddr) {
-    let Some(_call) = Call::begin(&node.active_fetches.servers) else { return };
+pub(super) async fn fetch_servers(node: Arc<Node>, from: SocketAddr) {
+    let Some(_slot) = FetchSlot::acquire(&node.active_fetches.servers) else { return };
     let after =
         node.with(|state| state.directory.is_known().then(|| state.directory.get_version()));
     let path = match after {
-        Some(version) => format!("{SERVERS_PATH}?{AFTER}{version}"),
+        Some(version) => format!("{SERVERS_PATH}?{AFTER_PARAMETER}{version}"),
         None => SERVERS_PATH.to_owned(),
     };
     let Some(document) = fetch(&node, from, &path).await else { return };
@@ -142,8 +142,8 @@
         if response.status() != StatusCode::OK {
             return None;
         }
-        read(response.into_body(), LONGEST_ANSWER).await
+        read(response.into_body(), MAX_RESPONSE_BYTES).await
     };
     let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
-    runtime::within(bound.mul_f64(CALL_PART), fetching).await.flatten()
+    runtime::within(bound.mul_f64(CALL_TIMEOUT_FRACTION), fetching).await.flatten()
 }
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/discovery.rs
@@ -12,74 +12,74 @@
 use crate::port::{Row, Rows, Selection, TableError, TableName, Transaction, Write};
 use crate::runtime;
 
-/// The table in which nodes list themselves.
+/// The table in which nodes register themselves.
 const TABLE: &str = "nodes";
-const CALL_WITHIN: Duration = Duration::from_millis(700);
-/// Nodes that start together list themselves within this time, and not all at once: the table
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Nodes that start together register themselves within this time, and not all at once: the table
 /// service takes a bounded number of writes a second, and refuses more.
-const LISTED_WITHIN: Duration = Duration::from_millis(1_000);
+const REGISTRATION_SPREAD: Duration = Duration::from_millis(1_000);
 /// The pause after a write that failed, by which writes spread further.
-const LIST_AGAIN: Duration = Duration::from_millis(1_500);
+const INITIAL_REGISTRATION_BACKOFF: Duration = Duration::from_millis(1_500);
 /// That pause after several writes that failed.
-const LIST_AGAIN_AT_MOST: Duration = Duration::from_secs(12);
+const MAX_REGISTRATION_BACKOFF: Duration = Duration::from_secs(12);
 /// How long a write's answer is waited for: the table service lets writes wait for a second in turn, and
 /// whoever gives up sooner while it is saturated gets no answer at all.
-const LIST_WITHIN: Duration = Duration::from_millis(2_500);
-/// The time after which a node that had to list itself reads the list once more.
-const READ_TWICE_AFTER: Duration = Duration::from_millis(1_000);
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The time after which a node that had to register itself reads the register once more.
+const SECOND_READ_DELAY: Duration = Duration::from_millis(1_000);
 /// Rows that a node reads at its start, with one call: it hears of all others through these nodes.
-const SAMPLE: usize = 500;
+const SAMPLE_ROWS: usize = 500;
 /// The time between two looks whether the table service has come back from an older copy.
-const LOOK_FOR_ERA: Duration = Duration::from_secs(1);
-/// The time between two looks at the list.
-const LOOK_AGAIN: Duration = Duration::from_secs(60);
+const ERA_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The time between two looks at the register.
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Reads who else is there, lists this node where it is not listed yet, and goes on to look now and
 /// then where this node reads for all.
 ///
-/// At the first start of all nodes the list fills while they read it: a node that had to list itself
+/// At the first start of all nodes the register fills while they read it: a node that had to register itself
 /// therefore reads it again, unless it has found an aggregator, which passes on what it misses.
 pub(super) async fn run(node: Arc<Node>) {
     let is_first_start = node.settings.node.is_first_start;
-    let is_listed =
-        !is_first_start && read_until_done(&node, Part::Sample { is_settled: false }).await;
-    if !is_listed {
-        runtime::sleep(LISTED_WITHIN.mul_f64(fastrand::f64())).await;
-        list_until_done(&node).await;
+    let is_registered =
+        !is_first_start && read_with_retries(&node, Part::Sample { is_settled: false }).await;
+    if !is_registered {
+        runtime::sleep(REGISTRATION_SPREAD.mul_f64(fastrand::f64())).await;
+        register_until_done(&node).await;
     }
-    let mut listed_in = node.with(|state| state.eras.get());
-    if !is_listed {
-        runtime::sleep(jitter(READ_TWICE_AFTER)).await;
+    let mut registered_in = node.with(|state| state.eras.get());
+    if !is_registered {
+        runtime::sleep(jitter(SECOND_READ_DELAY)).await;
         if is_alone(&node) || !node.with(|state| state.members.is_grouped()) {
-            read_until_done(&node, Part::Sample { is_settled: true }).await;
+            read_with_retries(&node, Part::Sample { is_settled: true }).await;
         }
     }
-    let mut look_at = node.now() + jitter(LOOK_AGAIN).as_millis() as Millis;
+    let mut next_read_at = node.now() + jitter(FULL_READ_INTERVAL).as_millis() as Millis;
     loop {
-        runtime::sleep(jitter(LOOK_FOR_ERA)).await;
+        runtime::sleep(jitter(ERA_CHECK_INTERVAL)).await;
         let era = node.with(|state| state.eras.get());
-        if era != listed_in {
-            list_again(&node).await;
-            listed_in = era;
+        if era != registered_in {
+            ensure_registered(&node).await;
+            registered_in = era;
         }
-        if node.now() < look_at {
+        if node.now() < next_read_at {
             continue;
         }
-        look_at = node.now() + jitter(LOOK_AGAIN).as_millis() as Millis;
+        next_read_at = node.now() + jitter(FULL_READ_INTERVAL).as_millis() as Millis;
         if node.with(|state| state.members.is_reader(node.now())) || is_alone(&node) {
-            read_until_done(&node, Part::Whole).await;
+            read_with_retries(&node, Part::Whole).await;
         }
     }
 }
 
 /// Lists this node where its row is gone after a return of the table service.
-async fn list_again(node: &Node) {
-    runtime::sleep(LISTED_WITHIN.mul_f64(fastrand::f64())).await;
+async fn ensure_registered(node: &Node) {
+    runtime::sleep(REGISTRATION_SPREAD.mul_f64(fastrand::f64())).await;
     let mut backoff = Backoff::default();
     loop {
-        match is_listed(node).await {
+        match is_registered(node).await {
             Ok(true) => return,
-            Ok(false) => return list_until_done(node).await,
+            Ok(false) => return register_until_done(node).await,
             Err(error) => note_failure("read nodes", &error),
         }
         backoff.wait().await;
@@ -87,23 +87,23 @@
 }
 
 /// Returns `true` if this node is listed as it is.
-async fn is_listed(node: &Node) -> Result<bool, TableError> {
+async fn is_registered(node: &Node) -> Result<bool, TableError> {
     let own = read_from(node, &sample::make_key(&node.incarnation.node), 1).await?;
     Ok(own.rows.iter().filter_map(decode).any(|entry| entry == node.get_entry()))
 }
 
-/// The part of the list that is read.
+/// The part of the register that is read.
 #[derive(Clone, Copy, Debug)]
 enum Part {
     /// The first rows; `is_settled` where those that started together with this node
-    /// had the time to list themselves.
+    /// had the time to register themselves.
     Sample { is_settled: bool },
     /// All rows.
     Whole,
 }
 
-/// Reads the list, again after each failure; returns whether this node is listed as it is.
-async fn read_until_done(node: &Node, part: Part) -> bool {
+/// Reads the register, again after each failure; returns whether this node is listed as it is.
+async fn read_with_retries(node: &Node, part: Part) -> bool {
     let mut backoff = Backoff::default();
     loop {
         let reading = match part {
@@ -111,7 +111,7 @@
             Part::Whole => read_whole(node).await,
         };
         match reading {
-            Ok(is_listed) => return is_listed,
+            Ok(is_registered) => return is_registered,
             Err(error) => note_failure("read nodes", &error),
         }
         backoff.wait().await;
@@ -127,42 +127,42 @@
 /// Lists this node, again after each failure and ever more seldom, until it is listed.
 ///
 /// A write that was not answered may be done later. Where many nodes start, each further one would hold up
-/// those that wait already, so that the list is read before the next one.
-async fn list_until_done(node: &Node) {
-    let mut pause = LIST_AGAIN;
-    while let Err(error) = list(node).await {
-        note_failure("list this node", &error);
+/// those that wait already, so that the register is read before the next one.
+async fn register_until_done(node: &Node) {
+    let mut pause = INITIAL_REGISTRATION_BACKOFF;
+    while let Err(error) = register(node).await {
+        note_failure("register this node", &error);
         runtime::sleep(jitter(pause)).await;
-        if read_until_done(node, Part::Sample { is_settled: false }).await {
+        if read_with_retries(node, Part::Sample { is_settled: false }).await {
             return;
         }
-        pause = (pause * 2).min(LIST_AGAIN_AT_MOST);
+        pause = (pause * 2).min(MAX_REGISTRATION_BACKOFF);
     }
 }
 
-async fn list(node: &Node) -> Result<(), TableError> {
+async fn register(node: &Node) -> Result<(), TableError> {
     let entry = node.get_entry();
     let value = serde_json::to_vec(&entry)
         .map_err(|error| TableError::Unanswered(format!("not sent: {error}")))?;
     let key = sample::make_key(&entry.name);
     let write = Write { table: TableName::Own(TABLE), key, value: Some(value) };
     let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
-    table::commit(node, transaction, LIST_WITHIN).await.map(|_| ())
+    table::commit(node, transaction, REGISTRATION_TIMEOUT).await.map(|_| ())
 }
 
 async fn read_whole(node: &Node) -> Result<bool, TableError> {
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN).await?.rows;
+    let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?.rows;
     let entries: Vec<Entry> = rows.iter().filter_map(decode).collect();
-    let is_listed = entries.contains(&node.get_entry());
+    let is_registered = entries.contains(&node.get_entry());
     let now = node.now();
     node.with(|state| state.members.take_list(now, entries, true));
-    Ok(is_listed)
+    Ok(is_registered)
 }
 
 /// Reads the first rows, and this node's own where it is not among them.
 async fn read_sample(node: &Node, is_settled: bool) -> Result<bool, TableError> {
     let own_key = sample::make_key(&node.incarnation.node);
-    let first = read_from(node, "", SAMPLE).await?;
+    let first = read_from(node, "", SAMPLE_ROWS).await?;
     let last = first.rows.last().map_or("", |row| row.key.as_str());
     let mut count = first.rows.len();
     let mut own = None;
@@ -173,17 +173,17 @@
         }
     }
     let entries: Vec<Entry> = first.rows.iter().chain(&own).filter_map(decode).collect();
-    let is_listed = entries.contains(&node.get_entry());
+    let is_registered = entries.contains(&node.get_entry());
     let now = node.now();
     // A node that is listed already has run before, and so have the others.
-    let is_whole = is_settled || is_listed;
+    let is_whole = is_settled || is_registered;
     node.with(|state| state.members.take_sample(now, entries, count, is_whole));
-    Ok(is_listed)
+    Ok(is_registered)
 }
 
 async fn read_from(node: &Node, key: &str, most: usize) -> Result<Rows, TableError> {
     let selection = Selection { table: TableName::Own(TABLE), from: key.to_owned(), most };
-    table::read_some(node, selection, CALL_WITHIN).await
+    table::read_some(node, selection, CALL_TIMEOUT).await
 }
 
 fn decode(row: &Row) -> Option<Entry> {
--- a/crates/gateway/src/node/peers/link.rs
+++ b/crates/gateway/src/node/peers/link.rs
@@ -17,35 +17,35 @@
 use crate::runtime::{self, lock};
 
 /// The most bytes that a UDP datagram over IPv4 carries.
-const LONGEST_DATAGRAM: usize = 65_507;
+const MAX_DATAGRAM_BYTES: usize = 65_507;
 /// The pause after an error of the socket, so that a permanent one does not keep the processor busy.
-const AFTER_ERROR: Duration = Duration::from_millis(50);
+const ERROR_BACKOFF: Duration = Duration::from_millis(50);
 /// The part of the link that datagrams to many nodes may take.
-const LINK_PART: f64 = 0.4;
+const LINK_FRACTION: f64 = 0.4;
 /// Bytes that are sent without a pause: some eight full packets.
-const BYTES_AT_ONCE: usize = 12 * 1_024;
+const MAX_BURST_BYTES: usize = 12 * 1_024;
 /// The shortest pause, in milliseconds; a shorter one is not worth a wake-up.
-const LEAST_PAUSE_MS: f64 = 1.0;
-/// Addresses whose newest datagram is remembered; all are forgotten where there are more, and
+const MIN_PACING_DELAY_MS: f64 = 1.0;
+/// Addresses whose last_received datagram is remembered; all are forgotten where there are more, and
 /// learnt again with the next ones.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_PEERS: usize = 4_096;
 
 /// The socket for datagrams between nodes.
 ///
-/// Each datagram carries the time of the newest one that its sender got from its recipient. Only
+/// Each datagram carries the time of the last_received one that its sender got from its recipient. Only
 /// that shows the recipient how old its content can be at most: the datagram may have been delayed.
 #[derive(Debug)]
 pub struct Link {
     socket: Async<UdpSocket>,
-    run: u32,
+    boot_id: u32,
     bits_per_ms: f64,
-    newest: Mutex<HashMap<SocketAddr, (u32, Millis)>>,
+    last_received: Mutex<HashMap<SocketAddr, (u32, Millis)>>,
     /// The nodes of other regions, with their regions.
-    far: Mutex<BTreeMap<SocketAddr, String>>,
+    remote_regions: Mutex<BTreeMap<SocketAddr, String>>,
     /// Bytes sent to each other region.
-    crossed_by_region: Family<RegionLabels, Counter>,
+    cross_region_bytes_by_region: Family<RegionLabels, Counter>,
     /// Bytes sent to all other regions.
-    crossed: AtomicU64,
+    cross_region_bytes: AtomicU64,
 }
 
 /// A datagram that came in.
@@ -53,69 +53,71 @@
 pub struct Received {
     /// Where it came from.
     pub from: SocketAddr,
-    /// The run of the sender's process, and when it sent this, on its own clock.
+    /// The boot_id of the sender's process, and when it sent this, on its own clock.
     pub sent: (u32, Millis),
-    /// When this node sent the newest datagram that the sender had got, on this node's clock.
-    pub asked_at: Option<Millis>,
+    /// When this node sent the last_received datagram that the sender had got, on this node's clock.
+    pub echoed_at: Option<Millis>,
     /// What it says.
     pub message: Message,
 }
 
 impl Link {
-    /// Binds the socket, for one run of the process.
+    /// Binds the socket, for one boot_id of the process.
     ///
     /// # Errors
     ///
     /// Returns the system's error.
-    pub fn bind(address: SocketAddr, run: u64, link_mbps: f64) -> io::Result<Self> {
+    pub fn bind(address: SocketAddr, boot_id: u64, link_mbps: f64) -> io::Result<Self> {
         let socket = Async::<UdpSocket>::bind(address)?;
-        let bits_per_ms = link_mbps * 1_000.0 * LINK_PART;
+        let bits_per_ms = link_mbps * 1_000.0 * LINK_FRACTION;
         Ok(Self {
             socket,
-            run: run as u32,
+            boot_id: boot_id as u32,
             bits_per_ms,
-            newest: Mutex::default(),
-            far: Mutex::default(),
-            crossed_by_region: Family::default(),
-            crossed: AtomicU64::new(0),
+            last_received: Mutex::default(),
+            remote_regions: Mutex::default(),
+            cross_region_bytes_by_region: Family::default(),
+            cross_region_bytes: AtomicU64::new(0),
         })
     }
 
     /// Sets which nodes stand in other regions.
-    pub fn set_far(&self, far: BTreeMap<SocketAddr, String>) {
-        *lock(&self.far) = far;
+    pub fn set_remote_regions(&self, remote_regions: BTreeMap<SocketAddr, String>) {
+        *lock(&self.remote_regions) = remote_regions;
     }
 
     /// Notes that a node stands in another region.
-    pub fn note_far(&self, address: SocketAddr, region: &str) {
-        lock(&self.far).entry(address).or_insert_with(|| region.to_owned());
+    pub fn note_remote_region(&self, address: SocketAddr, region: &str) {
+        lock(&self.remote_regions).entry(address).or_insert_with(|| region.to_owned());
     }
 
     /// Returns the region of a node, where that is another one than this node's.
-    pub fn get_far_region(&self, address: SocketAddr) -> Option<String> {
-        lock(&self.far).get(&address).cloned()
+    pub fn get_remote_region(&self, address: SocketAddr) -> Option<String> {
+        lock(&self.remote_regions).get(&address).cloned()
     }
 
     /// Returns the bytes that this node has sent to other regions.
-    pub fn get_crossed(&self) -> u64 {
-        self.crossed.load(Ordering::Relaxed)
+    pub fn get_cross_region_bytes(&self) -> u64 {
+        self.cross_region_bytes.load(Ordering::Relaxed)
     }
 
     /// Returns the same by region, as a metric.
-    pub fn get_crossed_by_region(&self) -> Family<RegionLabels, Counter> {
-        self.crossed_by_region.clone()
+    pub fn get_cross_region_bytes_by_region(&self) -> Family<RegionLabels, Counter> {
+        self.cross_region_bytes_by_region.clone()
     }
 
     /// Counts bytes that were sent to a node, if it stands in another region.
-    fn count_crossed(&self, to: SocketAddr, bytes: usize) {
-        let Some(region) = self.get_far_region(to) else { return };
-        self.crossed.fetch_add(bytes as u64, Ordering::Relaxed);
-        self.crossed_by_region.get_or_create(&RegionLabels { region }).inc_by(bytes as u64);
+    fn count_cross_region_bytes(&self, to: SocketAddr, bytes: usize) {
+        let Some(region) = self.get_remote_region(to) else { return };
+        self.cross_region_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.cross_region_bytes_by_region
+            .get_or_create(&RegionLabels { region })
+            .inc_by(bytes as u64);
     }
 
     /// Waits for the next datagram of this format.
     pub async fn receive(&self, buffer: &mut Vec<u8>) -> Received {
-        buffer.resize(LONGEST_DATAGRAM, 0);
+        buffer.resize(MAX_DATAGRAM_BYTES, 0);
         loop {
             let received = self.socket.recv_from(buffer).await;
             let (length, from) = match received {
@@ -123,7 +125,7 @@
                 Err(error) => {
                     // A peer's closed port shows here; there is nothing to be done about it.
                     log::debug!("no datagram was received: {error}");
-                    runtime::sleep(AFTER_ERROR).await;
+                    runtime::sleep(ERROR_BACKOFF).await;
                     continue;
                 }
             };
@@ -132,21 +134,24 @@
                 continue;
             };
             self.remember(from, &header);
-            let asked_at = header.answers.filter(|(run, _)| *run == self.run).map(|(_, at)| at);
-            let sent = (header.run, header.sent_at);
-            return Received { from, sent, asked_at, message };
+            let echoed_at = header
+                .last_received
+                .filter(|(boot_id, _)| *boot_id == self.boot_id)
+                .map(|(_, at)| at);
+            let sent = (header.boot_id, header.sent_at);
+            return Received { from, sent, echoed_at, message };
         }
     }
 
     fn remember(&self, from: SocketAddr, header: &Header) {
-        let mut newest = lock(&self.newest);
-        if newest.len() >= MOST_REMEMBERED {
-            newest.clear();
+        let mut last_received = lock(&self.last_received);
+        if last_received.len() >= MAX_PEERS {
+            last_received.clear();
         }
-        let known = newest.entry(from).or_insert((header.run, header.sent_at));
-        // Datagrams overtake one another; another run has another clock.
-        if known.0 != header.run || known.1 < header.sent_at {
-            *known = (header.run, header.sent_at);
+        let known = last_received.entry(from).or_insert((header.boot_id, header.sent_at));
+        // Datagrams overtake one another; another boot_id has another clock.
+        if known.0 != header.boot_id || known.1 < header.sent_at {
+            *known = (header.boot_id, header.sent_at);
         }
     }
 
@@ -173,9 +178,9 @@
         let mut sent = 0;
         for address in to {
             sent += self.send_encoded(now, address, &encoded).await;
-            if sent >= BYTES_AT_ONCE {
+            if sent >= MAX_BURST_BYTES {
                 let pause = sent as f64 * 8.0 / self.bits_per_ms;
-                if pause >= LEAST_PAUSE_MS {
+                if pause >= MIN_PACING_DELAY_MS {
                     runtime::sleep(Duration::from_secs_f64(pause / 1_000.0)).await;
                 }
                 sent = 0;
@@ -185,8 +190,8 @@
 
     /// Sends an encoded message; returns its length.
     async fn send_encoded(&self, now: Millis, to: SocketAddr, encoded: &Encoded) -> usize {
-        let answers = lock(&self.newest).get(&to).copied();
-        let header = Header { run: self.run, sent_at: now, answers };
+        let last_received = lock(&self.last_received).get(&to).copied();
+        let header = Header { boot_id: self.boot_id, sent_at: now, last_received };
         let bytes = match encoded.with_header(&header) {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -198,7 +203,7 @@
         if let Err(error) = self.socket.send_to(&bytes, to).await {
             log::debug!("a datagram to {to} was not sent: {error}");
         }
-        self.count_crossed(to, bytes.len());
+        self.count_cross_region_bytes(to, bytes.len());
         bytes.len()
     }
 }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -1,6 +1,6 @@
 //! Keeps and asks for the loads of servers, where nodes report in groups.
 //!
-//! Each server's load is kept by one of the aggregators of its region, which all nodes find by
+//! Each server's load is owned by one of the aggregators of its region, which all nodes find by
 //! themselves. Nodes report to it at once what they send to the server, and soon what ends there.
 //! Before a node chooses, it asks for the loads of the few servers that it considers. What that costs
 //! depends on the requests and not on the number of nodes, and the answer is some milliseconds old.
@@ -26,22 +26,22 @@
 /// How long answers from the own region are waited for: some times the way there and back. Those
 /// from other regions are waited for as long as measured round trips say. A server whose load is not
 /// known by then is judged by what this node sent there itself.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(25);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(25);
 /// How long an answer counts, in milliseconds.
-const ANSWER_VALID_FOR: Millis = 100;
+const ANSWER_TTL_MS: Millis = 100;
 /// How long a peer's load counts after its last message, in milliseconds.
-const CHANGE_VALID_FOR: Millis = 2_500;
+const CHANGE_TTL_MS: Millis = 2_500;
 /// Reports between two repetitions of all that this node has in flight.
-const REPEAT_TURNS: u64 = 4;
+const REPEAT_INTERVAL_TURNS: u64 = 4;
 /// First tokens and ends of requests gather for this long: a server looks busier than it is
 /// meanwhile.
-const GATHER: Duration = Duration::from_millis(40);
-/// Answers are kept under this name, which no node bears.
-const ANSWERS: &str = "";
+const BATCH_WINDOW: Duration = Duration::from_millis(40);
+/// Answers are owned under this name, which no node bears.
+const ANSWER_SOURCE: &str = "";
 
 /// Servers whose load one node keeps, by short name.
 #[derive(Debug, Default)]
-struct Kept {
+struct OwnedServers {
     servers: Vec<u64>,
     /// The region of the one who keeps it, where that is another one.
     far_region: Option<String>,
@@ -55,7 +55,7 @@
             let server = state.directory.get(id);
             (short_id(id), server.map_or("", |server| server.data_centre.as_str()))
         });
-        sort_by_owner(&state.members, requested)
+        group_by_owner(&state.members, requested)
     });
     if by_owner.is_empty() {
         return true;
@@ -63,7 +63,7 @@
     let within = get_wait(node, &by_owner);
     let pending = node.pending_loads.begin(by_owner.len());
     let query_id = pending.id;
-    for (owner, Kept { servers, .. }) in by_owner {
+    for (owner, OwnedServers { servers, .. }) in by_owner {
         let message =
             Message::QueryLoads { query_id, node: node.incarnation.node.clone(), servers };
         node.link.send(node.now(), owner, &message).await;
@@ -75,26 +75,26 @@
 }
 
 /// Returns how long answers are waited for, some of which come from other regions.
-fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, Kept>) -> Duration {
-    let near = ANSWERS_WITHIN.as_millis() as Millis;
-    let far = by_owner.values().filter_map(|kept| kept.far_region.as_deref());
+fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, OwnedServers>) -> Duration {
+    let near = QUERY_TIMEOUT.as_millis() as Millis;
+    let far = by_owner.values().filter_map(|owned| owned.far_region.as_deref());
     let longest =
         node.with(|state| far.map(|region| state.round_trips.get_wait(region, near)).max());
-    longest.map_or(ANSWERS_WITHIN, Duration::from_millis)
+    longest.map_or(QUERY_TIMEOUT, Duration::from_millis)
 }
 
 /// Sorts servers, given with their data centres, by the node that keeps their load, without those
 /// that this node keeps itself.
-fn sort_by_owner<'a>(
+fn group_by_owner<'a>(
     members: &Members,
     servers: impl Iterator<Item = (u64, &'a str)>,
-) -> BTreeMap<SocketAddr, Kept> {
-    let mut by_owner: BTreeMap<SocketAddr, Kept> = BTreeMap::new();
+) -> BTreeMap<SocketAddr, OwnedServers> {
+    let mut by_owner: BTreeMap<SocketAddr, OwnedServers> = BTreeMap::new();
     for (server, data_centre) in servers {
         let Some(owner) = members.find_load_owner(server, data_centre) else { continue };
-        let kept = by_owner.entry(owner.address).or_default();
-        kept.servers.push(server);
-        kept.far_region = owner.far_region.map(str::to_owned);
+        let owned = by_owner.entry(owner.address).or_default();
+        owned.servers.push(server);
+        owned.far_region = owner.far_region.map(str::to_owned);
     }
     by_owner
 }
@@ -138,10 +138,10 @@
 
 /// Takes an answer.
 pub(super) fn handle_answer(node: &Node, query_id: u32, loads: Vec<(u64, Load)>) {
-    let valid_until = node.now() + ANSWER_VALID_FOR;
+    let valid_until = node.now() + ANSWER_TTL_MS;
     node.with(|state| {
         for (server, load) in loads {
-            state.loads.merge_server(valid_until, ANSWERS, server, load);
+            state.loads.merge_server(valid_until, ANSWER_SOURCE, server, load);
         }
     });
     node.pending_loads.answer(query_id);
@@ -149,7 +149,7 @@
 
 /// Takes what another node has in flight at servers whose load this node keeps.
 pub(super) fn handle_change(node: &Node, peer: &str, loads: Vec<(u64, Load)>) {
-    let valid_until = node.now() + CHANGE_VALID_FOR;
+    let valid_until = node.now() + CHANGE_TTL_MS;
     node.with(|state| {
         for (server, load) in loads {
             state.loads.merge_server(valid_until, peer, server, load);
@@ -167,7 +167,7 @@
 
 /// Repeats all that this node has in flight, each few reports.
 pub(super) fn repeat(node: &Node, turn: u64) {
-    if !turn.is_multiple_of(REPEAT_TURNS) {
+    if !turn.is_multiple_of(REPEAT_INTERVAL_TURNS) {
         return;
     }
     let (own, mut data_centres) =
@@ -183,7 +183,7 @@
     let changes = &node.pending_loads.changes.1;
     while let Ok(first) = changes.recv().await {
         let mut servers = BTreeMap::from([(first.server, first.data_centre)]);
-        let until = node.now() + GATHER.as_millis() as Millis;
+        let until = node.now() + BATCH_WINDOW.as_millis() as Millis;
         let mut is_urgent = first.is_urgent;
         while !is_urgent {
             let left = Duration::from_millis(until.saturating_sub(node.now()));
@@ -201,8 +201,8 @@
 /// Sends what this node has in flight at some servers, given with their data centres.
 async fn send_own(node: &Node, servers: BTreeMap<u64, String>) {
     let changed = servers.iter().map(|(server, data_centre)| (*server, data_centre.as_str()));
-    let by_owner = node.with(|state| sort_by_owner(&state.members, changed));
-    for (owner, Kept { servers, .. }) in by_owner {
+    let by_owner = node.with(|state| group_by_owner(&state.members, changed));
+    for (owner, OwnedServers { servers, .. }) in by_owner {
         let loads = node.with(|state| {
             servers.into_iter().map(|server| (server, state.loads.get_own_of(server))).collect()
         });
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -20,13 +20,13 @@
 /// What every datagram begins with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The run of the sender's process, whose clock `sent_at` is read from.
-    pub run: u32,
+    /// The boot_id of the sender's process, whose clock `sent_at` is read from.
+    pub boot_id: u32,
     /// When it was sent, on the sender's steady clock.
     pub sent_at: Millis,
-    /// The run and time of the newest datagram that the sender got from the recipient: what the
+    /// The boot_id and time of the newest datagram that the sender got from the recipient: what the
     /// sender knows is younger than that.
-    pub answers: Option<(u32, Millis)>,
+    pub last_received: Option<(u32, Millis)>,
 }
 
 /// A datagram between nodes.
@@ -102,8 +102,8 @@
     ReleasePermit(Key),
     /// A summary of an aggregator of another region, as it came there.
     RelayedSummary {
-        /// The run of the aggregator's process.
-        run: u32,
+        /// The boot_id of the aggregator's process.
+        boot_id: u32,
         /// When the aggregator sent it, on its own clock.
         sent_at: Millis,
         /// The summary.
--- a/crates/gateway/src/node/peers/mod.rs
+++ b/crates/gateway/src/node/peers/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | `message` | defines the messages |
 //! | `link` | sends and receives datagrams |
-//! | `register` | finds the other nodes in a table of the platform |
+//! | `discovery` | finds the other nodes in a table of the platform |
 //! | `report` | exchanges counts some times a second |
 //! | `report_target` | says whom a node reports to, and holds samples for the next report |
 //! | `summary_relay` | sends summaries to other regions, and passes theirs on in this one |
@@ -23,6 +23,7 @@
 //! careful, never less.
 
 pub(super) mod calls;
+mod discovery;
 pub(super) mod link;
 pub(super) mod loads;
 pub(super) mod message;
@@ -32,7 +33,6 @@
 pub(crate) mod permits;
 pub(crate) mod quarantine;
 pub(crate) mod quota;
-mod register;
 pub(super) mod relay_state;
 pub(super) mod report;
 pub(super) mod report_target;
@@ -48,7 +48,7 @@
 
 /// Starts the exchange with other nodes.
 pub(super) fn start(node: &Arc<Node>) {
-    runtime::spawn(register::run(node.clone()));
+    runtime::spawn(discovery::run(node.clone()));
     runtime::spawn(listen(node.clone()));
     runtime::spawn(report::run(node.clone()));
     runtime::spawn(versions::run(node.clone()));
@@ -59,24 +59,24 @@
 async fn listen(node: Arc<Node>) {
     let mut buffer = Vec::new();
     loop {
-        let Received { from, sent, asked_at, message } = node.link.receive(&mut buffer).await;
-        summary_relay::note_round_trip(&node, from, asked_at, &message);
+        let Received { from, sent, echoed_at, message } = node.link.receive(&mut buffer).await;
+        summary_relay::note_round_trip(&node, from, echoed_at, &message);
         match message {
-            Message::Report(report) => report::handle_report(&node, asked_at, *report),
+            Message::Report(report) => report::handle_report(&node, echoed_at, *report),
             Message::Summary(summary) => {
-                summary_relay::handle_summary(&node, from, sent, asked_at, *summary)
+                summary_relay::handle_summary(&node, from, sent, echoed_at, *summary)
             }
-            Message::RelayedSummary { run, sent_at, summary } => {
-                summary_relay::handle_relayed(&node, (run, sent_at), *summary);
+            Message::RelayedSummary { boot_id, sent_at, summary } => {
+                summary_relay::handle_relayed(&node, (boot_id, sent_at), *summary);
             }
             Message::Overview(overview) => {
-                report::handle_overview(&node, from, asked_at, *overview)
+                report::handle_overview(&node, from, echoed_at, *overview)
             }
             Message::QueryVersions => {
                 let versions = Message::Versions(staleness::get_versions(&node));
                 node.link.send(node.now(), from, &versions).await;
             }
-            Message::Versions(versions) => versions::handle(&node, from, asked_at, &versions),
+            Message::Versions(versions) => versions::handle(&node, from, echoed_at, &versions),
             Message::Notification(notification) => {
                 notifications::handle(&node, from, notification).await
             }
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -24,11 +24,11 @@
 
 /// The part of the period between two reports that a prompt takes to read, at the least, for its
 /// request to be notified at once.
-const REPORT_AT_ONCE_PART: f64 = 0.1;
+const MIN_NOTIFIED_PREFILL_FRACTION: f64 = 0.1;
 /// The part of the time in which a configuration must be in force for which a carrier waits before it
 /// gets from another region what this one's readers did not get: these have it from the table service
 /// at once, and the rest must do for the way.
-const FAR_NEWS_PART: f64 = 0.25;
+const CROSS_REGION_FETCH_DELAY_FRACTION: f64 = 0.25;
 
 /// Sends this node's news for as long as the process runs.
 pub(super) async fn send(node: Arc<Node>) {
@@ -37,7 +37,7 @@
         let to = node.with(|state| match state.members.get_own_aggregator() {
             Some(aggregator) => vec![aggregator.address],
             None => {
-                let mut to = list_others(state, now);
+                let mut to = list_aggregators(state, now);
                 to.extend(state.members.get_group_addresses(now));
                 to
             }
@@ -49,13 +49,13 @@
 /// Sends a frozen window to the nodes that may hold the duties after this one, before it is reported.
 pub(in crate::node) async fn send_frozen(node: &Node, window: WindowNumber, counts: &Counts) {
     let now = node.now();
-    let to = node.with(|state| list_others(state, now));
+    let to = node.with(|state| list_aggregators(state, now));
     let notification = Notification::UsageFrozen(window, counts.clone());
     node.link.send_to_all(now, to, &Message::Notification(notification)).await;
 }
 
 /// Lists the other aggregators of this region, and the carriers of the others.
-fn list_others(state: &State, now: Millis) -> Vec<SocketAddr> {
+fn list_aggregators(state: &State, now: Millis) -> Vec<SocketAddr> {
     let mut to = state.members.list_exchange(now);
     to.extend(state.members.list_carriers(now, 0).concat());
     to
@@ -66,7 +66,7 @@
 pub(crate) fn notify_request_started(node: &Node, server: &str, work: &Work, reading_ms: Millis) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
-    let least = period.as_millis() as f64 * REPORT_AT_ONCE_PART;
+    let least = period.as_millis() as f64 * MIN_NOTIFIED_PREFILL_FRACTION;
     if is_grouped || (reading_ms as f64) < least {
         return;
     }
@@ -83,17 +83,17 @@
         }
         Notification::RequestJudged(verdict) => {
             if quarantine::apply_verdict(node, verdict) {
-                pass_on(node, from, notification).await;
+                forward(node, from, notification).await;
             }
         }
         Notification::LimitSeen(sighting) => {
             if permits::apply_sighting(node, &sighting) {
-                pass_on(node, from, notification).await;
+                forward(node, from, notification).await;
             }
         }
         Notification::ServerLeaving(ref departure) => {
             if watch::apply_departure(node, departure) {
-                pass_on(node, from, notification).await;
+                forward(node, from, notification).await;
             }
         }
         Notification::UsageFrozen(window, counts) => {
@@ -106,7 +106,7 @@
         Notification::ConfigurationChanged { version } => {
             let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
             if known < Some(version) {
-                runtime::spawn(get_configuration(node.clone(), from, version));
+                runtime::spawn(fetch_configuration(node.clone(), from, version));
             }
         }
     }
@@ -116,7 +116,7 @@
 async fn handle_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
     let now = node.now();
     if node.with(|state| rollouts::merge(state, now, &announcement)) {
-        pass_on(node, from, Notification::RolloutChanged(announcement)).await;
+        forward(node, from, Notification::RolloutChanged(announcement)).await;
     }
 }
 
@@ -132,55 +132,55 @@
     });
     match changes {
         Some(changes) => watch::apply(node, changes),
-        None => runtime::spawn(get_servers(node.clone(), from, version)),
+        None => runtime::spawn(fetch_servers(node.clone(), from, version)),
     }
     if is_new {
-        pass_on(node, from, notification).await;
+        forward(node, from, notification).await;
     }
 }
 
 /// Leaves this region's readers time where another one has news of a table: a document crosses only
 /// where they do not get it themselves.
 async fn wait_for_readers(node: &Node, from: SocketAddr) {
-    if node.link.get_far_region(from).is_some() {
+    if node.link.get_remote_region(from).is_some() {
         let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
-        runtime::sleep(bound.mul_f64(FAR_NEWS_PART)).await;
+        runtime::sleep(bound.mul_f64(CROSS_REGION_FETCH_DELAY_FRACTION)).await;
     }
 }
 
 /// Gets the list of servers where this node's is older than a version.
-async fn get_servers(node: Arc<Node>, from: SocketAddr, version: TableVersion) {
+async fn fetch_servers(node: Arc<Node>, from: SocketAddr, version: TableVersion) {
     wait_for_readers(&node, from).await;
     if node.with(|state| !state.directory.is_known() || state.directory.get_version() < version) {
-        calls::get_servers(node, from).await;
+        calls::fetch_servers(node, from).await;
     }
 }
 
 /// Gets a configuration, and passes on that it is there once this node can give it to others.
-async fn get_configuration(node: Arc<Node>, from: SocketAddr, version: u64) {
+async fn fetch_configuration(node: Arc<Node>, from: SocketAddr, version: u64) {
     wait_for_readers(&node, from).await;
     let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
     if known < Some(version) {
-        calls::get_configuration(node.clone(), from).await;
+        calls::fetch_configuration(node.clone(), from).await;
     }
     let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
     if known >= Some(version) {
-        pass_on(&node, from, Notification::ConfigurationChanged { version }).await;
+        forward(&node, from, Notification::ConfigurationChanged { version }).await;
     }
 }
 
 /// Passes news on: to this node's group, to the other aggregators where it came from the group, and
 /// to those of this region where it came from another one.
-async fn pass_on(node: &Node, from: SocketAddr, notification: Notification) {
+async fn forward(node: &Node, from: SocketAddr, notification: Notification) {
     let now = node.now();
-    let is_far = node.link.get_far_region(from).is_some();
+    let is_far = node.link.get_remote_region(from).is_some();
     let to = node.with(|state| {
         if !state.members.is_grouped() || !state.members.is_aggregator() {
             return Vec::new();
         }
         let mut to = state.members.get_group_addresses(now);
         if to.contains(&from) {
-            to.extend(list_others(state, now));
+            to.extend(list_aggregators(state, now));
         } else if is_far {
             to.extend(state.members.list_exchange(now));
         }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -18,10 +18,10 @@
 /// How long a decision is waited for: some times the way there and back within a region, and the time
 /// for which a small VM lets a task wait. From another region it is waited for as long as the way there
 /// and back is measured to take.
-const DECIDED_WITHIN: Millis = 40;
+const DECISION_TIMEOUT_MS: Millis = 40;
 /// How long a server gets nothing from a node that got no decision, in milliseconds: one period of
 /// reports, after which the node may have found another owner.
-const UNDECIDED_FOR: Millis = 200;
+const UNDECIDED_BACKOFF_MS: Millis = 200;
 
 /// A permit to send a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,8 +69,9 @@
         None => node.with(|state| decide(state, now, &server.data_centre, &sighting)),
     };
     let now = node.now();
-    let is_granted = node
-        .with(|state| state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_FOR));
+    let is_granted = node.with(|state| {
+        state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_BACKOFF_MS)
+    });
     if !is_granted {
         node.metrics.permits_denied.inc();
         return None;
@@ -95,8 +96,8 @@
     };
     let message = Message::RequestPermit { query_id: query.id, sighting, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
-    let wait = owner.far_region.as_deref().map_or(DECIDED_WITHIN, |region| {
-        node.with(|state| state.round_trips.get_wait(region, DECIDED_WITHIN))
+    let wait = owner.far_region.as_deref().map_or(DECISION_TIMEOUT_MS, |region| {
+        node.with(|state| state.round_trips.get_wait(region, DECISION_TIMEOUT_MS))
     });
     let decision = query.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -20,7 +20,7 @@
 /// time for which a small VM lets a task wait. The local share is consumed then.
 ///
 /// From another region it is waited for as long as the way there and back is measured to take.
-const DECIDED_WITHIN: Millis = 40;
+const DECISION_TIMEOUT_MS: Millis = 40;
 
 /// Consumes units of a client account for a request.
 ///
@@ -31,11 +31,11 @@
     let now = node.now();
     let name = &account.name;
     let limit = get_limit(account);
-    let is_filled = node.with(|state| {
+    let is_admitted_locally = node.with(|state| {
         let reach = state.members.get_reach(now);
         state.quotas.consume_if_filled(now, name, units, limit, reach)
     });
-    if is_filled {
+    if is_admitted_locally {
         return Ok(());
     }
     let decision = match node.with(|state| state.members.find_owner(short_id(name))) {
@@ -77,10 +77,10 @@
 
 /// Returns how long the decision of an owner is waited for.
 fn get_wait(node: &Node, owner: SocketAddr) -> Duration {
-    let region = node.link.get_far_region(owner);
-    let wait =
-        region.map(|region| node.with(|state| state.round_trips.get_wait(&region, DECIDED_WITHIN)));
-    Duration::from_millis(wait.unwrap_or(DECIDED_WITHIN))
+    let region = node.link.get_remote_region(owner);
+    let wait = region
+        .map(|region| node.with(|state| state.round_trips.get_wait(&region, DECISION_TIMEOUT_MS)));
+    Duration::from_millis(wait.unwrap_or(DECISION_TIMEOUT_MS))
 }
 
 /// Decides as the owner; undecided where this node is not the owner.
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -24,9 +24,9 @@
 use crate::runtime;
 
 /// The counts of a node are used for this many periods.
-const COUNTS_LAST_PERIODS: u32 = 7;
+const COUNTS_TTL_PERIODS: u32 = 7;
 /// Windows of usage in each report.
-const WINDOWS_REPORTED: usize = 4;
+const MAX_REPORTED_WINDOWS: usize = 4;
 
 /// Reports for as long as the process runs.
 pub(super) async fn run(node: Arc<Node>) {
@@ -45,7 +45,7 @@
         }
         if is_grouped {
             loads::repeat(&node, turn);
-            get_additions(&node, now);
+            fetch_additions(&node, now);
         }
         quarantine::step(&node).await;
         turn += 1;
@@ -56,9 +56,9 @@
 }
 
 /// Gets from another node what its list of nodes holds and this one's lacks.
-fn get_additions(node: &Arc<Node>, now: Millis) {
+fn fetch_additions(node: &Arc<Node>, now: Millis) {
     if let Some((from, after)) = node.with(|state| state.members.pick_roster_source(now)) {
-        runtime::spawn(calls::get_additions(node.clone(), from, after));
+        runtime::spawn(calls::fetch_additions(node.clone(), from, after));
     }
 }
 
@@ -79,11 +79,11 @@
         let was_own_sum = state.report_target == ReportTarget::AllAggregators;
         state.report_target = report_target;
         begin_incarnation(state, now, was_own_sum);
-        emit_change(state, now);
+        emit_target_change(state, now);
     }
 }
 
-fn emit_change(state: &State, now: Millis) {
+fn emit_target_change(state: &State, now: Millis) {
     let aggregator = match &state.report_target {
         ReportTarget::OwnAggregator(name) => Some(name.as_str()),
         ReportTarget::AllAggregators => None,
@@ -120,7 +120,7 @@
 
 fn get_own_usage(state: &State) -> Vec<(WindowNumber, Counts)> {
     let mut usage = state.usage.of_incarnation(state.handover.get_incarnation());
-    usage.split_off(usage.len().saturating_sub(WINDOWS_REPORTED))
+    usage.split_off(usage.len().saturating_sub(MAX_REPORTED_WINDOWS))
 }
 
 /// Takes the samples that peers were not sent yet.
@@ -170,7 +170,7 @@
         let usage = get_own_usage(state);
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
         state.handover.record(now, snapshot);
-        let sums = state.usage.sum_group(state.handover.get_incarnation(), WINDOWS_REPORTED);
+        let sums = state.usage.sum_group(state.handover.get_incarnation(), MAX_REPORTED_WINDOWS);
         // What crosses between regions is sent at a pace of its own, and holds all windows each time.
         let usage = match state.members.is_crossing() {
             true => sums,
@@ -182,7 +182,7 @@
         let overview = Overview {
             sender: sender.clone(),
             quota: state.quotas.add_others(now, &quota),
-            throughputs: take_passed_on(state, &throughputs),
+            throughputs: take_forwarded_samples(state, &throughputs),
             reach: state.members.get_overview(),
             silent: state.members.list_silent(),
             lost_regions: state.members.list_lost_regions(),
@@ -242,21 +242,21 @@
 
 /// Takes the samples for the nodes of this node's group: those of the other aggregators, and the
 /// group's own.
-fn take_passed_on(state: &mut State, own: &Samples) -> Samples {
+fn take_forwarded_samples(state: &mut State, own: &Samples) -> Samples {
     let mut samples = std::mem::take(&mut state.samples);
     samples.extend(own.iter().cloned());
     samples
 }
 
 /// Takes over what a node of this node's group counts.
-pub(super) fn handle_report(node: &Node, asked_at: Option<Millis>, report: Report) {
+pub(super) fn handle_report(node: &Node, echoed_at: Option<Millis>, report: Report) {
     let now = node.now();
     let Report { sender, totals } = report;
     if sender.entry.name == node.incarnation.node {
         return;
     }
     node.with(|state| {
-        hear(state, now, &sender, Role::Member, asked_at);
+        note_heard(state, now, &sender, Role::Member, echoed_at);
         let from = (sender.entry.name.as_str(), sender.incarnation);
         state.quotas.merge(now, Source::Member, from, &totals.quota);
         let incarnation =
@@ -273,9 +273,9 @@
     });
 }
 
-/// Takes over what another aggregator counts for its group; `asked_at` where it came from there
+/// Takes over what another aggregator counts for its group; `echoed_at` where it came from there
 /// directly.
-pub(super) fn handle_summary(node: &Arc<Node>, asked_at: Option<Millis>, summary: Summary) {
+pub(super) fn handle_summary(node: &Arc<Node>, echoed_at: Option<Millis>, summary: Summary) {
     let now = node.now();
     let Summary { sender, totals, loads, group, group_age, roster, joined, .. } = summary;
     let (verdicts, limits, departures) = (summary.verdicts, summary.limits, summary.departures);
@@ -284,7 +284,7 @@
         return;
     }
     node.with(|state| {
-        hear(state, now, &sender, Role::Aggregator, asked_at);
+        note_heard(state, now, &sender, Role::Aggregator, echoed_at);
         state.members.take_entries(now, &joined);
         let name = sender.entry.name.as_str();
         state.members.take_roster(name, roster);
@@ -310,7 +310,7 @@
             }
         }
         if !is_grouped {
-            let counts_last = state.members.get_period() * COUNTS_LAST_PERIODS;
+            let counts_last = state.members.get_period() * COUNTS_TTL_PERIODS;
             let valid_until = now + counts_last.as_millis() as Millis;
             state.loads.merge(valid_until, name, loads);
         }
@@ -324,7 +324,7 @@
 pub(super) fn handle_overview(
     node: &Arc<Node>,
     from: SocketAddr,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     overview: Overview,
 ) {
     let now = node.now();
@@ -334,7 +334,7 @@
     let (lost_regions, is_region_overdue) = (overview.lost_regions, overview.is_region_overdue);
     let (aggregators, roster) = (overview.aggregators, overview.roster);
     node.with(|state| {
-        let arrived = hear(state, now, &sender, Role::Aggregator, asked_at);
+        let arrived = note_heard(state, now, &sender, Role::Aggregator, echoed_at);
         let name = sender.entry.name.as_str();
         state.members.take_roster(name, roster);
         state.members.take_overview(now, name, reach, &silent);
@@ -355,17 +355,17 @@
     quarantine::apply_verdicts(node, verdicts);
     permits::apply_sightings(node, &limits);
     watch::apply_departures(node, &departures);
-    versions::handle(node, from, asked_at, &versions);
+    versions::handle(node, from, echoed_at, &versions);
 }
 
 /// Notes that a node was heard, and which of this node's reports it had got by then; returns the
 /// counts in that one.
-fn hear(
+fn note_heard(
     state: &mut State,
     now: Millis,
     sender: &Sender,
     role: Role,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
 ) -> Option<Snapshot> {
     let name = &sender.entry.name;
     for announcement in &sender.rollouts {
@@ -387,5 +387,5 @@
             begin_incarnation(state, now, false);
         }
     }
-    state.handover.confirm(asked_at?).cloned()
+    state.handover.confirm(echoed_at?).cloned()
 }
--- a/crates/gateway/src/node/peers/summary_relay.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -20,7 +20,7 @@
 
 /// Turns of reports between two looks at which nodes stand in other regions: five a second, and the
 /// list changes when nodes come and go.
-const LOOK_TURNS: u64 = 5;
+const REGION_REFRESH_TURNS: u64 = 5;
 
 /// Brings up to date, once in each period, which nodes stand in other regions and how long their
 /// messages take.
@@ -35,10 +35,10 @@
         let period = state.summary_relay.pace.get_period();
         state.members.set_transit(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
-        turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_far())
+        turn.is_multiple_of(REGION_REFRESH_TURNS).then(|| state.members.list_far())
     });
     if let Some(far) = far {
-        node.link.set_far(far);
+        node.link.set_remote_regions(far);
     }
 }
 
@@ -53,7 +53,7 @@
 /// Sends a summary to a carrier of each other region where it is time, and returns it.
 pub(super) async fn send(node: &Node, now: Millis, mut summary: Summary) -> Summary {
     let own = summary.totals.throughputs.clone();
-    let crossed = node.link.get_crossed();
+    let crossed = node.link.get_cross_region_bytes();
     let carriers: Vec<SocketAddr> = node.with(|state| {
         if !state.members.is_crossing() {
             return Vec::new();
@@ -85,7 +85,7 @@
     node: &Arc<Node>,
     from: SocketAddr,
     sent: (u32, Millis),
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     summary: Summary,
 ) {
     if summary.sender.entry.name == node.incarnation.node {
@@ -93,16 +93,16 @@
     }
     let reported = summary.versions;
     if node.topology.is_near(&summary.sender.entry.data_centre) {
-        report::handle_summary(node, asked_at, summary);
-        return versions::handle(node, from, asked_at, &reported);
+        report::handle_summary(node, echoed_at, summary);
+        return versions::handle(node, from, echoed_at, &reported);
     }
     if note_crossed(node, sent, &summary) {
         if node.with(|state| state.members.is_crossing()) {
-            runtime::spawn(pass_on(node.clone(), sent, summary.clone()));
+            runtime::spawn(forward(node.clone(), sent, summary.clone()));
         }
-        take_over(node, asked_at, summary);
+        merge(node, echoed_at, summary);
     }
-    versions::confirm(node, asked_at, &reported);
+    versions::confirm(node, echoed_at, &reported);
 }
 
 /// Takes a summary that a carrier of this region passed on.
@@ -110,34 +110,34 @@
 /// When the carrier last heard of this node says nothing of the one who sent the summary.
 pub(super) fn handle_relayed(node: &Arc<Node>, sent: (u32, Millis), summary: Summary) {
     if note_crossed(node, sent, &summary) {
-        take_over(node, None, summary);
+        merge(node, None, summary);
     }
 }
 
 /// Takes over a summary of another region, unless its sender does not hear this one: that counts as
 /// out of reach for both then.
-fn take_over(node: &Arc<Node>, asked_at: Option<Millis>, summary: Summary) {
+fn merge(node: &Arc<Node>, echoed_at: Option<Millis>, summary: Summary) {
     if node.with(|state| state.members.is_own_region_heard(&summary.unheard_regions)) {
-        report::handle_summary(node, asked_at, summary);
+        report::handle_summary(node, echoed_at, summary);
     }
 }
 
 /// Returns `true` if a summary of another region is newer than those that came before.
-fn note_crossed(node: &Node, (run, sent_at): (u32, Millis), summary: &Summary) -> bool {
+fn note_crossed(node: &Node, (boot_id, sent_at): (u32, Millis), summary: &Summary) -> bool {
     let now = node.now();
     let entry = &summary.sender.entry;
     if let Some(region) = node.topology.get_region(&entry.data_centre) {
         // The list is brought up to date only from time to time: an answer may come before that.
-        node.link.note_far(entry.address, region);
+        node.link.note_remote_region(entry.address, region);
     }
-    node.with(|state| state.members.note_crossed(now, entry, run, sent_at))
+    node.with(|state| state.members.note_crossed(now, entry, boot_id, sent_at))
 }
 
 /// Passes a summary on to the other aggregators of this region.
-async fn pass_on(node: Arc<Node>, (run, sent_at): (u32, Millis), summary: Summary) {
+async fn forward(node: Arc<Node>, (boot_id, sent_at): (u32, Millis), summary: Summary) {
     let now = node.now();
     let to = node.with(|state| state.members.list_exchange(now));
-    let message = Message::RelayedSummary { run, sent_at, summary: Box::new(summary) };
+    let message = Message::RelayedSummary { boot_id, sent_at, summary: Box::new(summary) };
     node.link.send_to_all(now, to, &message).await;
 }
 
@@ -146,13 +146,13 @@
 pub(super) fn note_round_trip(
     node: &Node,
     from: SocketAddr,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     message: &Message,
 ) {
     let is_answer =
         matches!(message, Message::Versions(_) | Message::Loads { .. } | Message::Quota { .. });
-    let Some(asked_at) = asked_at.filter(|_| is_answer) else { return };
-    let Some(region) = node.link.get_far_region(from) else { return };
-    let round_trip = node.now().saturating_sub(asked_at);
+    let Some(echoed_at) = echoed_at.filter(|_| is_answer) else { return };
+    let Some(region) = node.link.get_remote_region(from) else { return };
+    let round_trip = node.now().saturating_sub(echoed_at);
     node.with(|state| state.round_trips.note(&region, round_trip));
 }
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -21,12 +21,12 @@
 use crate::runtime;
 
 /// The time between two looks at how old the knowledge is.
-const LOOK: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// The part of its bound at which knowledge is ageing: reports did not make it young.
-const AGEING_PART: f64 = 0.5;
+const AGEING_FRACTION: f64 = 0.5;
 /// The part of its bound at which a reader asks another region: that costs the narrow link, and what
 /// comes back has to reach the nodes of this region in time.
-const AGEING_PART_FAR: f64 = 0.7;
+const CROSS_REGION_AGEING_FRACTION: f64 = 0.7;
 
 /// Asks the nodes that read for all while this node's knowledge is ageing, and any other as well
 /// while it is old.
@@ -34,7 +34,7 @@
     let bound = node.get_max_configuration_age();
     let mut was_fresh = true;
     loop {
-        runtime::sleep(jitter(LOOK)).await;
+        runtime::sleep(jitter(CHECK_INTERVAL)).await;
         let now = node.now();
         let age = node.with(|state| state.freshness.get_age(now));
         let is_fresh = age.is_some_and(|age| age <= bound);
@@ -42,12 +42,13 @@
             was_fresh = is_fresh;
             event::emit(&Event::FreshnessChanged { is_fresh, age_ms: age, bound_ms: bound });
         }
-        let is_ageing = staleness::is_configuration_older_than(&node, AGEING_PART)
-            || staleness::is_servers_older_than(&node, AGEING_PART);
+        let is_ageing = staleness::is_configuration_older_than(&node, AGEING_FRACTION)
+            || staleness::is_servers_older_than(&node, AGEING_FRACTION);
         if !is_ageing {
             continue;
         }
-        let targets = list_targets(&node, now).into_iter().chain(list_far_targets(&node, now));
+        let targets =
+            list_targets(&node, now).into_iter().chain(list_cross_region_targets(&node, now));
         for address in targets.collect::<Vec<SocketAddr>>() {
             node.link.send(now, address, &Message::QueryVersions).await;
         }
@@ -57,7 +58,7 @@
 /// Lists whom to ask: an aggregator asks the readers, and another node its aggregator, so that the
 /// few nodes query the readers.
 fn list_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
-    let is_old = staleness::is_configuration_old(node) || staleness::is_servers_old(node);
+    let is_old = staleness::is_configuration_stale(node) || staleness::is_servers_stale(node);
     node.with(|state| {
         let mut targets = match state.members.get_own_aggregator() {
             Some(aggregator) => vec![aggregator.address],
@@ -73,9 +74,9 @@
 }
 
 /// Lists whom a reader asks in other regions: it did not reach the table service for a while.
-fn list_far_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
-    let is_ageing = staleness::is_configuration_older_than(node, AGEING_PART_FAR)
-        || staleness::is_servers_older_than(node, AGEING_PART_FAR);
+fn list_cross_region_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
+    let is_ageing = staleness::is_configuration_older_than(node, CROSS_REGION_AGEING_FRACTION)
+        || staleness::is_servers_older_than(node, CROSS_REGION_AGEING_FRACTION);
     node.with(|state| match is_ageing && state.members.is_reader(now) {
         true => state.members.list_carriers(now, fastrand::usize(..1_024)).concat(),
         false => Vec::new(),
@@ -84,28 +85,30 @@
 
 /// Takes what an aggregator of another region knows: it confirms what this node has. What this node
 /// lacks, its own region's readers get.
-pub(super) fn confirm(node: &Node, asked_at: Option<Millis>, versions: &Versions) {
+pub(super) fn confirm(node: &Node, echoed_at: Option<Millis>, versions: &Versions) {
     if let Some(known) = versions.configuration {
-        confirm_configuration(node, asked_at, known);
+        confirm_configuration(node, echoed_at, known);
     }
     if let Some(known) = versions.servers {
         table::note_era(node, known.version.era);
-        confirm_servers(node, asked_at, known);
+        confirm_servers(node, echoed_at, known);
     }
 }
 
-/// Takes what a node knows, of a time after `asked_at` on this node's clock: confirms what this
+/// Takes what a node knows, of a time after `echoed_at` on this node's clock: confirms what this
 /// node has, or gets what it lacks.
 pub(super) fn handle(
     node: &Arc<Node>,
     from: SocketAddr,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     versions: &Versions,
 ) {
     if let Some(known) = versions.configuration {
         match has_configuration(node, known.version) {
-            true => confirm_configuration(node, asked_at, known),
-            false => runtime::spawn(get_newer_configuration(node.clone(), from, asked_at, known)),
+            true => confirm_configuration(node, echoed_at, known),
+            false => {
+                runtime::spawn(fetch_newer_configuration(node.clone(), from, echoed_at, known))
+            }
         }
     }
     if let Some(known) = versions.servers {
@@ -114,8 +117,8 @@
             state.directory.is_known() && state.directory.get_version() >= known.version
         });
         match has_servers {
-            true => confirm_servers(node, asked_at, known),
-            false => runtime::spawn(get_newer_servers(node.clone(), from, asked_at, known)),
+            true => confirm_servers(node, echoed_at, known),
+            false => runtime::spawn(fetch_newer_servers(node.clone(), from, echoed_at, known)),
         }
     }
 }
@@ -126,44 +129,44 @@
 }
 
 /// Gets a newer configuration from the node that knows it.
-async fn get_newer_configuration(
+async fn fetch_newer_configuration(
     node: Arc<Node>,
     from: SocketAddr,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     known: Known<u64>,
 ) {
-    calls::get_configuration(node.clone(), from).await;
-    confirm_configuration(&node, asked_at, known);
+    calls::fetch_configuration(node.clone(), from).await;
+    confirm_configuration(&node, echoed_at, known);
 }
 
 /// Gets a newer list of servers from the node that knows it.
-async fn get_newer_servers(
+async fn fetch_newer_servers(
     node: Arc<Node>,
     from: SocketAddr,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     known: Known<TableVersion>,
 ) {
-    calls::get_servers(node.clone(), from).await;
-    confirm_servers(&node, asked_at, known);
+    calls::fetch_servers(node.clone(), from).await;
+    confirm_servers(&node, echoed_at, known);
 }
 
 /// Confirms this node's configuration by what a peer knows; one that is older than that stays unconfirmed.
-fn confirm_configuration(node: &Node, asked_at: Option<Millis>, known: Known<u64>) {
-    let Some(asked_at) = asked_at.filter(|_| has_configuration(node, known.version)) else {
+fn confirm_configuration(node: &Node, echoed_at: Option<Millis>, known: Known<u64>) {
+    let Some(echoed_at) = echoed_at.filter(|_| has_configuration(node, known.version)) else {
         return;
     };
-    node.with(|state| state.freshness.confirm_by_peer(asked_at, known.age));
+    node.with(|state| state.freshness.confirm_by_peer(echoed_at, known.age));
 }
 
 /// Confirms the list of servers by a peer's. The list that was got may be newer than the one that was
 /// reported, and never older; that a list of an earlier era was the newest says nothing of this one.
-fn confirm_servers(node: &Node, asked_at: Option<Millis>, known: Known<TableVersion>) {
-    let Some(asked_at) = asked_at else { return };
+fn confirm_servers(node: &Node, echoed_at: Option<Millis>, known: Known<TableVersion>) {
+    let Some(echoed_at) = echoed_at else { return };
     node.with(|state| {
         let own = state.directory.get_version();
         let is_current = state.directory.is_known() && own >= known.version;
         if is_current && own.era == known.version.era {
-            state.servers_freshness.confirm_by_peer(asked_at, known.age);
+            state.servers_freshness.confirm_by_peer(echoed_at, known.age);
         }
     });
 }
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -21,15 +21,15 @@
 use crate::runtime;
 
 const TABLE: &str = "quarantine";
-const CALL_WITHIN: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time between two looks whether there is something to read or write.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// The most rows that are removed in one transaction; the platform takes a hundred.
-const MOST_REMOVED: usize = 90;
+const MAX_REMOVALS: usize = 90;
 
 /// A request that is refused, as its row holds it; the key is the fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Refused {
+struct QuarantineRow {
     /// The short name of the service.
     service: u64,
     /// The time on the table service's clock until which the request is refused.
@@ -40,13 +40,13 @@
 
 /// A time on the table service's clock, with the time on this node's clock.
 #[derive(Clone, Copy, Debug)]
-struct TableClock {
+struct ClockReading {
     era: Era,
     table_time: Millis,
     node_time: Millis,
 }
 
-impl TableClock {
+impl ClockReading {
     fn get(&self, now: Millis) -> Millis {
         self.table_time + now.saturating_sub(self.node_time)
     }
@@ -57,7 +57,7 @@
     let mut clock = None;
     let mut backoff = Backoff::default();
     loop {
-        runtime::sleep(LOOK).await;
+        runtime::sleep(POLL_INTERVAL).await;
         let Err(error) = step(&node, &mut clock).await else {
             backoff.reset();
             continue;
@@ -68,7 +68,7 @@
 }
 
 /// Reads the rows, once this node keeps evidence; after that, writes what it has decided.
-async fn step(node: &Arc<Node>, clock: &mut Option<TableClock>) -> Result<(), TableError> {
+async fn step(node: &Arc<Node>, clock: &mut Option<ClockReading>) -> Result<(), TableError> {
     let era = node.with(|state| state.eras.get());
     let Some(known) = clock.filter(|known| known.era == era) else {
         if is_keeper(node) {
@@ -105,9 +105,9 @@
 }
 
 /// Takes over the rows that hold, and removes the others.
-async fn load(node: &Arc<Node>) -> Result<TableClock, TableError> {
+async fn load(node: &Arc<Node>) -> Result<ClockReading, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?;
     let mut removals = Vec::new();
     for row in &rows.rows {
         match decode(row) {
@@ -123,16 +123,16 @@
             }
         }
     }
-    removals.truncate(MOST_REMOVED);
+    removals.truncate(MAX_REMOVALS);
     if !removals.is_empty() {
         commit(node, removals).await?;
     }
-    Ok(TableClock { era: rows.version.era, table_time: rows.table_time, node_time: asked_at })
+    Ok(ClockReading { era: rows.version.era, table_time: rows.table_time, node_time: asked_at })
 }
 
 async fn commit(node: &Node, writes: Vec<Write>) -> Result<(), TableError> {
     let transaction = Transaction { conditions: Vec::new(), writes };
-    table::commit(node, transaction, CALL_WITHIN).await.map(|_| ())
+    table::commit(node, transaction, CALL_TIMEOUT).await.map(|_| ())
 }
 
 fn make_write(verdict: &Verdict, until: Millis) -> Write {
@@ -141,7 +141,7 @@
         return make_removal(key);
     }
     let Verdict { service, servers_crashed, .. } = *verdict;
-    let value = serde_json::to_vec(&Refused { service, until, servers_crashed }).ok();
+    let value = serde_json::to_vec(&QuarantineRow { service, until, servers_crashed }).ok();
     Write { table: TableName::Own(TABLE), key, value }
 }
 
@@ -149,12 +149,12 @@
     Write { table: TableName::Own(TABLE), key, value: None }
 }
 
-fn make_verdict(fingerprint: Fingerprint, refused: Refused, left: Millis) -> Verdict {
-    let Refused { service, servers_crashed, .. } = refused;
+fn make_verdict(fingerprint: Fingerprint, refused: QuarantineRow, left: Millis) -> Verdict {
+    let QuarantineRow { service, servers_crashed, .. } = refused;
     Verdict { fingerprint, service, standing: Standing::Quarantined, left, servers_crashed }
 }
 
-fn decode(row: &Row) -> Option<(Fingerprint, Refused)> {
+fn decode(row: &Row) -> Option<(Fingerprint, QuarantineRow)> {
     let refused = serde_json::from_slice(row.value.as_deref()?).ok()?;
     let number = u64::from_str_radix(&row.key, 16).ok()?;
     Some((Fingerprint::from_number(number), refused))
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -28,21 +28,21 @@
 use crate::port::{Row, Rows, TableError, TableName};
 
 const TABLE: &str = "rollouts";
-const CALL_WITHIN: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The pause after a call of the table service failed.
-const FAILED_PAUSE: Millis = 300;
+const FAILURE_BACKOFF_MS: Millis = 300;
 
 /// What the holder of the duties knows of the roll-outs.
 #[derive(Debug, Default)]
-pub struct RolloutDuty {
+pub struct RolloutController {
     fence: Option<u64>,
     /// The era of the rows that were read.
     era: Era,
     clock: Option<TableClock>,
-    records: BTreeMap<String, Written>,
+    records: BTreeMap<String, StoredRecord>,
     progress: BTreeMap<String, (TableVersion, Progress)>,
     statuses: Statuses,
-    paused_until: Millis,
+    backoff_until: Millis,
 }
 
 /// How far a roll-out has come, as the table keeps it.
@@ -62,7 +62,7 @@
 
 /// A record with the version of its row.
 #[derive(Clone, Debug)]
-struct Written {
+struct StoredRecord {
     record: Record,
     version: TableVersion,
 }
@@ -80,27 +80,27 @@
     in_flight: u32,
 }
 
-impl RolloutDuty {
+impl RolloutController {
     /// Decides what is due. While nothing is ordered this calls nothing.
     pub async fn step(&mut self, node: &Node) {
         let now = node.now();
         let orders = node.with(|state| state.rollouts.list_orders());
-        if orders.is_empty() || now < self.paused_until {
+        if orders.is_empty() || now < self.backoff_until {
             return;
         }
-        let is_done = match self.load(node).await {
+        let is_done = match self.load_records(node).await {
             true => self.step_all(node, orders).await,
             false => false,
         };
         if !is_done {
             // A write may have been done or may still be: read the rows before the next try.
             self.fence = None;
-            self.paused_until = node.now() + FAILED_PAUSE;
+            self.backoff_until = node.now() + FAILURE_BACKOFF_MS;
         }
     }
 
     /// Reads what earlier holders decided, once for each time that the lease is taken.
-    async fn load(&mut self, node: &Node) -> bool {
+    async fn load_records(&mut self, node: &Node) -> bool {
         let fence = node.with(|state| state.lease.get_fence(node.now()));
         if fence.is_none() {
             return false;
@@ -109,16 +109,16 @@
             return true;
         }
         let asked_at = node.now();
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT);
         let Ok(rows) = reading.await else { return false };
         let era = rows.version.era;
-        let is_return = era != self.era;
+        let is_store_restored = era != self.era;
         *self = Self {
             fence,
             era,
             clock: Some(TableClock { asked_at, table_time: rows.table_time }),
             records: decode_all(&rows),
-            statuses: match is_return {
+            statuses: match is_store_restored {
                 true => Statuses::default(),
                 false => std::mem::take(&mut self.statuses).forget_written(),
             },
@@ -170,7 +170,7 @@
                 state.rollouts.bar(service, number, &known.barred);
             });
         } else if let Some(earlier) = self.records.get(&order.service) {
-            bar_earlier(node, order, &earlier.record);
+            bar_earlier_versions(node, order, &earlier.record);
         }
         let began_at = known.as_ref().map_or(table_time, |record| record.began_at);
         let is_written = known
@@ -184,7 +184,7 @@
             return true;
         }
         let elapsed = table_time.saturating_sub(began_at);
-        let Some(report) = sum_all(node, order) else { return true };
+        let Some(report) = sum_reports(node, order) else { return true };
         let (target_servers, other_servers) = count_servers(node, order);
         let snapshot = Snapshot {
             stage,
@@ -199,7 +199,7 @@
         if progress.0 != order.number {
             *progress = (order.number, Progress::default());
         }
-        let Some((next, reason)) = get_stage(progress.1.step(&snapshot)) else { return true };
+        let Some((next, reason)) = get_next_stage(progress.1.step(&snapshot)) else { return true };
         self.emit(order, next, &reason, &snapshot);
         let record = make_record(node, order, began_at, next);
         if next == Stage::RolledBack {
@@ -236,11 +236,11 @@
         let value = serde_json::to_vec(&record).ok();
         let key = table::era_key(service, self.era);
         let writing =
-            table::replace(node, TableName::Own(TABLE), &key, version, value, CALL_WITHIN);
+            table::replace(node, TableName::Own(TABLE), &key, version, value, CALL_TIMEOUT);
         let Ok(rows) = writing.await.inspect_err(note_failure) else {
             return false;
         };
-        let written = Written { record, version: rows.version };
+        let written = StoredRecord { record, version: rows.version };
         self.records.insert(service.to_owned(), written);
         true
     }
@@ -262,7 +262,7 @@
 }
 
 /// Returns the stage that follows, and why; `None` where it stays.
-fn get_stage(next: Next) -> Option<(Stage, Reason)> {
+fn get_next_stage(next: Next) -> Option<(Stage, Reason)> {
     let reason = |why| Reason { why, route: None, in_flight: 0 };
     match next {
         Next::Wait => None,
@@ -291,7 +291,7 @@
 
 /// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
 /// the newest order only.
-fn bar_earlier(node: &Node, order: &Order, earlier: &Record) {
+fn bar_earlier_versions(node: &Node, order: &Order, earlier: &Record) {
     let mut barred = earlier.barred.clone();
     if earlier.stage != Stage::Completed {
         barred.push(earlier.target_version.clone());
@@ -299,7 +299,7 @@
     node.with(|state| state.rollouts.bar(&order.service, order.number, &barred));
 }
 
-fn sum_all(node: &Node, order: &Order) -> Option<Report> {
+fn sum_reports(node: &Node, order: &Order) -> Option<Report> {
     node.with(|state| {
         let in_flight = |order: &Order| state.count_in_flight_on_other_versions(order);
         state.rollouts.sum_all(&order.service, in_flight)
@@ -318,16 +318,16 @@
 }
 
 /// Decodes the newest record of each service. One of an earlier era is replaced by a row of this one.
-fn decode_all(rows: &Rows) -> BTreeMap<String, Written> {
+fn decode_all(rows: &Rows) -> BTreeMap<String, StoredRecord> {
     let era = rows.version.era;
-    let mut newest: BTreeMap<String, (Era, Written)> = BTreeMap::new();
+    let mut newest: BTreeMap<String, (Era, StoredRecord)> = BTreeMap::new();
     for row in &rows.rows {
         let Some((service, written_in)) = table::split_key(&row.key) else { continue };
         let Some(record) = decode(row).filter(|_| written_in <= era) else { continue };
         let version = if written_in == era { row.version } else { TableVersion::absent(era) };
         let known = newest.get(service).map(|(known, _)| *known);
         if known < Some(written_in) {
-            newest.insert(service.to_owned(), (written_in, Written { record, version }));
+            newest.insert(service.to_owned(), (written_in, StoredRecord { record, version }));
         }
     }
     newest.into_iter().map(|(service, (_, written))| (service, written)).collect()
--- a/crates/gateway/src/node/rollout_status.rs
+++ b/crates/gateway/src/node/rollout_status.rs
@@ -16,19 +16,19 @@
 use crate::event::{self, Event};
 use crate::port::{TableError, TableName};
 
-const CALL_WITHIN: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time after a return of the table service within which a write that was sent before it may still be done.
-const LATE_WRITES_WITHIN: Millis = 10_000;
+const LATE_WRITE_WINDOW_MS: Millis = 10_000;
 /// The time between two writes of a status in that time.
-const STATUS_AGAIN: Millis = 1_000;
+const STATUS_REWRITE_INTERVAL_MS: Millis = 1_000;
 
 /// The statuses as the holder of the duties last published them, by service.
 #[derive(Debug, Default)]
-pub(super) struct Statuses(BTreeMap<String, Published>);
+pub(super) struct Statuses(BTreeMap<String, PublishedStatus>);
 
 /// A status that was published.
 #[derive(Clone, Copy, Debug)]
-struct Published {
+struct PublishedStatus {
     /// The version of its row.
     version: TableVersion,
     /// The order and stage that this holder has written there; `None` where it has written nothing yet.
@@ -40,7 +40,7 @@
 impl Statuses {
     /// Forgets what this node wrote as an earlier holder, and keeps the versions of the rows.
     pub fn forget_written(self) -> Self {
-        let forget = |(service, status)| (service, Published { written: None, ..status });
+        let forget = |(service, status)| (service, PublishedStatus { written: None, ..status });
         Self(self.0.into_iter().map(forget).collect())
     }
 
@@ -48,10 +48,10 @@
     /// the write did not succeed.
     pub async fn publish(&mut self, node: &Node, era: Era, order: &Order, stage: Stage) -> bool {
         let absent = TableVersion::absent(era);
-        let unknown = Published { version: absent, written: None, written_at: 0 };
+        let unknown = PublishedStatus { version: absent, written: None, written_at: 0 };
         let mut status = self.0.get(&order.service).copied().unwrap_or(unknown);
         let is_written = status.written == Some((order.number, stage));
-        if is_written && !is_due_again(node, &status) {
+        if is_written && !is_rewrite_due(node, &status) {
             return true;
         }
         let row = (node.platform.rollouts.encode_status)(&Status {
@@ -60,17 +60,17 @@
             stage,
         });
         let (name, value) = (TableName::Status, Some(row.value));
-        let writing = table::replace(node, name, &row.key, status.version, value, CALL_WITHIN);
+        let writing = table::replace(node, name, &row.key, status.version, value, CALL_TIMEOUT);
         match writing.await.inspect_err(note_failure) {
             Ok(rows) => {
                 let written = Some((order.number, stage));
-                status = Published { version: rows.version, written, written_at: node.now() };
+                status = PublishedStatus { version: rows.version, written, written_at: node.now() };
             }
             // Another writer replaced it: write it again with the next step.
             Err(TableError::Conflict(rows)) => {
                 let found = rows.rows.iter().find(|found| found.key == row.key);
                 let version = found.map_or(absent, |row| row.version);
-                status = Published { version, written: None, ..status };
+                status = PublishedStatus { version, written: None, ..status };
             }
             Err(_) => return false,
         }
@@ -80,11 +80,11 @@
 }
 
 /// Returns `true` if a status that is written should be written again.
-fn is_due_again(node: &Node, status: &Published) -> bool {
+fn is_rewrite_due(node: &Node, status: &PublishedStatus) -> bool {
     let now = node.now();
     let era_age = node.with(|state| state.eras.get_age(now));
-    let is_return_recent = era_age.is_some_and(|age| age < LATE_WRITES_WITHIN);
-    is_return_recent && now >= status.written_at + STATUS_AGAIN
+    let is_restore_recent = era_age.is_some_and(|age| age < LATE_WRITE_WINDOW_MS);
+    is_restore_recent && now >= status.written_at + STATUS_REWRITE_INTERVAL_MS
 }
 
 fn note_failure(error: &TableError) {
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -13,7 +13,7 @@
 
 use super::peers::link::Link;
 use super::state::{BYTES_PER_MB, ProcessContext};
-use super::{Node, connections, duty, listeners, memory, peers, quarantine_rows, stop, watch};
+use super::{Node, connections, leader, listeners, memory, peers, quarantine_rows, stop, watch};
 use crate::event::{self, Event};
 use crate::exchange;
 use crate::http::{Limits, Server, Stop};
@@ -68,14 +68,14 @@
         peers: listen.peers,
         metrics: listen.metrics,
     });
-    runtime::spawn(watch::configuration(node.clone()));
-    runtime::spawn(watch::freshness(node.clone()));
-    runtime::spawn(watch::servers(node.clone()));
+    runtime::spawn(watch::watch_configuration(node.clone()));
+    runtime::spawn(watch::confirm_freshness(node.clone()));
+    runtime::spawn(watch::watch_servers(node.clone()));
     runtime::spawn(connections::run(node.clone()));
     peers::start(&node);
     let called = node.clone();
     runtime::spawn(peer_calls.serve(move |request| peers::calls::serve(called.clone(), request)));
-    runtime::spawn(duty::run(node.clone()));
+    runtime::spawn(leader::run(node.clone()));
     runtime::spawn(quarantine_rows::run(node.clone()));
     runtime::spawn(memory::watch(node.clone()));
     exchange::watch_callers(&node);
--- a/crates/gateway/src/node/skipped.rs
+++ b/crates/gateway/src/node/skipped.rs
@@ -7,7 +7,7 @@
 use crate::port::Row;
 
 /// The most entries that are remembered; further ones are logged each time that they are read.
-const MOST_REMEMBERED: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 
 /// Entries that cannot be read, by their keys, with the versions of their rows: each is logged once for
 /// each change of its row.
@@ -20,7 +20,7 @@
     /// Notes that an entry cannot be read; returns `true` if this version of its row is new.
     pub fn note(&mut self, key: &str, version: TableVersion) -> bool {
         let known = self.versions.get(key).copied();
-        if known.is_some() || self.versions.len() < MOST_REMEMBERED {
+        if known.is_some() || self.versions.len() < MAX_ENTRIES {
             self.versions.insert(key.to_owned(), version);
         }
         known != Some(version)
--- a/crates/gateway/src/node/staleness.rs
+++ b/crates/gateway/src/node/staleness.rs
@@ -5,14 +5,14 @@
 
 use super::Node;
 
-/// The part of the drain bound after which the list of servers counts as old.
-const SERVERS_OLD_PART: f64 = 0.85;
-/// The part of the time in which a new configuration must be in force after which this node's
+/// The fraction of the drain bound after which the list of servers counts as old.
+const SERVERS_STALE_FRACTION: f64 = 0.85;
+/// The fraction of the time in which a new configuration must be in force after which this node's
 /// counts as old: the readers themselves may have lost the table service, all at once.
-const CONFIGURATION_OLD_PART: f64 = 0.65;
-/// The part of the freshness bound after which the configuration counts as old at the latest: the
+const CONFIGURATION_STALE_FRACTION: f64 = 0.65;
+/// The fraction of the freshness bound after which the configuration counts as old at the latest: the
 /// rest is for the node's own call, and for trying that again.
-const CONFIRMATION_OLD_PART: f64 = 0.6;
+const CONFIRMATION_STALE_FRACTION: f64 = 0.6;
 
 /// Returns the versions that this node knows.
 pub(super) fn get_versions(node: &Node) -> Versions {
@@ -29,27 +29,27 @@
 }
 
 /// Returns `true` if the list of servers is older than it may be.
-pub(super) fn is_servers_old(node: &Node) -> bool {
+pub(super) fn is_servers_stale(node: &Node) -> bool {
     is_servers_older_than(node, 1.0)
 }
 
-/// Returns `true` if the list of servers is older than a part of what it may be.
-pub(super) fn is_servers_older_than(node: &Node, part: f64) -> bool {
-    let bound = node.settings.bounds.drain_ms as f64 * SERVERS_OLD_PART * part;
+/// Returns `true` if the list of servers is older than a fraction of what it may be.
+pub(super) fn is_servers_older_than(node: &Node, fraction: f64) -> bool {
+    let bound = node.settings.bounds.drain_ms as f64 * SERVERS_STALE_FRACTION * fraction;
     let now = node.now();
     !node.with(|state| state.servers_freshness.is_within(now, bound as Millis))
 }
 
 /// Returns `true` if the configuration is older than it should be.
-pub(super) fn is_configuration_old(node: &Node) -> bool {
+pub(super) fn is_configuration_stale(node: &Node) -> bool {
     is_configuration_older_than(node, 1.0)
 }
 
-/// Returns `true` if the configuration is older than a part of what it should be.
-pub(super) fn is_configuration_older_than(node: &Node, part: f64) -> bool {
-    let apply = node.settings.bounds.config_apply_ms as f64 * CONFIGURATION_OLD_PART;
-    let confirmation = node.get_max_configuration_age() as f64 * CONFIRMATION_OLD_PART;
-    let bound = apply.min(confirmation) * part;
+/// Returns `true` if the configuration is older than a fraction of what it should be.
+pub(super) fn is_configuration_older_than(node: &Node, fraction: f64) -> bool {
+    let apply = node.settings.bounds.config_apply_ms as f64 * CONFIGURATION_STALE_FRACTION;
+    let confirmation = node.get_max_configuration_age() as f64 * CONFIRMATION_STALE_FRACTION;
+    let bound = apply.min(confirmation) * fraction;
     let now = node.now();
     !node.with(|state| state.freshness.is_within(now, bound as Millis))
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -306,7 +306,7 @@
             ),
         };
         let mut metrics = Metrics::default();
-        metrics.register_crossed(link.get_crossed_by_region());
+        metrics.register_crossed(link.get_cross_region_bytes_by_region());
         Arc::new(Self {
             settings,
             platform,
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -19,7 +19,7 @@
 };
 
 /// Stands between a row's key and its era.
-const ERA_MARK: char = '@';
+const ERA_SEPARATOR: char = '@';
 
 /// Reads all rows of a table, page by page, and waits for each page for a time at most: a long table takes as much
 /// longer as it has more pages.
@@ -32,10 +32,10 @@
 pub(super) async fn read_all(
     node: &Node,
     table: TableName,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
-    let first = read_first(node, table, within).await?;
-    read_rest(node, table, within, first).await
+    let first = read_first(node, table, timeout).await?;
+    read_rest(node, table, timeout, first).await
 }
 
 /// Reads the first page of a table.
@@ -46,9 +46,9 @@
 pub(super) async fn read_first(
     node: &Node,
     table: TableName,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, node.platform.table.read_first(table, within).await)
+    check_era(node, node.platform.table.read_first(table, timeout).await)
 }
 
 /// Reads the pages after the first one.
@@ -59,10 +59,10 @@
 pub(super) async fn read_rest(
     node: &Node,
     table: TableName,
-    within: Duration,
+    timeout: Duration,
     first: Rows,
 ) -> Result<Rows, TableError> {
-    take(node, node.platform.table.read_rest(table, within, first).await)
+    check_era(node, node.platform.table.read_rest(table, timeout, first).await)
 }
 
 /// Reads some rows of a table.
@@ -73,13 +73,13 @@
 pub(super) async fn read_some(
     node: &Node,
     selection: Selection,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, answer_within(within, (node.platform.table.read_some)(selection)).await)
+    check_era(node, answer_within(timeout, (node.platform.table.read_some)(selection)).await)
 }
 
 /// Waits for rows that changed after a version. The service holds the call for `hold` where nothing changes,
-/// and the node waits for `within` longer.
+/// and the node waits for `timeout` longer.
 ///
 /// # Errors
 ///
@@ -89,13 +89,13 @@
     table: TableName,
     after: TableVersion,
     hold: Duration,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
     if node.with(|state| state.eras.is_superseded(after.era)) {
         return Err(TableError::HistoryGone);
     }
     let watching = (node.platform.table.watch)(table, after, hold);
-    let rows = take(node, answer_within(hold + within, watching).await)?;
+    let rows = check_era(node, answer_within(hold + timeout, watching).await)?;
     if rows.version.era != after.era {
         return Err(TableError::HistoryGone);
     }
@@ -111,14 +111,14 @@
 pub(super) async fn commit(
     node: &Node,
     transaction: Transaction,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
     let era = transaction.conditions.first().map(|condition| condition.version.era);
     if era.is_some_and(|era| node.with(|state| state.eras.is_superseded(era))) {
         return Err(TableError::Superseded);
     }
     let committing = (node.platform.table.commit)(transaction);
-    let answer = take(node, answer_within(within, committing).await);
+    let answer = check_era(node, answer_within(timeout, committing).await);
     let answered_in = match &answer {
         Ok(rows) | Err(TableError::Conflict(rows)) => Some(rows.version.era),
         Err(_) => None,
@@ -140,15 +140,15 @@
     key: &str,
     version: TableVersion,
     value: Option<Vec<u8>>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
     let condition = Condition { table, key: key.to_owned(), version };
     let write = Write { table, key: key.to_owned(), value };
-    commit(node, Transaction { conditions: vec![condition], writes: vec![write] }, within).await
+    commit(node, Transaction { conditions: vec![condition], writes: vec![write] }, timeout).await
 }
 
 /// Notes the era that an answer shows; one of an earlier era counts for nothing.
-fn take(node: &Node, answer: Result<Rows, TableError>) -> Result<Rows, TableError> {
+fn check_era(node: &Node, answer: Result<Rows, TableError>) -> Result<Rows, TableError> {
     if let Ok(rows) | Err(TableError::Conflict(rows)) = &answer {
         note_era(node, rows.version.era);
         let known = node.with(|state| state.eras.get());
@@ -167,21 +167,21 @@
 /// Notes an era that an answer showed, or that another node knows.
 pub(super) fn note_era(node: &Node, era: Era) {
     let now = node.now();
-    let begun = node.with(|state| {
-        let begun = state.eras.note(now, era)?;
+    let new_era = node.with(|state| {
+        let new_era = state.eras.note(now, era)?;
         state.lease.begin_era(era);
-        if begun.before.is_some() {
+        if new_era.before.is_some() {
             state.directory.note_era(now);
             state.frozen_usage.repeat();
         }
-        Some(begun)
+        Some(new_era)
     });
-    let Some(begun) = begun else { return };
-    let is_return = begun.before.is_some();
+    let Some(new_era) = new_era else { return };
+    let is_return = new_era.before.is_some();
     if is_return {
         node.metrics.store_returns.inc();
     }
-    let before = begun.before.and_then(Era::get_number);
+    let before = new_era.before.and_then(Era::get_number);
     event::emit(&Event::StoreEraBegun { era: era.get_number(), before, is_return });
 }
 
@@ -189,13 +189,13 @@
 pub(super) fn era_key(key: &str, era: Era) -> String {
     match era.get_number() {
         None => key.to_owned(),
-        Some(number) => format!("{key}{ERA_MARK}{number}"),
+        Some(number) => format!("{key}{ERA_SEPARATOR}{number}"),
     }
 }
 
 /// Splits the key of a row that is written under a condition; `None` where it is none.
 pub(super) fn split_key(key: &str) -> Option<(&str, Era)> {
-    match key.rsplit_once(ERA_MARK) {
+    match key.rsplit_once(ERA_SEPARATOR) {
         Some((key, era)) => Some((key, Era::named(era.parse().ok()?))),
         None => Some((key, Era::UNNAMED)),
     }
--- a/crates/gateway/src/node/usage_rows.rs
+++ b/crates/gateway/src/node/usage_rows.rs
@@ -16,7 +16,7 @@
 
 /// The rows of an era, and those of earlier ones.
 #[derive(Default)]
-pub(super) struct Sorted<'a> {
+pub(super) struct UsageRows<'a> {
     /// The running counts of the era.
     pub running: Option<&'a Row>,
     /// The running counts of earlier eras.
@@ -28,18 +28,18 @@
 }
 
 /// Sorts rows by what they hold and whether they are of an era; those of later ones are left out.
-pub(super) fn sort(rows: &[Row], era: Era) -> Sorted<'_> {
-    let mut sorted = Sorted::default();
+pub(super) fn classify(rows: &[Row], era: Era) -> UsageRows<'_> {
+    let mut classified = UsageRows::default();
     for row in rows {
         match (table::split_key(&row.key), FrozenKey::parse(&row.key)) {
-            (_, Some(key)) if key.era == era => sorted.frozen.push(row),
-            (_, Some(key)) if key.era < era => sorted.earlier_frozen.push((row, key)),
-            (Some((RUNNING_KEY, of)), _) if of == era => sorted.running = Some(row),
-            (Some((RUNNING_KEY, of)), _) if of < era => sorted.earlier_running.push(row),
+            (_, Some(key)) if key.era == era => classified.frozen.push(row),
+            (_, Some(key)) if key.era < era => classified.earlier_frozen.push((row, key)),
+            (Some((RUNNING_KEY, of)), _) if of == era => classified.running = Some(row),
+            (Some((RUNNING_KEY, of)), _) if of < era => classified.earlier_running.push(row),
             _ => {}
         }
     }
-    sorted
+    classified
 }
 
 /// Makes the key of the running counts of an era.
@@ -73,12 +73,12 @@
     let encoded = postcard::to_stdvec(kept);
     let encoded =
         encoded.inspect_err(|error| log::error!("running counts cannot be encoded: {error}"));
-    Some(document::pack(&encoded.ok()?).to_vec())
+    Some(document::compress(&encoded.ok()?).to_vec())
 }
 
 /// Decodes running counts; `None` where they cannot be read.
 pub(super) fn decode_running(row: &Row) -> Option<Kept> {
-    postcard::from_bytes(&document::unpack(row.value.as_deref()?)?).ok()
+    postcard::from_bytes(&document::decompress(row.value.as_deref()?)?).ok()
 }
 
 /// Decodes the row of a frozen window; `None` where it is another row or cannot be read.
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -9,7 +9,10 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::table_version::TableVersion;
 
-use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of, read};
+use super::{
+    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, follow, fraction_of, is_reader, note_failure, read,
+    should_read,
+};
 use crate::event::{self, Event};
 use crate::node::backoff::{Backoff, jitter};
 use crate::node::document::Document;
@@ -21,37 +24,37 @@
 
 /// How long a watch of the configuration is held where nothing changes, as a part of the bound in
 /// which a new one must be in force. Reads confirm it besides.
-const CONFIGURATION_HOLD_PART: f64 = 0.8;
+const CONFIGURATION_HOLD_FRACTION: f64 = 0.8;
 /// The time between two reads by a node that knows no configuration and does not read for all: the
 /// readers tell it too, where it hears other nodes.
-const UNCONFIGURED_PAUSE: Millis = 15_000;
-const UNCONFIGURED_PAUSE_ALONE: Millis = 3_000;
+const UNCONFIGURED_READ_INTERVAL_MS: Millis = 15_000;
+const ISOLATED_READ_INTERVAL_MS: Millis = 3_000;
 /// How long a node that has a configuration from another node waits for a report that says how old
 /// it is, before it confirms the configuration itself.
-const UNCONFIRMED_FOR: Millis = 1_000;
+const CONFIRMATION_WAIT_MS: Millis = 1_000;
 /// The time between two confirmations of the configuration, as a part of the time in which a new
 /// one must be in force.
-const CONFIRM_PART: f64 = 0.25;
+const CONFIRM_INTERVAL_FRACTION: f64 = 0.25;
 /// The same where nodes report in groups, and what a reader knows passes two nodes on its way.
-const CONFIRM_PART_GROUPED: f64 = 0.125;
+const GROUPED_CONFIRM_INTERVAL_FRACTION: f64 = 0.125;
 /// Confirmations in each freshness bound, at the least.
-const CONFIRMS_IN_BOUND: u32 = 4;
+const MIN_CONFIRMATIONS_PER_BOUND: u32 = 4;
 
 /// Follows the configuration for ever, where this node reads for all or knows none yet.
-pub async fn configuration(node: Arc<Node>) {
+pub async fn watch_configuration(node: Arc<Node>) {
     let mut backoff = Backoff::default();
     let mut read_at = None;
     loop {
         let now = node.now();
         let is_needed = lacks_configuration(&node) && is_read_due(&node, now, read_at);
         if !is_reader(&node) && !is_needed {
-            runtime::sleep(LOOK).await;
+            runtime::sleep(POLL_INTERVAL).await;
             continue;
         }
         match read(&node, TableName::Configuration).await {
             Ok(rows) => {
                 note_rewritten(&node, &rows.rows);
-                adopt_and_push(&node, &rows.rows);
+                adopt_and_notify(&node, &rows.rows);
                 if let Err(error) = confirm_configuration(&node, now).await {
                     note_failure("era", &error);
                 }
@@ -68,25 +71,26 @@
 /// Returns `true` if a node that knows no configuration reads it again.
 fn is_read_due(node: &Node, now: Millis, read_at: Option<Millis>) -> bool {
     let is_alone = node.with(|state| state.members.get_reach(now).heard <= 1);
-    let pause = if is_alone { UNCONFIGURED_PAUSE_ALONE } else { UNCONFIGURED_PAUSE };
+    let pause = if is_alone { ISOLATED_READ_INTERVAL_MS } else { UNCONFIGURED_READ_INTERVAL_MS };
     read_at.is_none_or(|at| now >= at + pause)
 }
 
 /// Follows the configuration while this node reads for all.
 async fn follow_configuration(node: &Node, from: TableVersion) {
     let table = TableName::Configuration;
-    let hold = part_of(node.settings.bounds.config_apply_ms, CONFIGURATION_HOLD_PART);
-    let watch = Watch { table, hold, gather: None, is_wanted: is_reader };
+    let hold = fraction_of(node.settings.bounds.config_apply_ms, CONFIGURATION_HOLD_FRACTION);
+    let watch = Watch { table, hold, batch_delay: None, is_wanted: is_reader };
     follow(node, &watch, from, |rows, _| {
         note_rewritten(node, &rows.rows);
-        adopt_and_push(node, &rows.rows);
+        adopt_and_notify(node, &rows.rows);
     })
     .await;
 }
 
 /// Reads the configuration again and again, to know that it is the newest.
-pub async fn freshness(node: Arc<Node>) {
-    let bound = Duration::from_millis(node.get_max_configuration_age()) / CONFIRMS_IN_BOUND;
+pub async fn confirm_freshness(node: Arc<Node>) {
+    let bound =
+        Duration::from_millis(node.get_max_configuration_age()) / MIN_CONFIRMATIONS_PER_BOUND;
     let mut backoff = Backoff::default();
     let mut unconfirmed_since = None;
     loop {
@@ -96,18 +100,22 @@
             unconfirmed_since = None;
         }
         // Until there is one, the first configuration is awaited and not requested again.
-        let is_told_soon = is_unconfirmed(&node) && now < since + UNCONFIRMED_FOR;
+        let is_told_soon = is_unconfirmed(&node) && now < since + CONFIRMATION_WAIT_MS;
         let is_waiting = !is_reader(&node) && (lacks_configuration(&node) || is_told_soon);
-        if is_waiting || !is_due(&node, staleness::is_configuration_old) {
-            runtime::sleep(LOOK).await;
+        if is_waiting || !should_read(&node, staleness::is_configuration_stale) {
+            runtime::sleep(POLL_INTERVAL).await;
             continue;
         }
         match confirm(&node).await {
             Ok(()) => {
                 backoff.reset();
                 let is_grouped = node.with(|state| state.members.is_grouped());
-                let part = if is_grouped { CONFIRM_PART_GROUPED } else { CONFIRM_PART };
-                let period = part_of(node.settings.bounds.config_apply_ms, part);
+                let part = if is_grouped {
+                    GROUPED_CONFIRM_INTERVAL_FRACTION
+                } else {
+                    CONFIRM_INTERVAL_FRACTION
+                };
+                let period = fraction_of(node.settings.bounds.config_apply_ms, part);
                 runtime::sleep(jitter(period.min(bound))).await;
             }
             Err(error) => {
@@ -124,7 +132,7 @@
 /// be long.
 async fn confirm(node: &Node) -> Result<(), TableError> {
     let asked_at = node.now();
-    let rows = match known_row(node) {
+    let rows = match get_known_row(node) {
         Some(row) => match confirm_row(node, &row).await {
             Ok(()) => Vec::new(),
             Err(TableError::Conflict(rows)) => rows.rows,
@@ -135,7 +143,7 @@
         None => read(node, TableName::Configuration).await?.rows,
     };
     note_rewritten(node, &rows);
-    adopt_and_push(node, &rows);
+    adopt_and_notify(node, &rows);
     rollouts::announce_deferred(node);
     confirm_configuration(node, asked_at).await
 }
@@ -178,7 +186,7 @@
 
 /// Returns the row of the configuration in force, where this node has read it itself in the table service's
 /// era. While the operator may still write again, all its rows are read.
-fn known_row(node: &Node) -> Option<ConfigurationRow> {
+fn get_known_row(node: &Node) -> Option<ConfigurationRow> {
     let now = node.now();
     node.with(|state| {
         let version = state.configuration.as_ref()?.version;
@@ -196,7 +204,7 @@
         version: row.row_version,
     };
     let transaction = Transaction { conditions: vec![condition], writes: Vec::new() };
-    table::commit(node, transaction, ANSWER_WITHIN).await.map(|_| ())
+    table::commit(node, transaction, ANSWER_TIMEOUT).await.map(|_| ())
 }
 
 /// Returns `true` if this node does not know of any time at which its configuration was the newest.
@@ -210,7 +218,7 @@
 }
 
 /// Adopts the configuration in the rows, and notifies all peers where it is newer.
-fn adopt_and_push(node: &Node, rows: &[Row]) {
+fn adopt_and_notify(node: &Node, rows: &[Row]) {
     if let Some(version) = adopt_configuration(node, rows) {
         node.notify_peers(Notification::ConfigurationChanged { version });
     }
@@ -219,7 +227,7 @@
 /// Adopts the configuration in the rows, where it is newer than the one in force; returns the
 /// version where it is.
 pub(in crate::node) fn adopt_configuration(node: &Node, rows: &[Row]) -> Option<u64> {
-    let known = known_row(node);
+    let known = get_known_row(node);
     let is_known = |row: &&Row| {
         let is_same = known.as_ref().is_some_and(|known| known.row_version == row.version);
         is_same && !row.version.is_absent()
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -21,18 +21,18 @@
 use crate::runtime;
 
 pub(super) use configuration::adopt_configuration;
-pub use configuration::{configuration, freshness};
+pub use configuration::{confirm_freshness, watch_configuration};
 pub(crate) use servers::apply_departure;
-pub use servers::{apply, servers};
+pub use servers::{apply, watch_servers};
 pub(super) use servers::{apply_departures, apply_update, expire_lapsed};
 
 /// The time between two looks whether this node has to read.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How much longer the node waits for its answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(700);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Returns `true` if this node has to read a table itself.
-fn is_due(node: &Node, is_old: fn(&Node) -> bool) -> bool {
+fn should_read(node: &Node, is_old: fn(&Node) -> bool) -> bool {
     is_reader(node) || is_old(node)
 }
 
@@ -43,7 +43,7 @@
 }
 
 async fn read(node: &Node, table: TableName) -> Result<Rows, TableError> {
-    table::read_all(node, table, ANSWER_WITHIN).await
+    table::read_all(node, table, ANSWER_TIMEOUT).await
 }
 
 /// How a table is followed.
@@ -51,13 +51,13 @@
     table: TableName,
     /// How long the table service holds a call where nothing changes.
     hold: Duration,
-    /// The pause after changes, in which further ones gather.
-    gather: Option<Duration>,
+    /// The pause after changes, in which further ones batch_delay.
+    batch_delay: Option<Duration>,
     /// Returns `true` if this node goes on to follow the table.
     is_wanted: fn(&Node) -> bool,
 }
 
-fn part_of(bound: Millis, part: f64) -> Duration {
+fn fraction_of(bound: Millis, part: f64) -> Duration {
     Duration::from_millis(bound).mul_f64(part)
 }
 
@@ -72,11 +72,11 @@
     let mut version = from;
     while (watch.is_wanted)(node) {
         let asked_at = node.now();
-        match table::watch(node, watch.table, version, watch.hold, ANSWER_WITHIN).await {
+        match table::watch(node, watch.table, version, watch.hold, ANSWER_TIMEOUT).await {
             Ok(rows) => {
                 take(&rows, asked_at);
                 version = rows.version.max(version);
-                if let Some(pause) = watch.gather.filter(|_| !rows.rows.is_empty()) {
+                if let Some(pause) = watch.batch_delay.filter(|_| !rows.rows.is_empty()) {
                     runtime::sleep(pause).await;
                 }
             }
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -9,7 +9,9 @@
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
-use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of};
+use super::{
+    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, follow, fraction_of, is_reader, note_failure, should_read,
+};
 use crate::event::{self, Event};
 use crate::node::backoff::Backoff;
 use crate::node::peers::message::Notification;
@@ -20,26 +22,26 @@
 /// How long a watch of the servers is held where nothing changes, as a part of the drain bound:
 /// its answer shows that the list was the newest at the call, so that the list's age swings
 /// between one hold and two.
-const SERVERS_HOLD_PART: f64 = 0.22;
-/// The pause after changes in which further ones gather, as a part of the drain bound: servers come
+const SERVERS_HOLD_FRACTION: f64 = 0.22;
+/// The pause after changes in which further ones batch_delay, as a part of the drain bound: servers come
 /// and go in waves, and each call costs.
-const GATHER_PART: f64 = 0.08;
+const BATCH_DELAY_FRACTION: f64 = 0.08;
 /// How long after its start a node waits for its aggregator to give it a list of several pages, in
 /// milliseconds.
-const LONG_LIST_WITHIN: Millis = 2_000;
+const LONG_LIST_WAIT_MS: Millis = 2_000;
 /// Entries that are sent in one datagram: some 80 bytes each.
-const MOST_IN_DATAGRAM: usize = 64;
+const MAX_ENTRIES_PER_DATAGRAM: usize = 64;
 /// Changes that come at once and are logged one by one.
-const MOST_LOGGED: usize = 16;
+const MAX_LOGGED_CHANGES: usize = 16;
 
 /// Follows the list of servers for ever, where this node reads for all or its own list is old.
-pub async fn servers(node: Arc<Node>) {
+pub async fn watch_servers(node: Arc<Node>) {
     let mut backoff = Backoff::default();
     let mut is_long = false;
     loop {
-        let is_left = is_long && is_left_to_aggregator(&node);
-        if is_left || !is_due(&node, staleness::is_servers_old) {
-            runtime::sleep(LOOK).await;
+        let is_delegated = is_long && is_delegated_to_aggregator(&node);
+        if is_delegated || !should_read(&node, staleness::is_servers_stale) {
+            runtime::sleep(POLL_INTERVAL).await;
             continue;
         }
         match catch_up(&node).await {
@@ -52,8 +54,8 @@
                 let bound = node.settings.bounds.drain_ms;
                 let watch = Watch {
                     table: TableName::Servers,
-                    hold: part_of(bound, SERVERS_HOLD_PART),
-                    gather: Some(part_of(bound, GATHER_PART)),
+                    hold: fraction_of(bound, SERVERS_HOLD_FRACTION),
+                    batch_delay: Some(fraction_of(bound, BATCH_DELAY_FRACTION)),
                     is_wanted: is_reader,
                 };
                 follow(&node, &watch, version, |rows, asked_at| {
@@ -79,9 +81,9 @@
         node.with(|state| state.directory.is_known().then(|| state.directory.get_version()));
     let Some(after) = known else { return read_servers(node).await };
     let asked_at = node.now();
-    match table::watch(node, TableName::Servers, after, Duration::ZERO, ANSWER_WITHIN).await {
+    match table::watch(node, TableName::Servers, after, Duration::ZERO, ANSWER_TIMEOUT).await {
         Ok(rows) => {
-            note_servers_known(node);
+            note_list_recovered(node);
             update_servers(node, &rows, asked_at);
             Ok(Some(rows.version.max(after)))
         }
@@ -93,29 +95,29 @@
 /// Reads the list of servers whole; returns its version, or `None` where that is left to others.
 async fn read_servers(node: &Node) -> Result<Option<TableVersion>, TableError> {
     let asked_at = node.now();
-    let first = table::read_first(node, TableName::Servers, ANSWER_WITHIN).await?;
-    if first.has_more && is_left_to_aggregator(node) {
+    let first = table::read_first(node, TableName::Servers, ANSWER_TIMEOUT).await?;
+    if first.has_more && is_delegated_to_aggregator(node) {
         return Ok(None);
     }
-    let rows = table::read_rest(node, TableName::Servers, ANSWER_WITHIN, first).await?;
+    let rows = table::read_rest(node, TableName::Servers, ANSWER_TIMEOUT, first).await?;
     node.with(|state| state.skipped_entries.retain(&rows.rows));
     let servers = rows.rows.iter().filter_map(|row| decode_server(node, row));
-    replace_servers(node, rows.version, servers.collect());
+    replace_list(node, rows.version, servers.collect());
     node.with(|state| state.servers_freshness.confirm(asked_at));
     Ok(Some(rows.version))
 }
 
 /// Returns `true` if this node waits until its aggregator gives it a long list: where many nodes start at
 /// once, only the aggregators read it.
-fn is_left_to_aggregator(node: &Node) -> bool {
-    let is_starting = node.now() < node.clock.get_start() + LONG_LIST_WITHIN;
+fn is_delegated_to_aggregator(node: &Node) -> bool {
+    let is_starting = node.now() < node.clock.get_start() + LONG_LIST_WAIT_MS;
     let is_member = node.with(|state| state.members.is_grouped() && !state.members.is_aggregator());
     is_starting && is_member
 }
 
 /// Takes over a whole list of servers, where it is not older than the one known.
-fn replace_servers(node: &Node, version: TableVersion, servers: Vec<Server>) {
-    note_servers_known(node);
+fn replace_list(node: &Node, version: TableVersion, servers: Vec<Server>) {
+    note_list_recovered(node);
     let changes = node.with(|state| state.directory.replace(version, servers));
     apply(node, changes);
 }
@@ -123,15 +125,15 @@
 /// Takes over what a peer knows of the list of servers and this node lacked.
 pub(in crate::node) fn apply_update(node: &Node, update: Update<'_>) {
     table::note_era(node, update.get_version().era);
-    note_servers_known(node);
+    note_list_recovered(node);
     let changes = node.with(|state| state.directory.take(update));
     apply(node, changes.unwrap_or_default());
 }
 
 /// Notes that the list of servers is known again, where it had grown old.
-fn note_servers_known(node: &Node) {
+fn note_list_recovered(node: &Node) {
     let now = node.now();
-    if staleness::is_servers_old(node) {
+    if staleness::is_servers_stale(node) {
         node.with(|state| {
             if state.directory.is_known() {
                 state.directory.note_return(now);
@@ -173,7 +175,7 @@
 fn update_servers(node: &Node, rows: &Rows, asked_at: Millis) {
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
-        let parts = batch.clone().split(MOST_IN_DATAGRAM);
+        let parts = batch.clone().split(MAX_ENTRIES_PER_DATAGRAM);
         parts.into_iter().for_each(|part| node.notify_peers(Notification::ServersChanged(part)));
     }
     let changes = node.with(|state| state.directory.update(batch));
@@ -234,7 +236,7 @@
 
 /// Logs each change; of many only how many there are of each kind, because all nodes log the same.
 fn log_changes(changes: &[Change]) {
-    if changes.len() > MOST_LOGGED {
+    if changes.len() > MAX_LOGGED_CHANGES {
         return event::emit(&Event::ServersChanged {
             joined: changes.iter().filter(|change| matches!(change, Change::Joined(_))).count(),
             leaving: changes.iter().filter(|change| matches!(change, Change::Leaving(_))).count(),
--- a/crates/gateway/tests/document.rs
+++ b/crates/gateway/tests/document.rs
@@ -1,6 +1,6 @@
 //! Documents that peers get from each other.
 
-use keeljunction_gateway::node::document::{Document, unpack};
+use keeljunction_gateway::node::document::{Document, decompress};
 use proptest::prelude::*;
 
 #[test]
@@ -8,26 +8,26 @@
     let route =
         r#"{"name":"r","host":"bahu79.example","path_prefix":"/nywu900/no2/","service":"s"}"#;
     let text = format!("[{}]", vec![route; 1_400].join(","));
-    let packed = Document::new(text.clone().into_bytes()).get_packed();
-    assert!(packed.len() * 20 < text.len(), "{} of {}", packed.len(), text.len());
-    assert_eq!(unpack(&packed), Some(text.into_bytes()));
+    let compressed = Document::new(text.clone().into_bytes()).get_compressed();
+    assert!(compressed.len() * 20 < text.len(), "{} of {}", compressed.len(), text.len());
+    assert_eq!(decompress(&compressed), Some(text.into_bytes()));
 }
 
 #[test]
 fn bytes_that_are_no_document_are_refused() {
-    assert_eq!(unpack(b"\xff\xff\xff\xff"), None);
+    assert_eq!(decompress(b"\xff\xff\xff\xff"), None);
 }
 
 #[test]
 fn a_document_that_grows_without_end_is_refused() {
-    let packed = Document::new(vec![b'a'; (16 << 20) + 1]).get_packed();
-    assert_eq!(unpack(&packed), None);
+    let compressed = Document::new(vec![b'a'; (16 << 20) + 1]).get_compressed();
+    assert_eq!(decompress(&compressed), None);
 }
 
 proptest! {
     #[test]
     fn every_document_comes_back(text in proptest::collection::vec(any::<u8>(), 0..2_000)) {
-        let packed = Document::new(text.clone()).get_packed();
-        prop_assert_eq!(unpack(&packed), Some(text));
+        let compressed = Document::new(text.clone()).get_compressed();
+        prop_assert_eq!(decompress(&compressed), Some(text));
     }
 }
