--- a/crates/gateway/src/node/leader.rs
+++ b/crates/gateway/src/node/leader.rs
@@ -1,4 +1,4 @@
-//! Holds the lease and makes the calls that one node at a time may make.
+//! Holds the duty lease, and runs the tasks that only one node at a time may run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +16,27 @@
 const KEY: &str = "duties";
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// The first look at the lease comes within this time of the start.
+/// The first check of the lease happens at a random time within this period.
 const MAX_START_DELAY_MS: Millis = 1_500;
-/// The part of a lease for which a holder is believed that was heard of: its row cannot end before
-/// the rest of the lease is over, and reports in groups take up to three periods.
+/// The fraction of a lease for which another node's report of holding it is trusted: its row cannot
+/// expire before the rest of the lease has passed, and reports in groups take up to three periods.
 const HOLDER_TTL_FRACTION: f64 = 2.0 / 3.0;
-/// Renewals in each length of the lease.
+/// Renewals per lease period.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// The lease's row as the table surely held it, with the clock reading that came with it.
+/// The last confirmed row of the lease, with the clock reading of that answer.
 #[derive(Clone, Debug)]
 struct KnownLease {
-    /// `None` where there is no row yet.
+    /// The row; `None` if it does not exist yet.
     row: Option<LeaseRow>,
-    /// The row's version.
+    /// The version of the row.
     version: TableVersion,
     clock: TableClock,
     /// Keys of the rows of earlier eras.
     earlier: Vec<String>,
 }
 
-/// A row that cannot be read.
+/// A row that could not be decoded.
 #[derive(Clone, Copy, Debug)]
 struct UnreadableRow {
     version: TableVersion,
@@ -44,11 +44,11 @@
     seen_at: Millis,
 }
 
-/// Holds the lease where it is free, and does the duties while it is held.
+/// Acquires the lease when it is free, and runs the duties while it is held.
 pub async fn run(node: Arc<Node>) {
     let mut known_lease: Option<KnownLease> = None;
     let mut unreadable = None;
-    // Nodes that start together would all write the row at once.
+    // Spreads the writes of nodes that start together.
     let mut next_check_at: Millis = node.now() + fastrand::u64(..MAX_START_DELAY_MS);
     let mut usage = usage_reporter::UsageReporter::default();
     let mut capacity = capacity_controller::CapacityController::default();
@@ -73,13 +73,15 @@
     }
 }
 
-/// Returns `true` if this node counts for its group or all nodes, and so knows what the duties need.
+/// Returns `true` if this node counts for its group or for all nodes, and so has the data that the
+/// duties need.
 fn is_aggregator(node: &Node) -> bool {
     node.with(|state| state.members.is_aggregator())
 }
 
-/// Returns `true` if this node need not look at the lease: it is no aggregator, or another node
-/// was heard to hold it. A holder that is none any more lets its lease end.
+/// Returns `true` if this node need not check the lease: it is no aggregator, or another node
+/// reported that it holds the lease. A holder that is no longer an aggregator lets its lease
+/// expire.
 fn can_skip_lease(node: &Node, now: Millis) -> bool {
     let within = (node.settings.bounds.lease_ms as f64 * HOLDER_TTL_FRACTION) as Millis;
     node.with(|state| {
@@ -90,9 +92,9 @@
     })
 }
 
-/// Takes or renews the lease; returns the time after which to look again.
+/// Acquires or renews the lease; returns the time until the next check.
 ///
-/// After a write whose outcome is not known_lease the row is read before anything else is tried.
+/// After a write with an unknown outcome, the row is read before the next write.
 async fn acquire_or_renew(
     node: &Node,
     known_lease: &mut Option<KnownLease>,
@@ -123,8 +125,8 @@
     if known_lease.is_some() { node.settings.bounds.lease_ms / RENEWALS_PER_LEASE } else { retry }
 }
 
-/// Writes the row where it has not changed since a version; `None` where that is not sure to be
-/// done.
+/// Writes the row if its version is unchanged; returns `None` if the write failed or its outcome is
+/// unknown.
 async fn write(node: &Node, row: LeaseRow, current: &KnownLease) -> Option<KnownLease> {
     let asked_at = node.now();
     match table::commit(node, make_transaction(&row, current), CALL_TIMEOUT).await {
@@ -150,7 +152,7 @@
     Transaction { conditions: vec![condition], writes }
 }
 
-/// Reads the lease's row; a row that is this node's confirms its lease.
+/// Reads the lease's row. A row that names this node confirms its lease.
 async fn read(
     node: &Node,
     unreadable: &mut Option<UnreadableRow>,
@@ -182,8 +184,9 @@
     serde_json::from_slice(row.value.as_deref()?).ok()
 }
 
-/// Returns a row in the place of one that cannot be read: whoever wrote it may hold the lease for its
-/// length from now on. The version of a row is higher than any fence that was ever written there.
+/// Returns a substitute for a row that could not be decoded. Its writer may hold the lease for a
+/// full period from now on. The version of the row is higher than any fencing token that was
+/// written there.
 fn make_unreadable_lease(
     node: &Node,
     unreadable: &mut Option<UnreadableRow>,
@@ -192,7 +195,7 @@
 ) -> LeaseRow {
     let known = unreadable.filter(|known| known.version == found.version);
     let seen = known.unwrap_or_else(|| {
-        let error = format!("the row {KEY} of {TABLE} cannot be read");
+        let error = format!("malformed row {KEY} in table {TABLE}");
         event::emit(&Event::DocumentRejected { error });
         UnreadableRow { version: found.version, seen_at: clock.table_time }
     });
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -1,25 +1,25 @@
-//! What a node knows, and the tasks that keep it up to date.
+//! The state of a gateway node and the tasks that maintain it.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
-//! | [`state`] | holds what the node knows |
+//! | [`state`] | holds the node's view of the deployment |
 //! | [`serve`] | starts the node and runs it until it has stopped |
-//! | [`watch`] | follows the configuration and the list of servers |
-//! | [`skipped`] | remembers which entries of the platform's tables cannot be read |
-//! | `staleness` | says how old the knowledge of the platform's tables is |
-//! | `pause_detector` | notices that the process stood still |
-//! | `peers` | exchanges what nodes tell each other |
-//! | [`memory`] | reserves memory for what is held for callers and servers |
-//! | `interrupted_attempts`, `eviction_signals` | hold what `crashes` and [`memory`] keep of requests that are served |
-//! | `crashes` | finds out which servers crashed, and under which requests |
-//! | `cross_region` | counts what requests send to other regions and get from there |
-//! | [`document`] | packs what peers get from each other |
-//! | `connections` | keeps the connections to servers that rest within the node's share |
-//! | `quarantine_rows` | keeps which requests crash servers in the platform's table |
-//! | [`leader`] | holds the lease and makes the calls that one node at a time may make |
-//! | `era_origin` | keeps when the eras of the table service began |
-//! | `table` | calls the table service, and follows its eras |
-//! | [`stop`] | ends the node without cutting an answer |
+//! | [`watch`] | follows the configuration and the server list |
+//! | [`skipped`] | tracks table entries that could not be decoded |
+//! | `staleness` | reports the age of the node's copies of the platform's tables |
+//! | `pause_detector` | detects that the process was paused or its machine suspended |
+//! | `peers` | exchanges messages with the other nodes |
+//! | [`memory`] | reserves memory for buffers of clients and servers |
+//! | `interrupted_attempts`, `eviction_signals` | hold the per-request state of `crashes` and [`memory`] |
+//! | `crashes` | detects crashed servers and the requests they were serving |
+//! | `cross_region` | counts the bytes that requests exchange with other regions |
+//! | [`document`] | compresses documents that nodes fetch from each other |
+//! | `connections` | limits idle connections to the node's share of each server |
+//! | `quarantine_rows` | persists quarantined requests in a table of the platform |
+//! | [`leader`] | holds the duty lease and runs the tasks of its holder |
+//! | `era_origin` | persists when the eras of the table service began |
+//! | `table` | calls the table service and tracks its eras |
+//! | [`stop`] | shuts the node down without interrupting responses |
 
 mod backoff;
 mod capacity_controller;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows.
+//! The node and its view of the deployment.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -50,157 +50,157 @@
 use crate::runtime::{self, Clock, lock};
 use crate::settings::Settings;
 
-/// The part of the revocation bound in which a configuration may be acted on without being
-/// confirmed. A request that was sent after a key's removal and the bound arrives, and is checked,
-/// later than that; the rest is left for clocks that drift.
+/// The fraction of the revocation bound for which a configuration stays usable without
+/// confirmation. A request that was sent later than the bound after a key's removal also arrives,
+/// and is checked, later; the rest of the bound allows for clock drift.
 const FRESHNESS_FRACTION: f64 = 0.95;
-/// Notifications for other nodes that wait to be sent; more are dropped, and show in the next report.
+/// Notifications that may wait to be sent. Further ones are dropped; the next report carries their
+/// content.
 const NOTIFICATION_CAPACITY: usize = 256;
-/// A server that does not take a connection within this time is passed over: the way there takes
-/// some milliseconds, and a lost opening packet is sent again only after a second.
+/// The timeout for connecting to a server. A connection takes some milliseconds, and a lost SYN is
+/// retransmitted only after a second, so a server that takes longer is skipped.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long callers are taken to use a connection that rests, where no configuration is known, in
-/// milliseconds.
+/// How long clients are assumed to reuse an idle connection while no configuration is known.
 const DEFAULT_CLIENT_IDLE_MS: Millis = 15_000;
-/// A connection that rests is kept open this many times as long as callers use it.
+/// The idle timeout of a connection, as a multiple of the time for which clients reuse it.
 const IDLE_TIMEOUT_FACTOR: u32 = 2;
-/// The fraction of the operator's retry budget that nodes use: callers' own retries and lost answers
-/// add to it at the edges of windows.
+/// The fraction of the operator's retry budget that nodes use. Retries by clients and lost
+/// responses add to it at the edges of windows.
 const RETRY_BUDGET_FRACTION: f64 = 0.7;
-/// Bytes of a megabyte, as the settings count them.
+/// Bytes per megabyte in the settings.
 pub(super) const BYTES_PER_MB: f64 = 1_000_000.0;
-/// The part of the process's memory that may be held for callers and servers. The rest is for what
-/// the node knows, for its sockets, and for what the allocator keeps.
+/// The fraction of the process's memory that may buffer data of clients and servers. The rest is
+/// for the node's own state, its sockets and the allocator's overhead.
 const BUFFER_MEMORY_FRACTION: f64 = 0.4;
-/// The part of a lease that its holder leaves unused.
+/// The fraction of a lease that its holder leaves unused.
 const LEASE_MARGIN_FRACTION: f64 = 0.2;
 
-/// A node: its settings, its adapter, and what it knows.
+/// A gateway node.
 pub struct Node {
     /// The settings.
     pub settings: Settings,
     /// The adapter to the platform.
     pub platform: Platform,
-    /// The steady clock.
+    /// The monotonic clock.
     pub clock: Clock,
-    /// Which region each data centre stands in.
+    /// The region of each data centre.
     pub topology: Arc<Topology>,
     /// This incarnation of the node.
     pub incarnation: Incarnation,
-    /// Connections to servers.
+    /// The HTTP client for servers and peers.
     pub http_client: Client,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Answers on their way to callers.
+    /// Responses in transit to clients.
     pub feeds: Feeds,
-    /// The signal on which the listeners close.
+    /// The signal that closes the client listener.
     pub listener_stop: Stop,
-    /// Datagrams between nodes.
+    /// The datagram socket for messages between nodes.
     pub(super) link: Link,
-    /// Notifications for other nodes that wait to be sent.
+    /// The queue of notifications to other nodes.
     pub(super) notifications: (Sender<Notification>, Receiver<Notification>),
-    /// Requests for loads that wait for answers, and changed loads that wait to be sent.
+    /// Load queries that await answers, and load changes to be sent.
     pub(super) pending_loads: pending_loads::Pending,
-    /// Requests that the owners of their client accounts decide about.
+    /// Quota queries that await the decision of the account's owner.
     pub(super) pending_decisions: PendingQueries<quota::Decision>,
-    /// Requests for permits of limited servers that wait for decisions.
+    /// Permit requests that await the decision of the server's owner.
     pub(super) pending_permits: PendingQueries<backpressure::Decision>,
-    /// Runs that broke off at servers that may have ended.
+    /// Attempts whose connection broke at a server that may have crashed.
     pub(super) interrupted_attempts: interrupted_attempts::Pending,
-    /// Signals to uploads that are evicted.
+    /// Signals to uploads that are evicted from memory.
     pub(crate) eviction_signals: EvictionSignals,
-    /// What the node knows of the deployment.
+    /// The node's view of the deployment.
     pub state: Mutex<State>,
-    /// What is being got from peers.
+    /// Fetches from peers that are in progress.
     pub(super) active_fetches: ActiveFetches,
     is_stopping: AtomicBool,
     in_flight: AtomicUsize,
 }
 
-/// How many calls for each document are going on.
+/// The number of fetches in progress for each document.
 #[derive(Debug, Default)]
 pub(super) struct ActiveFetches {
     pub configuration: AtomicUsize,
     pub servers: AtomicUsize,
 }
 
-/// The row of the configuration in force.
+/// The table row of the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationRow {
-    /// Its key.
+    /// The key of the row.
     pub key: String,
-    /// The version at which the table holds it.
+    /// The version of the row in the table.
     pub row_version: TableVersion,
-    /// The version of the configuration in it.
+    /// The version of the configuration that the row holds.
     pub version: u64,
 }
 
-/// What a node knows of the deployment.
+/// A node's view of the deployment.
 pub struct State {
     /// The eras of the table service.
     pub eras: Eras,
-    /// The configuration in force, once one is known.
+    /// The configuration in force; `None` until one is known.
     pub configuration: Option<Arc<Configuration>>,
-    /// The same, as the operator wrote it, for peers.
+    /// The configuration as the operator wrote it, for peers.
     pub configuration_document: Option<Arc<Document>>,
-    /// The row that it was read from, where this node has read it itself.
+    /// The row of the configuration, if this node read it itself.
     pub configuration_row: Option<ConfigurationRow>,
-    /// When it was last known to be the newest.
+    /// When the configuration was last confirmed to be the newest.
     pub freshness: Freshness,
-    /// The servers.
+    /// The server list.
     pub directory: Directory,
-    /// When the list of servers was last known to be the newest.
+    /// When the server list was last confirmed to be the newest.
     pub servers_freshness: Freshness,
-    /// Entries of the list that cannot be read.
+    /// Entries of the server list that could not be decoded.
     pub skipped_entries: skipped::Entries,
-    /// How busy the servers are.
+    /// The load of the servers.
     pub loads: LoadBook,
-    /// What the servers' answers showed.
+    /// The health of the servers, as shown by their responses.
     pub health: Health,
-    /// What servers say about the requests that follow.
+    /// Backpressure that the servers signalled in their responses.
     pub backpressure: backpressure::Book,
-    /// Bytes of requests that each server holds for this node.
+    /// Bytes of requests from this node that each server holds.
     pub server_held_bytes: held::Book,
     /// Requests that crash servers.
     pub quarantine: quarantine::Book,
-    /// What client accounts have used.
+    /// The usage of quotas by client account.
     pub quotas: Quotas,
-    /// Repeats.
+    /// The retry budget.
     pub retry_budget: Budget,
-    /// Requests that began.
+    /// Requests started, by client account and window.
     pub usage: Ledger,
-    /// Windows of them that were frozen.
+    /// Windows of usage whose counts are frozen.
     pub frozen_usage: Frozen,
-    /// Which windows of them the next summary holds.
+    /// Selects the usage windows of the next summary.
     pub(super) outgoing_usage: Outgoing,
-    /// Tokens requested, by service.
+    /// Requested tokens, by service.
     pub demand: DemandBook,
-    /// Moves of services to other versions.
+    /// Rollouts of services to other versions.
     pub rollouts: rollout::Book,
-    /// How fast the servers of each service read prompts.
+    /// The prompt processing rate of servers, by service.
     pub throughputs: HashMap<String, Throughput>,
-    /// Other nodes.
+    /// The other nodes.
     pub members: Members,
-    /// Round trips to other regions.
+    /// Round-trip times to other regions.
     pub round_trips: Distances,
-    /// The budgets of the links to other regions.
+    /// The bandwidth budgets of the links to other regions.
     pub region_links: Links,
-    /// Summaries that this node sends to other regions.
+    /// State of the summaries that this node sends to other regions.
     pub(super) summary_relay: RelayState,
-    /// Memory that is held for callers and servers.
+    /// Accounting of the memory that buffers data of clients and servers.
     pub memory: Accountant,
-    /// Whom this node reports its counts to.
+    /// The nodes that this node reports its counts to.
     pub(super) report_target: ReportTarget,
-    /// Which of its counts have arrived there.
+    /// Which counts the report target has received.
     pub handover: Handover,
-    /// Samples of throughput for the nodes of this node's group.
+    /// Throughput samples to be forwarded to this node's group.
     pub(super) samples: Samples,
     /// The lease of the duties.
     pub lease: DutyLease,
 }
 
 impl State {
-    /// Forgets what a server's answers showed.
+    /// Discards what is known of a server from its responses.
     pub(super) fn forget_server(&mut self, server: &Server) {
         self.health.forget(&server.id);
         self.rollouts.forget_server(&server.id);
@@ -211,39 +211,39 @@
 }
 
 impl State {
-    /// Returns `true` if a server takes no request now, by what it said in its answers.
+    /// Returns `true` if a server is in a backoff that its responses requested.
     pub(crate) fn is_in_backoff(&self, now: Millis, server: &Server) -> bool {
         self.backpressure.get_wait(now, server).is_some()
     }
 
-    /// Returns the shortest time until a server of a service takes a request again, of those that take
-    /// none now by what they said in their answers; `None` where there is none.
+    /// Returns the shortest remaining backoff of the ready servers of a service; `None` if none of
+    /// them is in backoff.
     pub(crate) fn get_min_backoff(&self, now: Millis, service: &str) -> Option<Millis> {
         let servers = self.directory.iter_ready(service);
         servers.filter_map(|server| self.backpressure.get_wait(now, server)).min()
     }
 
-    /// Returns `true` if no server of a service takes requests now, by what they said in their answers.
+    /// Returns `true` if all ready servers of a service are in backoff.
     pub(crate) fn is_service_in_backoff(&self, now: Millis, service: &str) -> bool {
         self.directory.iter_ready(service).all(|server| self.is_in_backoff(now, server))
     }
 
-    /// Counts this node's requests in flight at servers of a service that have another version than
-    /// a roll-out moves to.
+    /// Counts this node's in-flight requests at servers that do not have the target version of a
+    /// rollout.
     pub(super) fn count_in_flight_on_other_versions(&self, order: &rollout::Order) -> u32 {
         let others = self.directory.iter_service(&order.service);
         let others = others.filter(|server| server.version != order.target_version);
         others.map(|server| self.loads.get_own_of(short_id(&server.id)).requests).sum()
     }
 
-    /// Lists what this node and those that report to it counted of roll-outs.
+    /// Lists the rollout counts of this node and of the nodes that report to it.
     pub(super) fn report_rollouts(&self) -> Vec<rollout::Report> {
         self.rollouts.report_group(|order| self.count_in_flight_on_other_versions(order))
     }
 }
 
 impl Node {
-    /// Makes a node that knows nothing yet.
+    /// Creates a node with an empty view of the deployment.
     pub fn new(
         settings: Settings,
         platform: Platform,
@@ -331,31 +331,31 @@
         })
     }
 
-    /// Returns the time on the node's steady clock.
+    /// Returns the time on the node's monotonic clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Runs a step on what the node knows.
+    /// Runs a closure on the state while holding its lock.
     pub fn with<T>(&self, step: impl FnOnce(&mut State) -> T) -> T {
         step(&mut lock(&self.state))
     }
 
-    /// Returns how old the knowledge that the configuration is the newest may be.
+    /// Returns the maximum age of the last confirmation that the configuration is the newest.
     pub fn get_max_configuration_age(&self) -> Millis {
         (self.settings.bounds.revoke_ms as f64 * FRESHNESS_FRACTION) as Millis
     }
 
-    /// Returns how long a caller's new connection may rest between two requests.
+    /// Returns how long a new client connection may stay idle.
     ///
-    /// The configuration holds how long callers use connections that rest. A later one may hold a longer
-    /// time, and a connection must not close while its caller may use it.
+    /// The configuration says how long clients reuse idle connections. A later configuration may
+    /// allow a longer time, and a connection must not be closed while its client may still use it.
     pub fn get_idle_timeout(&self) -> Duration {
         let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle));
         Duration::from_millis(known.unwrap_or(DEFAULT_CLIENT_IDLE_MS)) * IDLE_TIMEOUT_FACTOR
     }
 
-    /// Returns `true` if requests that carry a key may be dispatched.
+    /// Returns `true` if requests with an API key may be dispatched.
     pub fn is_configuration_fresh(&self) -> bool {
         if !self.settings.bounds.strict_revoke {
             return true;
@@ -364,58 +364,58 @@
         self.with(|state| state.freshness.is_within(now, self.get_max_configuration_age()))
     }
 
-    /// Sends news to the other nodes soon.
+    /// Queues a notification to the other nodes.
     pub(crate) fn notify_peers(&self, notification: Notification) {
         if self.notifications.0.try_send(notification).is_err() {
-            log::debug!("too much news waits: the rest shows in the next report");
+            log::debug!("notification queue is full; the next report carries the change");
         }
     }
 
-    /// Returns what this node says of itself to the others.
+    /// Returns this node's entry in the member list.
     pub(super) fn get_entry(&self) -> Entry {
         get_entry(&self.settings)
     }
 
-    /// Returns `true` if the node should get new connections.
+    /// Returns `true` if the node should receive new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.with(|state| state.configuration.is_some() && state.directory.is_known());
         knows && !self.is_stopping() && self.is_configuration_fresh() && !self.is_short_of_memory()
     }
 
-    /// Returns the milliseconds for which a request is still refused because servers crashed under it;
-    /// `None` where it is served.
+    /// Returns how many milliseconds a request stays quarantined because servers crashed while
+    /// serving it; `None` if it is not quarantined.
     pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
         self.with(|state| state.quarantine.get_refused_for(now, fingerprint))
     }
 
-    /// Returns `true` if callers should go to other nodes, for want of memory.
+    /// Returns `true` if the node lacks memory and clients should use other nodes.
     pub fn is_short_of_memory(&self) -> bool {
         self.with(|state| state.memory.is_short())
     }
 
-    /// Returns `true` if the node is about to end.
+    /// Returns `true` if the node is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::SeqCst)
     }
 
-    /// Begins to stop; returns whether it had not begun before.
+    /// Begins the shutdown; returns `false` if it had already begun.
     pub fn begin_stop(&self) -> bool {
         !self.is_stopping.swap(true, Ordering::SeqCst)
     }
 
-    /// Returns the requests whose answers have not ended.
+    /// Returns the number of requests whose responses have not ended.
     pub fn get_in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlightGuard { node: self.clone() }
     }
 
-    /// Counts that a request of a client account began to run now.
+    /// Counts a request of a client account that starts to run.
     pub fn count_usage(&self, account: &str) {
         let length = (self.settings.bounds.report_window_s * 1_000.0) as u64;
         let window = window_at(runtime::unix_ms(), length);
@@ -423,20 +423,20 @@
     }
 }
 
-/// What a run of the process has of its own, before the node is made.
+/// Resources of one process run that exist before the node.
 pub struct ProcessContext {
-    /// The run.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its steady clock.
+    /// The monotonic clock.
     pub clock: Clock,
-    /// Its socket for datagrams between nodes.
+    /// The datagram socket for messages between nodes.
     pub link: Link,
-    /// Which region each data centre stands in.
+    /// The region of each data centre.
     pub topology: Topology,
 }
 
-/// Makes the accountant of what may be held for callers and servers. Each run of a node draws anew
-/// at which level of its memory callers should go elsewhere.
+/// Creates the memory accountant. The memory level at which clients should use other nodes is
+/// randomized for each run of a node.
 fn make_accountant(settings: &Settings, run: u64) -> Accountant {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
@@ -452,7 +452,7 @@
     }
 }
 
-/// A request whose answer has not ended.
+/// A guard that counts a request as in flight until it is dropped.
 pub struct InFlightGuard {
     node: Arc<Node>,
 }
