--- a/crates/gateway/src/node/capacity_controller.rs
+++ b/crates/gateway/src/node/capacity_controller.rs
@@ -1,4 +1,4 @@
-//! Orders servers: how many, where, and of which kind.
+//! Orders capacity from the platform: how many servers, where, and spot or on-demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,48 +17,49 @@
 use crate::port::{CapacityOrder, DutyHolder};
 use crate::runtime;
 
-/// How long the answer of the platform's control service is waited for.
+/// The timeout for calls to the platform's control service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The span over which the demand is measured, in milliseconds.
+/// The window over which demand is measured.
 const DEMAND_WINDOW_MS: Millis = 4_000;
-/// The span in which the largest need counts, in milliseconds: servers are given up slowly.
+/// The window whose largest need counts, so that capacity is scaled down slowly.
 const SCALE_DOWN_WINDOW_MS: Millis = 8_000;
-/// The pause after an order was refused or not answered, in milliseconds.
+/// The backoff after an order was refused or not answered.
 const ORDER_BACKOFF_MS: Millis = 2_000;
-/// The pause between orders of spot servers while the list of servers grows: a tenth of a usual boot,
-/// so that few calls are made and few on-demand servers wait for their replacement.
+/// The interval between orders of spot servers while the server list is still growing. A tenth of a
+/// usual boot time keeps the number of calls low and lets few on-demand servers wait for their
+/// replacement.
 const GROWING_LIST_ORDER_INTERVAL_MS: Millis = 500;
 /// The HTTP status of an accepted order.
 const STATUS_OK: u16 = 200;
 
-/// A service, a data centre, and whether its spot servers are meant.
-type Place = (String, String, bool);
+/// A service, a data centre, and `true` for spot servers.
+type OrderKey = (String, String, bool);
 
 /// The servers of each data centre, by region.
 type Inventories = BTreeMap<String, BTreeMap<String, Inventory>>;
 
-/// The orders of the holder of the duties, and what they go by.
+/// The capacity orders of the lease holder and the state they depend on.
 #[derive(Debug, Default)]
 pub struct CapacityController {
     fence: Option<u64>,
-    ordered: BTreeMap<Place, Order>,
-    backoff_until: BTreeMap<Place, Millis>,
-    /// The largest needs of late, by service.
+    ordered: BTreeMap<OrderKey, Order>,
+    backoff_until: BTreeMap<OrderKey, Millis>,
+    /// The recent maximum of the needs, by service.
     needs: BTreeMap<String, Needs>,
-    /// Since when this holder has known the demand, by service.
+    /// When this holder first knew the demand, by service.
     demand_known_since: BTreeMap<String, Millis>,
-    /// On-demand servers as they were found, by service and region.
+    /// On-demand servers found in the server list, by service and region.
     found: BTreeMap<(String, String), Found>,
-    /// When spot servers may be ordered next while the list of servers grows.
+    /// When spot servers may be ordered next while the server list is still growing.
     next_growing_list_order_at: BTreeMap<String, Millis>,
 }
 
 impl CapacityController {
-    /// Orders what the plan lacks.
+    /// Orders the capacity that is missing from the plan.
     pub async fn step(&mut self, node: &Node) {
         let fence = node.with(|state| state.lease.get_fence(node.now()));
         if fence != self.fence {
-            // What an earlier holder ordered is not known: start from what there is.
+            // The orders of an earlier holder are unknown: start from the server list.
             *self = Self { fence, ..Self::default() };
             node.metrics.capacity_need.clear();
             node.metrics.capacity_planned.clear();
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Orders what the plan of one service lacks.
+    /// Orders the capacity that is missing from the plan of one service.
     async fn step_service(
         &mut self,
         node: &Node,
@@ -94,19 +95,22 @@
                 let followed = self.needs.entry(name.to_owned()).or_default();
                 (followed.follow(now, &latest, &unreachable, SCALE_DOWN_WINDOW_MS), policy)
             }
-            // A holder that does not know the demand yet leaves an earlier holder's mix as it is.
+            // A holder that does not know the demand yet keeps the mix of an earlier holder.
             None if is_mixed && !self.has_orders(name) => return,
-            // Servers list themselves one by one. Before the first request, spot servers are ordered
-            // for those that have; what is needed later must not be taken from a part of the list.
+            // Servers register one by one. Before the first request, spot servers are ordered to
+            // replace those that have registered; later needs must not be derived from a partial
+            // list.
             None if !is_complete && !self.is_growing_list_order_due(node, name, now) => return,
-            // Servers that nobody has mixed yet: as many as were found, in the usual mix.
+            // No holder has ordered a mix yet: keep the number of servers found, in the usual mix.
             None => (found, Policy { spot_part: policy.spot_part.min(1.0), ..policy }),
         };
-        // Requests may arrive where the service has no data centre, or at nodes that know other regions.
+        // Requests may arrive in a region without a data centre of the service, or at nodes that
+        // know other regions.
         for region in needs.keys() {
             inventories.entry(region.clone()).or_default();
         }
-        // A region that serves on its own keeps what it has, where its need was never known.
+        // An unreachable region that serves on its own keeps its servers if its need was never
+        // known.
         inventories.retain(|region, _| needs.contains_key(region) || !unreachable.contains(region));
         let snapshots =
             self.make_snapshots(node, name, &inventories, &needs, demands.as_ref(), now);
@@ -114,8 +118,8 @@
         set_metrics(node, name, &needs, &plan);
         let inventory = inventories.values().flat_map(BTreeMap::clone).collect();
         for order in self.list_orders(name, &plan, &inventory, now) {
-            // On-demand servers that have not listed themselves yet must not be given up, unless they
-            // are known to be too many.
+            // On-demand servers that have not registered yet must not be released, unless they are
+            // known to be surplus.
             let snapshot = snapshots.get(get_region(node, &order.data_centre));
             let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_carried_by_spot(scaling));
             let is_surplus = is_demand_settled && is_carried;
@@ -127,8 +131,8 @@
         }
     }
 
-    /// Returns `true` if this holder has known the demand for a whole span of its measurement: that of a
-    /// shorter time after all nodes started again is too low.
+    /// Returns `true` if this holder has known the demand for a whole measurement window. After all
+    /// nodes have restarted, a shorter measurement is too low.
     fn track_demand(&mut self, name: &str, is_known: bool, now: Millis) -> bool {
         if !is_known {
             self.demand_known_since.remove(name);
@@ -138,7 +142,7 @@
         now >= *since + DEMAND_WINDOW_MS
     }
 
-    /// Returns what the plan of each region goes by.
+    /// Returns the planning inputs of each region.
     fn make_snapshots<'a>(
         &self,
         node: &Node,
@@ -166,7 +170,7 @@
         inventories.iter().map(snapshot).collect()
     }
 
-    /// Returns `true` if spot servers may be ordered from a list that still grows.
+    /// Returns `true` if spot servers may be ordered while the server list is still growing.
     fn is_growing_list_order_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
         let is_untouched = node.with(|state| state.demand.is_untouched(name));
         let next = self
@@ -185,17 +189,17 @@
         self.ordered.keys().any(|(service, _, _)| service == name)
     }
 
-    /// Counts the on-demand servers that were ordered, or are there where none were ordered.
+    /// Counts the on-demand servers ordered, or those present where none were ordered.
     fn count_on_demand(&self, name: &str, inventory: &BTreeMap<String, Inventory>) -> u32 {
         let held = inventory.iter().map(|(data_centre, held)| {
-            let place = (name.to_owned(), data_centre.clone(), false);
-            self.ordered.get(&place).map_or(held.on_demand, Order::get_count)
+            let key = (name.to_owned(), data_centre.clone(), false);
+            self.ordered.get(&key).map_or(held.on_demand, Order::get_count)
         });
         held.sum()
     }
 
-    /// Returns the number of on-demand servers as it was found in each region, and whether all have
-    /// listed themselves.
+    /// Returns the number of on-demand servers found in each region, and `true` if all of them have
+    /// registered.
     fn track_found_servers(
         &mut self,
         node: &Node,
@@ -217,7 +221,7 @@
         (inventories.iter().map(follow).collect(), is_complete)
     }
 
-    /// Counts what each data centre holds, by region.
+    /// Counts the servers of each data centre, by region.
     fn count_inventories(&mut self, node: &Node, name: &str, scaling: &Scaling) -> Inventories {
         let mut inventories = Inventories::new();
         for (data_centre, held) in self.count_inventory(node, name, scaling) {
@@ -227,8 +231,8 @@
         inventories
     }
 
-    /// Counts what each data centre holds; a data centre that the configuration prices is listed
-    /// also if empty.
+    /// Counts the servers of each data centre. Data centres with a price in the configuration are
+    /// included even if they are empty.
     fn count_inventory(
         &mut self,
         node: &Node,
@@ -252,14 +256,14 @@
             }
         });
         for (data_centre, held) in &mut inventory {
-            let place = (name.to_owned(), data_centre.clone(), true);
-            let Some(ordered) = self.ordered.get_mut(&place) else { continue };
+            let key = (name.to_owned(), data_centre.clone(), true);
+            let Some(ordered) = self.ordered.get_mut(&key) else { continue };
             held.spot_booting = ordered.follow(now, held.spot, scaling.boot);
         }
         inventory
     }
 
-    /// Returns `true` if spot servers were lately refused in one of the data centres.
+    /// Returns `true` if spot servers were recently refused in one of the data centres.
     fn is_spot_exhausted(
         &self,
         name: &str,
@@ -272,7 +276,7 @@
         refused.any(|(_, until)| now < until + ORDER_BACKOFF_MS)
     }
 
-    /// Lists the orders by which the plan differs from what was ordered, or is there.
+    /// Lists the orders that turn the current orders, or the servers present, into the plan.
     fn list_orders(
         &self,
         name: &str,
@@ -281,13 +285,13 @@
         now: Millis,
     ) -> Vec<CapacityOrder> {
         let mut orders = Vec::new();
-        // More comes before less, so that nothing is given up for what may not be had.
+        // Orders increases first, so that nothing is released for capacity that may be unavailable.
         for is_spot in [true, false] {
             let wanted = if is_spot { &plan.spot } else { &plan.on_demand };
             for (data_centre, count) in wanted {
-                let place = (name.to_owned(), data_centre.clone(), is_spot);
+                let key = (name.to_owned(), data_centre.clone(), is_spot);
                 let held = inventory.get(data_centre).copied().unwrap_or_default();
-                if self.is_due(&place, *count, &held, now) {
+                if self.is_due(&key, *count, &held, now) {
                     let (service, data_centre) = (name.to_owned(), data_centre.clone());
                     orders.push(CapacityOrder { service, data_centre, is_spot, count: *count });
                 }
@@ -296,28 +300,28 @@
         orders
     }
 
-    /// Returns `true` if an order for `count` servers is to be sent now.
-    fn is_due(&self, place: &Place, count: u32, held: &Inventory, now: Millis) -> bool {
-        if self.backoff_until.get(place).is_some_and(|until| now < *until) {
+    /// Returns `true` if an order for `count` servers must be sent now.
+    fn is_due(&self, key: &OrderKey, count: u32, held: &Inventory, now: Millis) -> bool {
+        if self.backoff_until.get(key).is_some_and(|until| now < *until) {
             return false;
         }
-        let (present, booting) = match place.2 {
+        let (present, booting) = match key.2 {
             true => (held.spot, held.spot_booting),
             false => (held.on_demand, 0),
         };
-        match self.ordered.get(place) {
+        match self.ordered.get(key) {
             None => present != count,
             Some(ordered) if ordered.get_count() != count => true,
-            // Taken away since: order again.
-            Some(_) => place.2 && present + booting < count,
+            // Spot servers were reclaimed since: order again.
+            Some(_) => key.2 && present + booting < count,
         }
     }
 
-    /// Sends an order and notes whether it was accepted.
+    /// Sends an order and records whether it was accepted.
     async fn send(&mut self, node: &Node, order: CapacityOrder, held: &Inventory) {
         let now = node.now();
         let Some(fence) = node.with(|state| state.lease.get_fence(now)) else { return };
-        let place = (order.service.clone(), order.data_centre.clone(), order.is_spot);
+        let key = (order.service.clone(), order.data_centre.clone(), order.is_spot);
         let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
         let calling = (node.platform.control.set_capacity)(holder, order.clone());
         let status = runtime::within(CALL_TIMEOUT, calling).await.flatten();
@@ -332,15 +336,15 @@
         });
         if status == Some(STATUS_OK) {
             let present = if order.is_spot { held.spot } else { held.on_demand };
-            self.ordered.insert(place, Order::new(node.now(), order.count, present));
+            self.ordered.insert(key, Order::new(node.now(), order.count, present));
         } else {
-            self.ordered.remove(&place);
-            self.backoff_until.insert(place, node.now() + ORDER_BACKOFF_MS);
+            self.ordered.remove(&key);
+            self.backoff_until.insert(key, node.now() + ORDER_BACKOFF_MS);
         }
     }
 }
 
-/// Returns the demand of each region; `None` where it is not known yet.
+/// Returns the demand of each region; `None` if it is not known yet.
 fn get_demands(
     node: &Node,
     name: &str,
@@ -365,13 +369,13 @@
     Some(totals.iter().map(demand).collect())
 }
 
-/// Returns the prompt tokens that arrive in a region in a second; 0 where that is not known.
+/// Returns the prompt tokens per second that arrive in a region; 0 if unknown.
 fn get_tokens_per_second(demands: Option<&BTreeMap<String, Demand>>, region: &str) -> f64 {
     demands.and_then(|demands| demands.get(region)).map_or(0.0, |demand| demand.tokens_per_second)
 }
 
-/// Lists the regions of which no node is heard and whose servers accept requests: their callers are
-/// still served there. Where no server is left, the demand moves to other regions.
+/// Lists the unreachable regions that still have servers accepting requests: their clients are
+/// served there. The demand of a region without servers moves to other regions.
 fn list_unreachable_regions(node: &Node, inventories: &Inventories) -> BTreeSet<String> {
     let lost = node.with(|state| state.members.list_lost_regions()).into_iter();
     let is_serving = |region: &String| {
@@ -381,12 +385,12 @@
     lost.filter(is_serving).collect()
 }
 
-/// Returns the region of a data centre; empty where no regions are known.
+/// Returns the region of a data centre; empty if no regions are configured.
 fn get_region<'a>(node: &'a Node, data_centre: &str) -> &'a str {
     node.topology.get_region(data_centre).unwrap_or_default()
 }
 
-/// Sets the metrics of what each region needs and what the plan holds there.
+/// Sets the metrics of the needed and the planned capacity of each region.
 fn set_metrics(node: &Node, name: &str, needs: &BTreeMap<String, u32>, plan: &Plan) {
     let labels =
         |region: &str| CapacityLabels { service: name.to_owned(), region: region.to_owned() };
