--- a/crates/gateway/src/node/rollout_controller.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -1,13 +1,15 @@
-//! Decides the stages of roll-outs, as the holder of the duties.
+//! Decides the stages of rollouts while this node holds the duty lease.
 //!
-//! Each decision is first written to a row of the product's own, on the condition that no other
-//! holder wrote it meanwhile, and then published to the operator and to all nodes. A holder that ends
-//! halfway leaves a row from which the next one goes on; it counts answers anew from what the nodes
-//! report, and never takes a verdict back. Only a roll-back is announced to nodes before it is written:
-//! nothing more should reach a bad version, and a stage never goes back.
+//! Each decision is first written to the node's own table, conditional on the version of the row so
+//! that a concurrent holder's write is not overwritten, and then published to the operator and to
+//! all nodes. If a holder stops halfway, the next one continues from the row: it counts responses
+//! anew from the nodes' reports, and never revokes a verdict. Only a rollback is announced to the
+//! nodes before it is written, because no further request should reach a bad version and a stage
+//! never goes back.
 //!
-//! After a return of the table service from an older copy a row may hold an earlier stage than the nodes know, or
-//! be gone. What is known goes on, and is written again under the order's new number.
+//! After the table service was restored from an older copy, a row may hold an earlier stage than
+//! the nodes know, or be missing. The known stage stays in force and is written again under the
+//! order's new number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,10 +31,10 @@
 
 const TABLE: &str = "rollouts";
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause after a call of the table service failed.
+/// The backoff after a failed call to the table service.
 const FAILURE_BACKOFF_MS: Millis = 300;
 
-/// What the holder of the duties knows of the roll-outs.
+/// The lease holder's state of the rollouts.
 #[derive(Debug, Default)]
 pub struct RolloutController {
     fence: Option<u64>,
@@ -45,15 +47,15 @@
     backoff_until: Millis,
 }
 
-/// How far a roll-out has come, as the table keeps it.
+/// The progress of a rollout, as stored in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
-    /// The number of the order, in its era.
+    /// The number of the order within its era.
     order: u64,
     #[serde(default)]
     era: Era,
     target_version: String,
-    /// When the first holder began with it, on the table's clock.
+    /// When the first holder started it, on the table service's clock.
     began_at: Millis,
     stage: Stage,
     /// Versions of earlier orders that were never completed.
@@ -73,7 +75,7 @@
     }
 }
 
-/// Why a stage was decided, for the log.
+/// Why a stage was decided, for the event log.
 struct Reason {
     why: &'static str,
     route: Option<String>,
@@ -81,7 +83,7 @@
 }
 
 impl RolloutController {
-    /// Decides what is due. While nothing is ordered this calls nothing.
+    /// Decides the stages that are due. Makes no calls if there are no orders.
     pub async fn step(&mut self, node: &Node) {
         let now = node.now();
         let orders = node.with(|state| state.rollouts.list_orders());
@@ -93,13 +95,14 @@
             false => false,
         };
         if !is_done {
-            // A write may have been done or may still be: read the rows before the next try.
+            // The write may have succeeded or may still succeed: read the rows before the next
+            // attempt.
             self.fence = None;
             self.backoff_until = node.now() + FAILURE_BACKOFF_MS;
         }
     }
 
-    /// Reads what earlier holders decided, once for each time that the lease is taken.
+    /// Reads the decisions of earlier holders, once per acquisition of the lease.
     async fn load_records(&mut self, node: &Node) -> bool {
         let fence = node.with(|state| state.lease.get_fence(node.now()));
         if fence.is_none() {
@@ -127,7 +130,7 @@
         true
     }
 
-    /// Advances all roll-outs; returns `false` where a write did not succeed.
+    /// Advances all rollouts; returns `false` if a write failed.
     async fn step_all(&mut self, node: &Node, orders: Vec<(Order, Stage)>) -> bool {
         for (order, known_stage) in orders {
             let known = self.records.get(&order.service).map(|written| written.record.get_order());
@@ -142,13 +145,13 @@
         true
     }
 
-    /// Publishes the stage that is written.
+    /// Publishes the stored stage.
     async fn publish(&mut self, node: &Node, order: &Order) -> bool {
         let Some(written) = self.records.get(&order.service) else { return true };
         self.statuses.publish(node, self.era, order, written.record.stage).await
     }
 
-    /// Returns the record of an order, also where the order got its number in an earlier era.
+    /// Returns the record of an order, including one whose order was numbered in an earlier era.
     fn find_record(&self, order: &Order) -> Option<&Record> {
         let record = &self.records.get(&order.service)?.record;
         let is_earlier = record.era < order.number.era;
@@ -156,7 +159,8 @@
         (is_carried || record.get_order() == order.number).then_some(record)
     }
 
-    /// Advances a roll-out of which the nodes know a stage; returns `false` where a write did not succeed.
+    /// Advances a rollout whose stage the nodes know as `known_stage`; returns `false` if a write
+    /// failed.
     async fn step_one(&mut self, node: &Node, order: &Order, known_stage: Stage) -> bool {
         let now = node.now();
         let Some(clock) = self.clock else { return false };
@@ -261,26 +265,27 @@
     }
 }
 
-/// Returns the stage that follows, and why; `None` where it stays.
+/// Returns the next stage and its reason; `None` if the stage stays.
 fn get_next_stage(next: Next) -> Option<(Stage, Reason)> {
     let reason = |why| Reason { why, route: None, in_flight: 0 };
     match next {
         Next::Wait => None,
         Next::Begin => Some((Stage::Canary, reason("ordered"))),
-        Next::Ramp => Some((Stage::Ramp, reason("as good as the others"))),
-        Next::Shift => Some((Stage::Shifting, reason("as good as the others under load"))),
-        Next::Complete { cut } => {
-            Some((Stage::Completed, Reason { in_flight: cut, ..reason("carries the load") }))
-        }
+        Next::Ramp => Some((Stage::Ramp, reason("on par with the other versions"))),
+        Next::Shift => Some((Stage::Shifting, reason("on par with the other versions under load"))),
+        Next::Complete { cut } => Some((
+            Stage::Completed,
+            Reason { in_flight: cut, ..reason("the target version carries the load") },
+        )),
         Next::RollBack(fault) => {
             let route = fault.series.map(|series| series.route);
             Some((Stage::RolledBack, Reason { route, ..reason(fault.symptom.as_str()) }))
         }
-        Next::GiveUp => Some((Stage::RolledBack, reason("too few answers or servers to judge by"))),
+        Next::GiveUp => Some((Stage::RolledBack, reason("too few responses or servers to decide"))),
     }
 }
 
-/// Announces a stage to all nodes, this one first.
+/// Announces a stage to all nodes, including this one first.
 fn announce(node: &Node, order: &Order, stage: Stage) {
     let now = node.now();
     node.with(|state| state.rollouts.confirm_stage(now, &order.service, order.number, stage));
@@ -289,8 +294,8 @@
     node.notify_peers(Notification::RolloutChanged(announcement));
 }
 
-/// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
-/// the newest order only.
+/// Bars the versions of earlier orders that the table holds. Nodes that were all restarted know the
+/// newest order only.
 fn bar_earlier_versions(node: &Node, order: &Order, earlier: &Record) {
     let mut barred = earlier.barred.clone();
     if earlier.stage != Stage::Completed {
@@ -306,7 +311,7 @@
     })
 }
 
-/// Counts the servers of the new version and the others that take requests.
+/// Counts the ready servers of the target version and the usable ones of other versions.
 fn count_servers(node: &Node, order: &Order) -> (usize, usize) {
     node.with(|state| {
         let ready = state.directory.iter_ready(&order.service);
@@ -317,7 +322,8 @@
     })
 }
 
-/// Decodes the newest record of each service. One of an earlier era is replaced by a row of this one.
+/// Decodes the newest record of each service. A record of an earlier era is replaced by a row of
+/// the current one.
 fn decode_all(rows: &Rows) -> BTreeMap<String, StoredRecord> {
     let era = rows.version.era;
     let mut newest: BTreeMap<String, (Era, StoredRecord)> = BTreeMap::new();
@@ -336,7 +342,7 @@
 fn decode(row: &Row) -> Option<Record> {
     let decoded = serde_json::from_slice(row.value.as_deref()?);
     let report = |error: &serde_json::Error| {
-        let error = format!("the record of a roll-out cannot be read: {error}");
+        let error = format!("malformed rollout record: {error}");
         event::emit(&Event::DocumentRejected { error });
     };
     decoded.inspect_err(report).ok()
--- a/crates/gateway/src/node/rollout_status.rs
+++ b/crates/gateway/src/node/rollout_status.rs
@@ -1,8 +1,9 @@
-//! Publishes the stages of roll-outs to the operator.
+//! Publishes the stages of rollouts to the operator.
 //!
-//! The row of a status is the operator's and has the same key in all eras of the table service, so that a write that
-//! was sent before a return may be done after it and put an earlier stage there. For some time after a return the
-//! holder of the duties therefore writes the status again and again.
+//! The status row belongs to the operator and has the same key in all eras of the table service. A
+//! write that was sent before the service was restored from an older copy may therefore be applied
+//! afterwards and put an earlier stage there. For some time after a restore, the lease holder
+//! rewrites the status at intervals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,35 +18,35 @@
 use crate::port::{TableError, TableName};
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time after a return of the table service within which a write that was sent before it may still be done.
+/// The time after a restore of the table service during which earlier writes may still be applied.
 const LATE_WRITE_WINDOW_MS: Millis = 10_000;
-/// The time between two writes of a status in that time.
+/// The interval between rewrites of a status during that time.
 const STATUS_REWRITE_INTERVAL_MS: Millis = 1_000;
 
-/// The statuses as the holder of the duties last published them, by service.
+/// The last published statuses, by service.
 #[derive(Debug, Default)]
 pub(super) struct Statuses(BTreeMap<String, PublishedStatus>);
 
-/// A status that was published.
+/// A published status.
 #[derive(Clone, Copy, Debug)]
 struct PublishedStatus {
     /// The version of its row.
     version: TableVersion,
-    /// The order and stage that this holder has written there; `None` where it has written nothing yet.
+    /// The order and stage that this holder wrote; `None` if it has not written yet.
     written: Option<(TableVersion, Stage)>,
     /// When it was last written, on this node's clock.
     written_at: Millis,
 }
 
 impl Statuses {
-    /// Forgets what this node wrote as an earlier holder, and keeps the versions of the rows.
+    /// Discards what this node wrote as an earlier holder, and keeps the versions of the rows.
     pub fn forget_written(self) -> Self {
         let forget = |(service, status)| (service, PublishedStatus { written: None, ..status });
         Self(self.0.into_iter().map(forget).collect())
     }
 
-    /// Publishes a stage, where that was not done yet or where a late write may have replaced it; returns `false` where
-    /// the write did not succeed.
+    /// Publishes a stage if it was not published yet or if a late write may have replaced it;
+    /// returns `false` if the write failed.
     pub async fn publish(&mut self, node: &Node, era: Era, order: &Order, stage: Stage) -> bool {
         let absent = TableVersion::absent(era);
         let unknown = PublishedStatus { version: absent, written: None, written_at: 0 };
@@ -66,7 +67,7 @@
                 let written = Some((order.number, stage));
                 status = PublishedStatus { version: rows.version, written, written_at: node.now() };
             }
-            // Another writer replaced it: write it again with the next step.
+            // Another writer replaced it: write it again in the next step.
             Err(TableError::Conflict(rows)) => {
                 let found = rows.rows.iter().find(|found| found.key == row.key);
                 let version = found.map_or(absent, |row| row.version);
@@ -79,7 +80,7 @@
     }
 }
 
-/// Returns `true` if a status that is written should be written again.
+/// Returns `true` if a written status must be rewritten.
 fn is_rewrite_due(node: &Node, status: &PublishedStatus) -> bool {
     let now = node.now();
     let era_age = node.with(|state| state.eras.get_age(now));
@@ -88,5 +89,5 @@
 }
 
 fn note_failure(error: &TableError) {
-    event::emit(&Event::TableCallFailed { what: "status of a roll-out", error: error.to_string() });
+    event::emit(&Event::TableCallFailed { what: "rollout status", error: error.to_string() });
 }
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -1,4 +1,4 @@
-//! Takes orders of roll-outs, what other nodes announce of them, and what answers show.
+//! Applies rollout orders, announcements of other nodes, and the outcomes of responses.
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
@@ -10,12 +10,13 @@
 use crate::event::{self, Event};
 use crate::port::Row;
 
-/// Takes an order from the operator's table, and announces it where it is new.
+/// Applies an order from the operator's table, and announces it if it is new.
 ///
-/// An order whose row is gone goes on: its servers run, and only a verdict ends that.
+/// A rollout continues if the row of its order is deleted: its servers are running, and only a
+/// verdict ends it.
 pub(super) fn apply_order(node: &Node, row: &Row) {
     let Some(value) = row.value.as_deref() else {
-        log::warn!("the order {} is gone from its table: the roll-out goes on", row.key);
+        log::warn!("the row of rollout order {} was deleted; the rollout continues", row.key);
         return;
     };
     let order = match (node.platform.rollouts.decode)(&row.key, value, row.version) {
@@ -29,7 +30,7 @@
     }
 }
 
-/// Takes the orders that were read before the era was settled, and announces them.
+/// Applies the orders that were read before the era settled, and announces them.
 pub(super) fn announce_deferred(node: &Node) {
     let now = node.now();
     let orders = node.with(|state| match state.eras.is_settled(now) {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Merges what another node announces of a roll-out; returns `true` if that was new.
+/// Merges a rollout announcement of another node; returns `true` if it was new.
 pub(super) fn merge(state: &mut State, now: Millis, announcement: &Announcement) -> bool {
     let is_settled = state.eras.is_settled(now);
     let is_new = state.rollouts.take_order(announcement.order.clone(), is_settled);
@@ -65,7 +66,7 @@
     });
 }
 
-/// Decides which servers of a service a request may go to.
+/// Picks the side of a rollout whose servers may receive a request.
 pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> Side {
     let now = node.now();
     node.with(|state| {
@@ -77,7 +78,7 @@
     })
 }
 
-/// Lists the servers that the canary's requests go to.
+/// Lists the servers that may receive canary requests.
 pub(crate) fn list_canaries(node: &Node, service: &str) -> Vec<String> {
     let now = node.now();
     node.with(|state| {
@@ -94,7 +95,7 @@
     Tolerance { share: bounds.expose_share, slack: bounds.canary_slack, nodes }
 }
 
-/// Counts a good answer of a server, or a phase of it.
+/// Records the success of a response, or of a phase of it.
 pub(crate) fn note_success(
     node: &Node,
     server: &Server,
@@ -106,7 +107,7 @@
     node.with(|state| state.rollouts.succeed(now, server, route, phase, latency));
 }
 
-/// Counts an answer of a server that failed.
+/// Records the failure of a response.
 pub(crate) fn note_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
     node.with(|state| state.rollouts.fail(server, route, phase));
 }
