--- a/crates/gateway/src/node/usage_reporter.rs
+++ b/crates/gateway/src/node/usage_reporter.rs
@@ -1,15 +1,15 @@
-//! Reports how many requests of each client account began in each window, once a window.
+//! Reports the number of requests started by each client account, once per window.
 //!
-//! The counts of a window are first written to the table, where only the first writer succeeds,
-//! and then reported as they stand there. A report may be repeated, by this holder or the next;
-//! it is always the same.
+//! The counts of a window are first frozen in the table, where only the first writer succeeds, and
+//! then reported as stored. A report may be repeated by this holder or the next one and is always
+//! the same.
 //!
-//! After a return of the table service from an older copy the row of a window may be gone. What nodes
-//! remember_frozen stands in for it; a window that may have been reported and that nobody remembers is not reported:
-//! a report that is missing does less harm than two that contradict each other.
+//! After the table service was restored from an older copy, the row of a window may be missing. The
+//! counts that nodes remember replace it. A window that may have been reported and that no node
+//! remembers is not reported: a missing report does less harm than two contradictory ones.
 //!
-//! The counts of the windows that are not reported yet are kept in the table too, some times in a
-//! window, by node and incarnation: where all nodes end at once, the next holder goes on from there.
+//! The counts of unreported windows are also checkpointed in the table several times per window, by
+//! node and incarnation. If all nodes stop at once, the next holder continues from there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -30,34 +30,36 @@
 use crate::runtime;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// A report this long after a window's end holds all counts of the window: clocks may disagree.
+/// The time after the end of a window at which all its counts have arrived. It allows for clock
+/// differences between nodes.
 const COUNT_ARRIVAL_MARGIN_MS: Millis = 200;
-/// How often the running counts are written in a window.
+/// Checkpoints of the unreported counts per window.
 const CHECKPOINTS_PER_WINDOW: u64 = 5;
-/// The most rows of earlier eras that are removed in one transaction; the platform takes a hundred entries.
+/// The maximum number of rows of earlier eras removed in one transaction; the platform accepts a
+/// hundred entries.
 const MAX_REMOVALS: usize = 50;
 
-/// What a holder knows of the reports.
+/// The lease holder's state of the usage reports.
 #[derive(Debug, Default)]
 pub struct UsageReporter {
     fence: Option<u64>,
     /// The era of the rows that were read.
     era: Era,
     frozen: BTreeMap<WindowNumber, Counts>,
-    /// Windows that have rows of an earlier era.
+    /// Windows with rows of an earlier era.
     in_earlier_eras: BTreeSet<WindowNumber>,
     /// Keys of rows that are no longer needed.
     outdated: Vec<String>,
-    /// Windows that may have been reported with counts that this node does not know.
+    /// Windows that may have been reported with counts unknown to this node.
     withheld: BTreeSet<WindowNumber>,
-    /// Windows whose counts were sent to the nodes that may hold the duties next.
+    /// Windows whose counts were sent to the nodes that may hold the lease next.
     announced: BTreeSet<WindowNumber>,
     reported: BTreeSet<WindowNumber>,
     backoff_until: Millis,
     checkpoint: Checkpoint,
 }
 
-/// The row that keeps the counts of windows that are not reported yet.
+/// The row that holds the counts of unreported windows.
 #[derive(Debug, Default)]
 struct Checkpoint {
     version: TableVersion,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Reads what earlier holders froze, once for each time that the lease is taken.
+    /// Reads the windows that earlier holders froze, once per acquisition of the lease.
     async fn load_from_table(&mut self, node: &Node) -> bool {
         let fence = node.with(|state| state.lease.get_fence(node.now()));
         if fence.is_none() {
@@ -120,15 +122,15 @@
         true
     }
 
-    /// Takes over the rows of an era, and the running counts of all.
+    /// Takes over the frozen rows of an era, and the checkpoints of all eras.
     ///
-    /// A frozen row of an earlier era may be one that was written too late, after a return: its window is reported
-    /// only where a node remembers the counts.
+    /// A frozen row of an earlier era may have been written too late, after a restore of the table
+    /// service. Its window is reported only if a node remembers the counts.
     fn load_rows(&mut self, node: &Node, rows: &Rows) {
         let era = rows.version.era;
         let rows = usage_rows::classify(&rows.rows, era);
         self.checkpoint.version = rows.running.map_or(TableVersion::absent(era), |row| row.version);
-        // Counts only grow, so that those of an earlier era add what is not known yet.
+        // Counts only grow, so merging those of an earlier era only adds missing counts.
         let all_running = rows.earlier_running.iter().copied().chain(rows.running);
         for kept in all_running.filter_map(usage_rows::decode_running) {
             node.with(|state| state.usage.merge_kept(&kept));
@@ -146,15 +148,16 @@
         self.withheld.clear();
     }
 
-    /// Returns `true` if the counts of a window are known as they were frozen, or if it surely was not reported.
+    /// Returns `true` if the frozen counts of a window are known, or if the window was certainly
+    /// not reported.
     fn is_reportable(&self, node: &Node, window: WindowNumber) -> bool {
         let is_frozen = self.frozen.contains_key(&window)
             || node.with(|state| state.frozen_usage.get(window).is_some());
         is_frozen || (!self.in_earlier_eras.contains(&window) && is_known_unreported(node, window))
     }
 
-    /// Gives up the windows before one that were withheld until their reports were of no more use. One without
-    /// requests is no loss.
+    /// Abandons the withheld windows before `first`, whose reports are overdue. Windows without
+    /// requests are not counted as a loss.
     fn abandon_before(&mut self, node: &Node, first: WindowNumber) {
         let due = self.withheld.split_off(&first);
         let abandoned = std::mem::replace(&mut self.withheld, due).into_iter();
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Keeps the counts of the windows that are not reported yet, a few times in a window.
+    /// Writes the counts of the unreported windows to the table, several times per window.
     async fn write_checkpoint(&mut self, node: &Node) {
         let now = node.now();
         let length = (node.settings.bounds.report_window_s * 1_000.0) as u64;
@@ -184,7 +187,8 @@
         let (version, value) = (self.checkpoint.version, usage_rows::encode_running(&kept));
         match table::replace(node, name, &key, version, value, CALL_TIMEOUT).await {
             Ok(rows) => self.checkpoint.version = rows.version,
-            // Another holder wrote, or the outcome is not known: read the row before the next try.
+            // Another holder wrote the row, or the outcome is unknown: read the row before the next
+            // attempt.
             _ => self.fence = None,
         }
     }
@@ -202,20 +206,21 @@
                 self.frozen.insert(window, counts);
                 true
             }
-            // Another holder froze it first.
+            // Another holder froze the window first.
             Err(TableError::Conflict(rows)) => {
                 self.frozen.extend(rows.rows.iter().filter_map(usage_rows::decode));
                 self.frozen.contains_key(&window)
             }
             _ => {
-                // The write may have been done or may still be: read the rows before the next try.
+                // The write may have succeeded or may still succeed: read the rows before the next
+                // attempt.
                 self.fence = None;
                 false
             }
         }
     }
 
-    /// Makes the transaction that freezes a window, and removes rows that are no longer needed.
+    /// Builds the transaction that freezes a window and removes rows that are no longer needed.
     fn make_transaction(&self, node: &Node, window: WindowNumber, counts: &Counts) -> Transaction {
         let (table, version) = (TableName::Own(TABLE), TableVersion::absent(self.era));
         let key = FrozenKey { window, era: self.era }.encode();
@@ -229,7 +234,7 @@
         Transaction { conditions: vec![condition], writes }
     }
 
-    /// Reports a frozen window. Its counts go to the nodes that may hold the duties next before that.
+    /// Reports a frozen window, after sending its counts to the nodes that may hold the lease next.
     async fn report(&mut self, node: &Node, window: WindowNumber) -> bool {
         let Some(counts) = self.frozen.get(&window).cloned() else { return false };
         remember_frozen(node, self.era, window, &counts);
@@ -262,7 +267,7 @@
     (node.settings.bounds.report_window_s * 1_000.0) as Millis
 }
 
-/// Returns the time after a window's end at which its report must be there, in milliseconds.
+/// Returns the time after the end of a window within which its report is due, in milliseconds.
 fn get_report_deadline(node: &Node) -> Millis {
     (node.settings.bounds.usage_late_s * 1_000.0) as Millis
 }
@@ -271,7 +276,7 @@
     count_kept(get_report_deadline(node), get_window_length(node))
 }
 
-/// Returns the first window whose report is still worth something.
+/// Returns the first window whose report is not overdue.
 fn get_first_due(node: &Node) -> WindowNumber {
     let (length, due) = (get_window_length(node), get_report_deadline(node));
     let now = runtime::unix_ms();
@@ -281,7 +286,7 @@
     first.max(window_at(started, length).min(known.unwrap_or(u64::MAX)))
 }
 
-/// Lists the windows from one on that have ended and settled.
+/// Lists the windows from `first` on that have ended and settled.
 fn list_due(node: &Node, first: WindowNumber) -> Vec<WindowNumber> {
     let (length, due) = (get_window_length(node), get_report_deadline(node));
     let now = runtime::unix_ms();
@@ -301,14 +306,15 @@
     is_settled(age, due, is_node_missing)
 }
 
-/// Remembers a frozen window, whose row may be gone after a return; returns `true` if that is news. A table
-/// service that names no eras loses nothing.
+/// Remembers a frozen window, because its row may be lost when the table service is restored;
+/// returns `true` if it was not known. A table service without eras never loses rows.
 fn remember_frozen(node: &Node, era: Era, window: WindowNumber, counts: &Counts) -> bool {
     era != Era::UNNAMED && node.with(|state| state.frozen_usage.note_own(window, counts))
 }
 
-/// Returns `true` if a window without a row was surely not reported: nothing was lost since, or each node that
-/// may have reported it was heard after it could do so last, and does not know it.
+/// Returns `true` if a window without a row was certainly not reported: either no row was lost
+/// since, or each node that may have reported it was heard after its last opportunity and does not
+/// know the window.
 fn is_known_unreported(node: &Node, window: WindowNumber) -> bool {
     let length = get_window_length(node);
     let ended_at = (window + 1) * length;
@@ -325,7 +331,7 @@
             return false;
         }
         let Some(era_age) = state.eras.get_age(now) else { return false };
-        // A holder of the era before acts until its lease ends.
+        // The holder of the previous era acts until its lease expires.
         let released_at = now.saturating_sub(era_age) + state.lease.get_length();
         node.clock.get_start() < began_at && state.members.is_whole(released_at, began_at)
     })
--- a/crates/gateway/src/node/usage_rows.rs
+++ b/crates/gateway/src/node/usage_rows.rs
@@ -1,7 +1,7 @@
-//! The rows in which the holder of the duties keeps usage.
+//! The table rows in which the lease holder stores usage counts.
 //!
-//! A frozen window has a row for each era of the table service, and so have the running counts of the windows that are
-//! not reported yet.
+//! A frozen window has one row per era of the table service, and so have the running counts of the
+//! unreported windows.
 
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::usage::{Counts, Kept, WindowNumber};
@@ -14,7 +14,7 @@
 /// The key of the running counts.
 const RUNNING_KEY: &str = "running";
 
-/// The rows of an era, and those of earlier ones.
+/// The usage rows of an era and of the earlier ones.
 #[derive(Default)]
 pub(super) struct UsageRows<'a> {
     /// The running counts of the era.
@@ -27,7 +27,7 @@
     pub earlier_frozen: Vec<(&'a Row, FrozenKey)>,
 }
 
-/// Sorts rows by what they hold and whether they are of an era; those of later ones are left out.
+/// Classifies rows by content and era. Rows of later eras are ignored.
 pub(super) fn classify(rows: &[Row], era: Era) -> UsageRows<'_> {
     let mut classified = UsageRows::default();
     for row in rows {
@@ -42,16 +42,16 @@
     classified
 }
 
-/// Makes the key of the running counts of an era.
+/// Returns the key of the running counts of an era.
 pub(super) fn make_running_key(era: Era) -> String {
     table::era_key(RUNNING_KEY, era)
 }
 
-/// The key of a frozen window's row.
+/// The row key of a frozen window.
 pub(super) struct FrozenKey {
     /// The window.
     pub window: WindowNumber,
-    /// The era in which it was written.
+    /// The era in which the row was written.
     pub era: Era,
 }
 
@@ -61,27 +61,28 @@
         table::era_key(&format!("{:020}", self.window), self.era)
     }
 
-    /// Parses a key; `None` where it is that of another row.
+    /// Parses a key; returns `None` if it is the key of another kind of row.
     pub fn parse(key: &str) -> Option<Self> {
         let (window, era) = table::split_key(key)?;
         Some(Self { window: window.parse().ok()?, era })
     }
 }
 
-/// Encodes counts for one row: most of them are small, and packed they take a fraction of the bytes.
+/// Encodes running counts as the value of one row. Most counts are small, so compression reduces
+/// them to a fraction of the bytes.
 pub fn encode_running(kept: &Kept) -> Option<Vec<u8>> {
     let encoded = postcard::to_stdvec(kept);
-    let encoded =
-        encoded.inspect_err(|error| log::error!("running counts cannot be encoded: {error}"));
+    let encoded = encoded
+        .inspect_err(|error| log::error!("failed to encode the running usage counts: {error}"));
     Some(document::compress(&encoded.ok()?).to_vec())
 }
 
-/// Decodes running counts; `None` where they cannot be read.
+/// Decodes running counts; returns `None` if they are malformed.
 pub(super) fn decode_running(row: &Row) -> Option<Kept> {
     postcard::from_bytes(&document::decompress(row.value.as_deref()?)?).ok()
 }
 
-/// Decodes the row of a frozen window; `None` where it is another row or cannot be read.
+/// Decodes the row of a frozen window; returns `None` if it is another kind of row or malformed.
 pub(super) fn decode(row: &Row) -> Option<(WindowNumber, Counts)> {
     let counts = serde_json::from_slice(row.value.as_deref()?).ok()?;
     Some((FrozenKey::parse(&row.key)?.window, counts))
