--- a/crates/gateway/src/node/cross_region.rs
+++ b/crates/gateway/src/node/cross_region.rs
@@ -1,4 +1,4 @@
-//! Whether traffic leaves the node's region, how far it goes, and the bytes of it.
+//! Traffic to other regions: detection, round-trip times and byte counts.
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::spill::get_region;
@@ -7,12 +7,12 @@
 use crate::metrics::RegionLabels;
 
 impl Node {
-    /// Returns `true` if what goes to a data centre crosses the border of the node's region.
+    /// Returns `true` if a data centre is in another region than the node.
     pub(crate) fn is_cross_region(&self, data_centre: &str) -> bool {
         !self.topology.is_near(data_centre) && self.topology.is_multi_region()
     }
 
-    /// Returns the round trip to a data centre of another region; 0 within the node's own.
+    /// Returns the round-trip time to the region of a data centre; 0 within the node's own region.
     pub(crate) fn get_round_trip(&self, data_centre: &str) -> Millis {
         if !self.is_cross_region(data_centre) {
             return 0;
@@ -21,7 +21,8 @@
         self.with(|state| state.round_trips.get_round_trip(region))
     }
 
-    /// Counts bytes of a request that went to a data centre, and of its answer that came from there.
+    /// Counts the bytes of a request to a data centre and of its response, if the data centre is in
+    /// another region.
     pub(crate) fn count_cross_region_bytes(&self, data_centre: &str, sent: usize, received: usize) {
         if !self.is_cross_region(data_centre) {
             return;
--- a/crates/gateway/src/node/document.rs
+++ b/crates/gateway/src/node/document.rs
@@ -1,7 +1,7 @@
-//! A document that peers get from each other, compressed for the way.
+//! Compression of the documents that nodes fetch from each other.
 //!
-//! Configurations are long and repeat themselves, and small VMs have narrow links: compressed, a
-//! document of 1,400 routes is a small part of its size.
+//! Configurations are long and repetitive, and small VMs have narrow links. A document of 1,400
+//! routes compresses to a small part of its size.
 
 use std::io::{Read, Write};
 use std::sync::OnceLock;
@@ -11,7 +11,7 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// The longest document that is unpacked, in bytes.
+/// The maximum decompressed size of a document.
 const MAX_DECOMPRESSED_BYTES: u64 = 16 << 20;
 
 /// A document as the operator wrote it.
@@ -22,18 +22,18 @@
 }
 
 impl Document {
-    /// Makes a document from its text.
+    /// Creates a document from its text.
     pub fn new(text: Vec<u8>) -> Self {
         Self { text, compressed: OnceLock::new() }
     }
 
-    /// Returns the document as peers get it; it is compressed at the first use.
+    /// Returns the document in compressed form. It is compressed on first use.
     pub fn get_compressed(&self) -> Bytes {
         self.compressed.get_or_init(|| compress(&self.text)).clone()
     }
 }
 
-/// Packs bytes.
+/// Compresses bytes.
 pub fn compress(text: &[u8]) -> Bytes {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     // Writing to memory does not fail.
@@ -41,7 +41,7 @@
     encoder.finish().unwrap_or_default().into()
 }
 
-/// Unpacks a document; `None` where it is none, or too long.
+/// Decompresses a document; returns `None` if the input is malformed or the document is too long.
 pub fn decompress(compressed: &[u8]) -> Option<Vec<u8>> {
     let mut text = Vec::new();
     let mut decoder = DeflateDecoder::new(compressed).take(MAX_DECOMPRESSED_BYTES + 1);
--- a/crates/gateway/src/node/era_origin.rs
+++ b/crates/gateway/src/node/era_origin.rs
@@ -1,7 +1,7 @@
-//! When the eras of the table service began, as rows keep it.
+//! Persists when the eras of the table service began.
 //!
-//! The first node that needs to know writes the row of an era. A node that starts later learns from it how old the
-//! era is.
+//! The first node that needs the origin of an era writes its row. Nodes that start later read the
+//! age of the era from it.
 
 use std::time::Duration;
 
@@ -18,21 +18,21 @@
 const TABLE: TableName = TableName::Own("eras");
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The origin of an era, as its row keeps it.
+/// The row of an era's origin.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct OriginRow {
-    /// When the first node saw the era, on the table service's clock.
+    /// When the first node observed the era, on the table service's clock.
     seen_at: Millis,
-    /// The same on that node's wall clock, in milliseconds since the Unix epoch.
+    /// The same time on that node's wall clock, in milliseconds since the Unix epoch.
     unix_ms: u64,
 }
 
-/// Makes the origin of the current era known, where nothing shows yet when it began: reads its row, and
-/// writes it where this node is the first.
+/// Determines the origin of the current era if it is unknown: reads its row, or writes the row if
+/// there is none.
 ///
 /// # Errors
 ///
-/// Returns the error of the call that failed.
+/// Returns the error of the failed call.
 pub(super) async fn find(node: &Node) -> Result<(), TableError> {
     let era = node.with(|state| state.eras.get());
     if era == Era::UNNAMED || node.with(|state| state.eras.get_origin()).is_some() {
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Writes the origin of an era of which the table, as it was read, holds none.
+/// Writes the origin of an era that has no row among the given ones.
 async fn write(node: &Node, rows: &Rows) -> Result<OriginRow, TableError> {
     let era = rows.version.era;
     let origin = OriginRow { seen_at: rows.table_time, unix_ms: runtime::unix_ms() };
@@ -70,15 +70,16 @@
     }
 }
 
-/// Returns the key of an era's origin.
+/// Returns the row key of an era's origin.
 fn make_key(era: Era) -> String {
     era.get_number().unwrap_or_default().to_string()
 }
 
-/// Reads the origin of an era. One that cannot be read might be as late as its reading.
+/// Decodes the origin of an era. A malformed row counts as written at the time of reading, the
+/// latest possible origin.
 fn decode(row: &Row, read_at: Millis) -> OriginRow {
     serde_json::from_slice(row.value.as_deref().unwrap_or_default()).unwrap_or_else(|error| {
-        event::emit(&Event::DocumentRejected { error: format!("the origin of an era: {error}") });
+        event::emit(&Event::DocumentRejected { error: format!("malformed era origin: {error}") });
         OriginRow { seen_at: read_at, unix_ms: runtime::unix_ms() }
     })
 }
--- a/crates/gateway/src/node/eviction_signals.rs
+++ b/crates/gateway/src/node/eviction_signals.rs
@@ -1,4 +1,4 @@
-//! The signals by which uploads learn that their memory is needed.
+//! Signals that tell uploads that their memory is reclaimed.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,7 +8,7 @@
 use crate::http::Stop;
 use crate::runtime::lock;
 
-/// Signals to uploads that they are evicted.
+/// The eviction signals of uploads, by memory holder.
 #[derive(Default)]
 pub(crate) struct EvictionSignals(pub(super) Mutex<HashMap<HolderId, Stop>>);
 
--- a/crates/gateway/src/node/listeners.rs
+++ b/crates/gateway/src/node/listeners.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question and serves metrics.
+//! Handlers of the readiness, metrics and rollouts endpoints.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::http::Body;
 
 const READINESS_PATH: &str = "/ready";
-/// Where operators ask for the roll-outs, beside the metrics.
+/// The path of the rollouts endpoint, on the metrics listener.
 pub const ROLLOUTS_PATH: &str = "/rollouts";
 
-/// Answers whether the node should get new connections.
+/// Responds whether the node should receive new connections.
 pub(super) async fn readiness(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     if request.uri().path() != READINESS_PATH {
         return reply(StatusCode::NOT_FOUND, "");
@@ -23,7 +23,7 @@
     reply(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
 }
 
-/// Serves the metrics as text, and the roll-outs as JSON.
+/// Serves the metrics as text, and the rollouts as JSON.
 pub(super) async fn metrics(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     if request.uri().path() == ROLLOUTS_PATH {
         return rollouts(&node);
@@ -38,7 +38,7 @@
     match serde_json::to_string(&summaries) {
         Ok(text) => reply(StatusCode::OK, text),
         Err(error) => {
-            log::error!("the roll-outs cannot be written: {error}");
+            log::error!("failed to encode the rollouts as JSON: {error}");
             reply(StatusCode::INTERNAL_SERVER_ERROR, "")
         }
     }
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -1,9 +1,10 @@
-//! Keeps which requests crash servers in the platform's table, so that all nodes may end at once.
+//! Persists quarantined requests in a table of the platform, so that they survive a restart of all
+//! nodes.
 //!
-//! The keepers of the services write what they decide, a row for each request that is refused. A node
-//! that becomes a keeper reads the rows once, sends them to the other nodes, and removes rows that have ended. A
-//! row may be written twice without harm. After a return of the table service from an older copy a keeper
-//! writes again what it knows.
+//! The owner of a service (the aggregator that owns its name) writes its decisions, one row for
+//! each refused request. A node that becomes an owner reads the rows once, sends them to the other
+//! nodes, and removes expired rows. Writing a row twice is harmless. After the table service was
+//! restored from an older copy, an owner writes what it knows again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,23 +23,23 @@
 
 const TABLE: &str = "quarantine";
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time between two looks whether there is something to read or write.
+/// The interval between checks for rows to read or write.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The most rows that are removed in one transaction; the platform takes a hundred.
+/// The maximum number of rows removed in one transaction; the platform accepts a hundred.
 const MAX_REMOVALS: usize = 90;
 
-/// A request that is refused, as its row holds it; the key is the fingerprint.
+/// The row of a refused request. Its key is the fingerprint of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct QuarantineRow {
     /// The short name of the service.
     service: u64,
-    /// The time on the table service's clock until which the request is refused.
+    /// The time until which the request is refused, on the table service's clock.
     until: Millis,
-    /// Servers that crashed under the request.
+    /// The number of servers that crashed while serving the request.
     servers_crashed: u32,
 }
 
-/// A time on the table service's clock, with the time on this node's clock.
+/// A time on the table service's clock, paired with the time on this node's clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     era: Era,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Reads and writes rows for as long as the process runs.
+/// Reads and writes the rows until the process ends.
 pub(super) async fn run(node: Arc<Node>) {
     let mut clock = None;
     let mut backoff = Backoff::default();
@@ -67,7 +68,7 @@
     }
 }
 
-/// Reads the rows, once this node keeps evidence; after that, writes what it has decided.
+/// Loads the rows when this node becomes an owner; afterwards, writes its decisions.
 async fn step(node: &Arc<Node>, clock: &mut Option<ClockReading>) -> Result<(), TableError> {
     let era = node.with(|state| state.eras.get());
     let Some(known) = clock.filter(|known| known.era == era) else {
@@ -76,7 +77,7 @@
             let now = node.now();
             node.with(|state| {
                 if state.eras.is_return() {
-                    // The rows of what was decided before may be gone.
+                    // The rows of earlier decisions may be lost.
                     state.quarantine.save_all(now);
                 }
             });
@@ -93,7 +94,7 @@
     Ok(())
 }
 
-/// Returns `true` if this node keeps the evidence of a service.
+/// Returns `true` if this node owns a service.
 fn is_keeper(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| {
@@ -104,7 +105,7 @@
     })
 }
 
-/// Takes over the rows that hold, and removes the others.
+/// Applies the rows that are still valid, and removes the expired ones.
 async fn load(node: &Arc<Node>) -> Result<ClockReading, TableError> {
     let asked_at = node.now();
     let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?;
@@ -112,13 +113,14 @@
     for row in &rows.rows {
         match decode(row) {
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
-                // The clock of an older copy may be behind the one that the row was written by.
+                // The clock of a restored copy may be behind the clock that set the time in the
+                // row.
                 let left = (refused.until - rows.table_time).min(QUARANTINED_FOR);
                 peers::quarantine::apply_persisted(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
             None => {
-                let error = format!("a row of {TABLE} cannot be read: {}", row.key);
+                let error = format!("malformed row in table {TABLE}: {}", row.key);
                 event::emit(&Event::DocumentRejected { error });
             }
         }
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -122,7 +122,7 @@
 /// Waits for the signal to stop, and then until the node has stopped.
 async fn run_until_stopped(node: &Arc<Node>, path: PathBuf) -> Result<(), Error> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| {
-        Error::new(ErrorKind::Unavailable, format!("no signals can be had: {error}"))
+        Error::new(ErrorKind::Unavailable, format!("cannot register signal handlers: {error}"))
     })?;
     while let Some(signal) = signals.next().await {
         match signal {
--- a/crates/gateway/src/node/skipped.rs
+++ b/crates/gateway/src/node/skipped.rs
@@ -1,4 +1,4 @@
-//! Entries of the platform's tables that cannot be read.
+//! Table entries that could not be decoded.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,19 @@
 
 use crate::port::Row;
 
-/// The most entries that are remembered; further ones are logged each time that they are read.
+/// The maximum number of tracked entries. Further ones are logged on every read.
 const MAX_ENTRIES: usize = 1_024;
 
-/// Entries that cannot be read, by their keys, with the versions of their rows: each is logged once for
-/// each change of its row.
+/// Undecodable entries by key, with the versions of their rows. Each is logged once per version of
+/// its row.
 #[derive(Debug, Default)]
 pub struct Entries {
     versions: BTreeMap<String, TableVersion>,
 }
 
 impl Entries {
-    /// Notes that an entry cannot be read; returns `true` if this version of its row is new.
+    /// Records that an entry could not be decoded; returns `true` if this version of its row is
+    /// new.
     pub fn note(&mut self, key: &str, version: TableVersion) -> bool {
         let known = self.versions.get(key).copied();
         if known.is_some() || self.versions.len() < MAX_ENTRIES {
@@ -26,17 +27,17 @@
         known != Some(version)
     }
 
-    /// Forgets an entry that can be read, or is gone.
+    /// Removes an entry that was decoded or deleted.
     pub fn forget(&mut self, key: &str) {
         self.versions.remove(key);
     }
 
-    /// Forgets the entries that are not among the rows.
+    /// Removes the entries that are not among the rows.
     pub fn retain(&mut self, rows: &[Row]) {
         self.versions.retain(|key, _| rows.iter().any(|row| row.key == *key));
     }
 
-    /// Counts the entries that cannot be read.
+    /// Returns the number of undecodable entries.
     pub fn count(&self) -> usize {
         self.versions.len()
     }
--- a/crates/gateway/src/node/stop.rs
+++ b/crates/gateway/src/node/stop.rs
@@ -1,4 +1,4 @@
-//! Ends the node without cutting an answer.
+//! Shuts the node down without interrupting responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,20 +8,21 @@
 use crate::exchange;
 use crate::runtime;
 
-/// Time in which the balancer detection_period that the node is not ready: two questions a second apart,
+/// The time for the load balancer to detect that the node is not ready: two probes, a second apart,
 /// and a margin.
 const BALANCER_DETECTION_PERIOD: Duration = Duration::from_millis(2_600);
-/// Kept back at the end of the grace for the process to end by itself.
+/// The part of the grace period reserved for the process to exit.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// Time after the last answer in which a caller that has just read it may ask again.
+/// The time after the last response during which a client that has just read it may send another
+/// request.
 const LINGER_PERIOD: Duration = Duration::from_millis(300);
-/// Time before the end of the grace at which callers that do not read are disconnected: their
-/// answers cannot be delivered any more, and the node ends as a whole.
+/// The time before the end of the grace period at which clients that do not read are disconnected.
+/// Their responses cannot be delivered any more, and the node can shut down cleanly.
 const DISCONNECT_MARGIN: Duration = Duration::from_millis(800);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stops: not ready at once, new requests served until the balancer has noticed, and then as long
-/// as answers are in flight, up to the grace.
+/// Shuts down: becomes unready at once, serves new requests until the load balancer has noticed,
+/// and then waits for in-flight responses, up to the grace period.
 pub async fn run(node: &Arc<Node>) {
     if !node.begin_stop() {
         return;
