--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -1,7 +1,7 @@
-//! Adopts the newest configuration, and confirms that it is the newest.
+//! Adopts the newest configuration and confirms that it is the newest.
 //!
-//! A silent watch proves nothing, so that the configuration is read whole again some times in the
-//! revocation bound: only such a read confirms that what the node holds is the newest.
+//! A watch without changes proves nothing. The configuration is therefore read again several times
+//! per revocation bound; only such a read confirms that the node's copy is the newest.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,25 +22,27 @@
 use crate::port::{Condition, Row, TableError, TableName, Transaction};
 use crate::runtime;
 
-/// How long a watch of the configuration is held where nothing changes, as a part of the bound in
-/// which a new one must be in force. Reads confirm it besides.
+/// How long the table service holds a configuration watch without changes, as a fraction of the
+/// bound within which a new configuration must be in force. Separate reads confirm the
+/// configuration.
 const CONFIGURATION_HOLD_FRACTION: f64 = 0.8;
-/// The time between two reads by a node that knows no configuration and does not read for all: the
-/// readers tell it too, where it hears other nodes.
+/// The interval between reads by a node that has no configuration and is not a reader. If it hears
+/// other nodes, the readers send it the configuration as well.
 const UNCONFIGURED_READ_INTERVAL_MS: Millis = 15_000;
 const ISOLATED_READ_INTERVAL_MS: Millis = 3_000;
-/// How long a node that has a configuration from another node waits for a report that says how old
-/// it is, before it confirms the configuration itself.
+/// How long a node that received its configuration from another node waits for a report of the
+/// configuration's age before it confirms the configuration itself.
 const CONFIRMATION_WAIT_MS: Millis = 1_000;
-/// The time between two confirmations of the configuration, as a part of the time in which a new
-/// one must be in force.
+/// The interval between confirmations, as a fraction of the time within which a new configuration
+/// must be in force.
 const CONFIRM_INTERVAL_FRACTION: f64 = 0.25;
-/// The same where nodes report in groups, and what a reader knows passes two nodes on its way.
+/// The same if nodes report in groups: what a reader knows passes through two nodes.
 const GROUPED_CONFIRM_INTERVAL_FRACTION: f64 = 0.125;
-/// Confirmations in each freshness bound, at the least.
+/// The minimum number of confirmations per freshness bound.
 const MIN_CONFIRMATIONS_PER_BOUND: u32 = 4;
 
-/// Follows the configuration for ever, where this node reads for all or knows none yet.
+/// Follows the configuration until the process ends, while this node is a reader or has no
+/// configuration.
 pub async fn watch_configuration(node: Arc<Node>) {
     let mut backoff = Backoff::default();
     let mut read_at = None;
@@ -68,14 +70,14 @@
     }
 }
 
-/// Returns `true` if a node that knows no configuration reads it again.
+/// Returns `true` if a node without a configuration must read it again.
 fn is_read_due(node: &Node, now: Millis, read_at: Option<Millis>) -> bool {
     let is_alone = node.with(|state| state.members.get_reach(now).heard <= 1);
     let pause = if is_alone { ISOLATED_READ_INTERVAL_MS } else { UNCONFIGURED_READ_INTERVAL_MS };
     read_at.is_none_or(|at| now >= at + pause)
 }
 
-/// Follows the configuration while this node reads for all.
+/// Follows the configuration while this node is a reader.
 async fn follow_configuration(node: &Node, from: TableVersion) {
     let table = TableName::Configuration;
     let hold = fraction_of(node.settings.bounds.config_apply_ms, CONFIGURATION_HOLD_FRACTION);
@@ -87,7 +89,7 @@
     .await;
 }
 
-/// Reads the configuration again and again, to know that it is the newest.
+/// Confirms at intervals that the configuration is the newest.
 pub async fn confirm_freshness(node: Arc<Node>) {
     let bound =
         Duration::from_millis(node.get_max_configuration_age()) / MIN_CONFIRMATIONS_PER_BOUND;
@@ -99,7 +101,7 @@
         if !is_unconfirmed(&node) {
             unconfirmed_since = None;
         }
-        // Until there is one, the first configuration is awaited and not requested again.
+        // A node without a configuration waits for the first one instead of requesting it again.
         let is_told_soon = is_unconfirmed(&node) && now < since + CONFIRMATION_WAIT_MS;
         let is_waiting = !is_reader(&node) && (lacks_configuration(&node) || is_told_soon);
         if is_waiting || !should_read(&node, staleness::is_configuration_stale) {
@@ -126,17 +128,17 @@
     }
 }
 
-/// Confirms that the configuration in force is the newest, or adopts the newer one.
+/// Confirms that the configuration in force is the newest, or adopts a newer one.
 ///
-/// Where the row is known, a condition on its version answers in a few bytes; the configuration may
-/// be long.
+/// If the row is known, a condition on its version is answered in a few bytes; the configuration
+/// itself may be long.
 async fn confirm(node: &Node) -> Result<(), TableError> {
     let asked_at = node.now();
     let rows = match get_known_row(node) {
         Some(row) => match confirm_row(node, &row).await {
             Ok(()) => Vec::new(),
             Err(TableError::Conflict(rows)) => rows.rows,
-            // The condition itself may be what is refused.
+            // The service may have refused the condition itself.
             Err(TableError::Refused(_)) => read(node, TableName::Configuration).await?.rows,
             Err(error) => return Err(error),
         },
@@ -148,10 +150,10 @@
     confirm_configuration(node, asked_at).await
 }
 
-/// Notes that the configuration in force was the newest at a time.
+/// Records that the configuration in force was the newest at `asked_at`.
 ///
-/// A table service that has just come back may lack a newer one until the operator has written it again: what
-/// it holds shows nothing until then.
+/// After a restore from an older copy, the table service may lack a newer configuration until the
+/// operator has written it again. Until then its content proves nothing.
 async fn confirm_configuration(node: &Node, asked_at: Millis) -> Result<(), TableError> {
     if node.with(|state| state.eras.get_age(asked_at)).is_none() {
         era_origin::find(node).await?;
@@ -164,8 +166,8 @@
     Ok(())
 }
 
-/// Notes that the operator has written again after the table service's return: the row of the configuration
-/// has another number than before, and no older content.
+/// Records that the operator has written again after a restore of the table service: the row of the
+/// configuration has another version number, and its content is not older.
 fn note_rewritten(node: &Node, rows: &[Row]) {
     let Some(known) = node.with(|state| state.configuration_row.clone()) else { return };
     let is_rewritten = |row: &&Row| {
@@ -178,14 +180,14 @@
     }
 }
 
-/// Reads the version of the configuration in a row; `None` where there is none that can be read.
+/// Decodes the version of the configuration in a row; returns `None` if there is no valid one.
 fn read_version(node: &Node, row: &Row) -> Option<u64> {
     let decoded = (node.platform.decode_configuration)(row.value.as_deref()?);
     decoded.ok().map(|configuration| configuration.version)
 }
 
-/// Returns the row of the configuration in force, where this node has read it itself in the table service's
-/// era. While the operator may still write again, all its rows are read.
+/// Returns the row of the configuration in force if this node read it itself in the current era of
+/// the table service. While the operator may still write again, all rows must be read.
 fn get_known_row(node: &Node) -> Option<ConfigurationRow> {
     let now = node.now();
     node.with(|state| {
@@ -196,7 +198,7 @@
     })
 }
 
-/// Asks whether the configuration's row has not changed, by a transaction that writes nothing.
+/// Checks that the configuration's row is unchanged, with a transaction that writes nothing.
 async fn confirm_row(node: &Node, row: &ConfigurationRow) -> Result<(), TableError> {
     let condition = Condition {
         table: TableName::Configuration,
@@ -207,7 +209,7 @@
     table::commit(node, transaction, ANSWER_TIMEOUT).await.map(|_| ())
 }
 
-/// Returns `true` if this node does not know of any time at which its configuration was the newest.
+/// Returns `true` if this node's configuration was never confirmed to be the newest.
 fn is_unconfirmed(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| state.freshness.get_age(now).is_none())
@@ -217,15 +219,15 @@
     node.with(|state| state.configuration.is_none())
 }
 
-/// Adopts the configuration in the rows, and notifies all peers where it is newer.
+/// Adopts the configuration in the rows, and notifies all peers if it is newer.
 fn adopt_and_notify(node: &Node, rows: &[Row]) {
     if let Some(version) = adopt_configuration(node, rows) {
         node.notify_peers(Notification::ConfigurationChanged { version });
     }
 }
 
-/// Adopts the configuration in the rows, where it is newer than the one in force; returns the
-/// version where it is.
+/// Adopts the configuration in the rows if it is newer than the one in force; returns its version
+/// in that case.
 pub(in crate::node) fn adopt_configuration(node: &Node, rows: &[Row]) -> Option<u64> {
     let known = get_known_row(node);
     let is_known = |row: &&Row| {
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -1,11 +1,12 @@
-//! Follows the configuration and the list of servers at the platform's tables.
+//! Follows the configuration and the server list in the platform's tables.
 //!
-//! A few nodes do so for all. Each table is read whole at first, and then followed by changes.
+//! A few nodes, the readers, do so on behalf of all nodes. Each table is read once in full and then
+//! followed by its changes.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
-//! | `configuration` | adopts the newest configuration, and confirms that it is the newest |
-//! | `servers` | keeps the list of servers |
+//! | `configuration` | adopts the newest configuration and confirms that it is the newest |
+//! | `servers` | maintains the server list |
 
 mod configuration;
 mod servers;
@@ -26,17 +27,17 @@
 pub use servers::{apply, watch_servers};
 pub(super) use servers::{apply_departures, apply_update, expire_lapsed};
 
-/// The time between two looks whether this node has to read.
+/// The interval between checks whether this node must read a table.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How much longer the node waits for its answer.
+/// How long the node waits for an answer, in addition to the hold time of the call.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Returns `true` if this node has to read a table itself.
+/// Returns `true` if this node must read a table itself.
 fn should_read(node: &Node, is_old: fn(&Node) -> bool) -> bool {
     is_reader(node) || is_old(node)
 }
 
-/// Returns `true` if this node reads the tables for all.
+/// Returns `true` if this node reads the tables on behalf of all nodes.
 fn is_reader(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| state.members.is_reader(now))
@@ -46,14 +47,14 @@
     table::read_all(node, table, ANSWER_TIMEOUT).await
 }
 
-/// How a table is followed.
+/// The parameters for following a table.
 struct Watch {
     table: TableName,
-    /// How long the table service holds a call where nothing changes.
+    /// How long the table service holds a call without changes.
     hold: Duration,
-    /// The pause after changes, in which further ones batch_delay.
+    /// The delay after changes during which further ones accumulate.
     batch_delay: Option<Duration>,
-    /// Returns `true` if this node goes on to follow the table.
+    /// Returns `true` while this node must follow the table.
     is_wanted: fn(&Node) -> bool,
 }
 
@@ -61,8 +62,8 @@
     Duration::from_millis(bound).mul_f64(part)
 }
 
-/// Follows a table's changes while that is wanted, until the watch fails. `take` gets the rows, and
-/// when they were requested.
+/// Follows a table's changes while the watch is wanted, until a call fails. `take` receives the
+/// rows and the time of their request.
 async fn follow(
     node: &Node,
     watch: &Watch,
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -1,4 +1,4 @@
-//! Keeps the list of servers.
+//! Maintains the server list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,22 +19,22 @@
 use crate::port::{Row, Rows, TableError, TableName};
 use crate::runtime;
 
-/// How long a watch of the servers is held where nothing changes, as a part of the drain bound:
-/// its answer shows that the list was the newest at the call, so that the list's age swings
-/// between one hold and two.
+/// How long the table service holds a server list watch without changes, as a fraction of the drain
+/// bound. An answer confirms the list as of the call, so the list's age varies between one hold
+/// time and two.
 const SERVERS_HOLD_FRACTION: f64 = 0.22;
-/// The pause after changes in which further ones batch_delay, as a part of the drain bound: servers come
-/// and go in waves, and each call costs.
+/// The delay after changes during which further ones accumulate, as a fraction of the drain bound.
+/// Servers come and go in waves, and each call has a cost.
 const BATCH_DELAY_FRACTION: f64 = 0.08;
-/// How long after its start a node waits for its aggregator to give it a list of several pages, in
-/// milliseconds.
+/// How long after its start a node waits for its aggregator to send a server list of several pages.
 const LONG_LIST_WAIT_MS: Millis = 2_000;
-/// Entries that are sent in one datagram: some 80 bytes each.
+/// The maximum number of entries per datagram, at some 80 bytes each.
 const MAX_ENTRIES_PER_DATAGRAM: usize = 64;
-/// Changes that come at once and are logged one by one.
+/// The maximum number of simultaneous changes that are logged individually.
 const MAX_LOGGED_CHANGES: usize = 16;
 
-/// Follows the list of servers for ever, where this node reads for all or its own list is old.
+/// Follows the server list until the process ends, while this node is a reader or its list is
+/// stale.
 pub async fn watch_servers(node: Arc<Node>) {
     let mut backoff = Backoff::default();
     let mut is_long = false;
@@ -72,10 +72,11 @@
     }
 }
 
-/// Brings the list of servers up to date; returns its version, or `None` where that is left to others.
+/// Updates the server list; returns its version, or `None` if this node waits for its aggregator's
+/// list.
 ///
-/// A node that knows a list reads only what has changed since: the whole list takes a call for each
-/// few hundred servers.
+/// A node with a list reads only the changes: the whole list takes a call for every few hundred
+/// servers.
 async fn catch_up(node: &Node) -> Result<Option<TableVersion>, TableError> {
     let known =
         node.with(|state| state.directory.is_known().then(|| state.directory.get_version()));
@@ -92,7 +93,8 @@
     }
 }
 
-/// Reads the list of servers whole; returns its version, or `None` where that is left to others.
+/// Reads the whole server list; returns its version, or `None` if this node waits for its
+/// aggregator's list.
 async fn read_servers(node: &Node) -> Result<Option<TableVersion>, TableError> {
     let asked_at = node.now();
     let first = table::read_first(node, TableName::Servers, ANSWER_TIMEOUT).await?;
@@ -107,22 +109,22 @@
     Ok(Some(rows.version))
 }
 
-/// Returns `true` if this node waits until its aggregator gives it a long list: where many nodes start at
-/// once, only the aggregators read it.
+/// Returns `true` if this node waits for its aggregator to send a long list. When many nodes start
+/// at once, only the aggregators read it.
 fn is_delegated_to_aggregator(node: &Node) -> bool {
     let is_starting = node.now() < node.clock.get_start() + LONG_LIST_WAIT_MS;
     let is_member = node.with(|state| state.members.is_grouped() && !state.members.is_aggregator());
     is_starting && is_member
 }
 
-/// Takes over a whole list of servers, where it is not older than the one known.
+/// Replaces the server list, unless the given one is older.
 fn replace_list(node: &Node, version: TableVersion, servers: Vec<Server>) {
     note_list_recovered(node);
     let changes = node.with(|state| state.directory.replace(version, servers));
     apply(node, changes);
 }
 
-/// Takes over what a peer knows of the list of servers and this node lacked.
+/// Applies an update of the server list that this node fetched from a peer.
 pub(in crate::node) fn apply_update(node: &Node, update: Update<'_>) {
     table::note_era(node, update.get_version().era);
     note_list_recovered(node);
@@ -130,7 +132,7 @@
     apply(node, changes.unwrap_or_default());
 }
 
-/// Notes that the list of servers is known again, where it had grown old.
+/// Records that the server list is up to date again after it was stale.
 fn note_list_recovered(node: &Node) {
     let now = node.now();
     if staleness::is_servers_stale(node) {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Gives up servers whose entries lapsed and did not come back.
+/// Removes servers whose entries lapsed and were not renewed.
 pub(in crate::node) fn expire_lapsed(node: &Node) {
     let now = node.now();
     let changes = node.with(|state| {
@@ -152,15 +154,15 @@
     apply(node, changes);
 }
 
-/// Takes the departures that came with a report.
+/// Applies the departures in a report.
 pub(in crate::node) fn apply_departures(node: &Node, departures: &[Departure]) {
     for departure in departures {
         apply_departure(node, departure);
     }
 }
 
-/// Takes the word of a server, in an answer to this node or another one, that it leaves; returns `true` if
-/// that is news.
+/// Applies a server's announcement that it leaves, received in a response by this node or another
+/// one; returns `true` if it is new.
 pub(crate) fn apply_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
@@ -170,8 +172,8 @@
     is_news
 }
 
-/// Takes over entries that changed since a call that began at `asked_at`, and sends them to all peers
-/// where this node reads for them.
+/// Applies the entries that changed since a call at `asked_at`. A reader also sends them to all
+/// peers.
 fn update_servers(node: &Node, rows: &Rows, asked_at: Millis) {
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
@@ -183,21 +185,22 @@
     node.with(|state| state.servers_freshness.confirm(asked_at));
 }
 
-/// Makes the changes of this node's list that the rows hold.
+/// Builds a batch of list changes from rows.
 fn make_batch(node: &Node, rows: &Rows) -> Batch {
     let entries = rows.rows.iter().map(|row| {
-        // An entry that cannot be read names no server to use, like one that is gone.
+        // An undecodable entry names no usable server, like a deleted one.
         let server = decode_server(node, row);
-        // A row that came without its version is taken as changed last.
+        // A row without a version counts as the last one changed.
         let version = if row.version.is_absent() { rows.version } else { row.version };
         Entry { id: row.key.clone(), version, server }
     });
-    // Nothing changed between this list and the rows: the watch goes on where it left off.
+    // Nothing changed between this list and the rows: the watch resumes from the list's version.
     let after = node.with(|state| state.directory.get_version());
     Batch { after, version: rows.version, entries: entries.collect() }
 }
 
-/// Reads a server's entry; `None` where it is gone or cannot be read, which is logged once.
+/// Decodes a server's entry; returns `None` if it was deleted or is malformed. A malformed entry is
+/// logged once.
 fn decode_server(node: &Node, row: &Row) -> Option<Server> {
     let decoded = row.value.as_deref().map(|value| (node.platform.decode_server)(&row.key, value));
     match decoded {
@@ -218,7 +221,7 @@
     }
 }
 
-/// Acts on changes of the list of servers.
+/// Applies the side effects of server list changes.
 pub fn apply(node: &Node, changes: Vec<Change>) {
     let now = node.now();
     for change in &changes {
@@ -234,7 +237,8 @@
     log_changes(&changes);
 }
 
-/// Logs each change; of many only how many there are of each kind, because all nodes log the same.
+/// Logs each change, or only the number of changes of each kind if there are many, because all
+/// nodes log the same ones.
 fn log_changes(changes: &[Change]) {
     if changes.len() > MAX_LOGGED_CHANGES {
         return event::emit(&Event::ServersChanged {
