--- a/crates/gateway/src/node/connections.rs
+++ b/crates/gateway/src/node/connections.rs
@@ -1,4 +1,4 @@
-//! Keeps the connections to servers that rest within this node's share of what servers accept.
+//! Limits idle connections to this node's share of the connections that servers accept.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use super::Node;
 use crate::runtime;
 
-/// The time between two looks: configurations and nodes change seldom.
+/// The interval between updates; configurations and nodes change rarely.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// The fraction of a server's connections that may rest at all nodes together; the rest is for
-/// requests under way, of which one node may have many.
+/// The fraction of a server's connections that may be idle across all nodes. The rest is for
+/// requests in flight, of which one node may have many.
 const IDLE_FRACTION: f64 = 0.5;
-/// Connections that a node may keep to a server in any case: one that is used again and again, and
+/// The minimum number of idle connections to a server that a node may keep: one in regular use, and
 /// one for a second request.
 const MIN_IDLE_CONNECTIONS: usize = 2;
 
-/// Sets how many connections to a server may rest, for as long as the process runs.
+/// Updates the maximum number of idle connections until the process ends.
 pub(super) async fn run(node: Arc<Node>) {
     loop {
         let now = node.now();
@@ -34,8 +34,8 @@
     }
 }
 
-/// Returns how many connections to a server one of the nodes may keep; `None` where no service
-/// bounds them.
+/// Returns how many idle connections to a server each node may keep; `None` if no service limits
+/// its connections.
 fn get_max_idle(configuration: &Configuration, nodes: usize) -> Option<usize> {
     let bounds = configuration.services.values().map(|service| service.max_connections);
     let min_bound = bounds.filter(|max| *max > 0).min()?;
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -1,8 +1,8 @@
-//! Finds out which servers crashed, and under which requests.
+//! Detects crashed servers and the requests that they were serving.
 //!
-//! A connection that breaks off in the middle of an answer may have been reset by itself, so that the
-//! node looks whether its server still listens. One that does not has crashed under the requests whose
-//! connections broke off at that moment: one of them may be the cause.
+//! A connection that breaks in the middle of a response may have been reset on its own, so the node
+//! probes whether the server still listens. If it does not, it crashed while serving the requests
+//! whose connections broke at that moment, and one of them may be the cause.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,43 +18,49 @@
 use crate::metrics::ServiceLabels;
 use crate::runtime::{self, lock};
 
-/// The pause before the probe at a server, in which the other connections that ended with it are
-/// noticed: on a small VM some tens of tasks take their turns.
+/// The delay before a server is probed, during which the other broken connections are detected. On
+/// a small VM, tens of tasks must run first.
 const CORRELATION_DELAY: Duration = Duration::from_millis(40);
-/// The most requests that are noted of one server; it works on fewer at once.
+/// The maximum number of recorded attempts per server; a server processes fewer at once.
 const MAX_ATTEMPTS_PER_SERVER: usize = 64;
 
-/// Notes that the connection of a run broke off, and looks at the server soon.
+/// Records that the connection of an attempt broke, and schedules a probe of the server.
 ///
-/// A server that is leaving or gone breaks off for another reason.
-pub(crate) fn note_interrupted_attempt(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
-    let is_suspected =
-        run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPECTED_FOR);
+/// A server that is leaving or gone closes connections for another reason.
+pub(crate) fn note_interrupted_attempt(
+    node: &Arc<Node>,
+    server: &Server,
+    attempt: InterruptedAttempt,
+) {
+    let is_suspected = attempt
+        .response_started_at
+        .is_none_or(|since| attempt.interrupted_at < since + SUSPECTED_FOR);
     if !is_suspected || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
     let mut pending = lock(&node.interrupted_attempts);
     let is_first = !pending.contains_key(&server.id);
-    let runs = pending.entry(server.id.clone()).or_default();
-    if runs.len() < MAX_ATTEMPTS_PER_SERVER {
-        runs.push(run);
+    let attempts = pending.entry(server.id.clone()).or_default();
+    if attempts.len() < MAX_ATTEMPTS_PER_SERVER {
+        attempts.push(attempt);
     }
     if is_first {
         runtime::spawn(probe(node.clone(), server.clone()));
     }
 }
 
-/// Returns `true` if a server is leaving or gone. One that has started again since has crashed before.
+/// Returns `true` if a server is leaving or gone. A server that has restarted since the attempt
+/// crashed before it left.
 fn is_leaving(directory: &Directory, server: &Server) -> bool {
     let Some(known) = directory.get(&server.id) else { return true };
     known.is_leaving && !directory.is_superseded(server)
 }
 
-/// Looks whether a server still listens, and has not started again.
+/// Probes whether a server still listens and has not restarted.
 async fn probe(node: Arc<Node>, server: Server) {
     runtime::sleep(CORRELATION_DELAY).await;
     let is_listening = node.http_client.is_listening(server.address).await;
-    let runs = lock(&node.interrupted_attempts).remove(&server.id).unwrap_or_default();
+    let attempts = lock(&node.interrupted_attempts).remove(&server.id).unwrap_or_default();
     if is_listening && !node.with(|state| state.directory.is_superseded(&server)) {
         return;
     }
@@ -62,24 +68,26 @@
     node.with(|state| state.health.fail_to_connect(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
-    let running = runs
-        .iter()
-        .map(|run| Running { fingerprint: run.fingerprint.to_string(), ran_ms: run.get_span() });
+    let running = attempts.iter().map(|attempt| Running {
+        fingerprint: attempt.fingerprint.to_string(),
+        ran_ms: attempt.get_duration(),
+    });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
-    node.with(|state| state.quarantine.note_crash(now, make_crash(now, &server, &runs)));
+    node.with(|state| state.quarantine.note_crash(now, make_crash(now, &server, &attempts)));
     peers::quarantine::send_reports(&node).await;
 }
 
-/// Makes the report of a server that crashed.
-fn make_crash(now: Millis, server: &Server, runs: &[InterruptedAttempt]) -> Crash {
-    let crashed_at = runs.iter().map(|run| run.interrupted_at).min().unwrap_or(now);
-    let runs = runs.iter();
-    let runs = runs.map(|run| Run { fingerprint: run.fingerprint, ran_for: run.get_span() });
+/// Builds the report of a crashed server.
+fn make_crash(now: Millis, server: &Server, attempts: &[InterruptedAttempt]) -> Crash {
+    let crashed_at = attempts.iter().map(|attempt| attempt.interrupted_at).min().unwrap_or(now);
+    let attempts = attempts.iter();
+    let attempts = attempts
+        .map(|attempt| Run { fingerprint: attempt.fingerprint, ran_for: attempt.get_duration() });
     Crash {
         service: short_id(&server.service),
         server: short_id(&server.id),
         age: now.saturating_sub(crashed_at),
-        runs: runs.collect(),
+        runs: attempts.collect(),
     }
 }
--- a/crates/gateway/src/node/interrupted_attempts.rs
+++ b/crates/gateway/src/node/interrupted_attempts.rs
@@ -1,4 +1,4 @@
-//! Runs of requests that broke off at servers that may have ended.
+//! Attempts whose connection broke at servers that may have crashed.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -6,25 +6,25 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::Fingerprint;
 
-/// Runs that broke off, by the id of the server, until the node has looked at it.
+/// Interrupted attempts by server id, until the node has probed the server.
 pub(crate) type Pending = Mutex<HashMap<String, Vec<InterruptedAttempt>>>;
 
-/// A run of a request whose connection broke off.
+/// An attempt at a request whose connection to the server broke.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InterruptedAttempt {
-    /// Names the request's content.
+    /// The fingerprint of the request's content.
     pub fingerprint: Fingerprint,
-    /// When it was sent to the server.
+    /// When the request was sent to the server.
     pub sent_at: Millis,
-    /// When its connection broke off.
+    /// When the connection broke.
     pub interrupted_at: Millis,
-    /// Since when its answer came.
+    /// When the response started; `None` if it had not.
     pub response_started_at: Option<Millis>,
 }
 
 impl InterruptedAttempt {
-    /// Returns the milliseconds between its being sent and the end of its connection.
-    pub(super) fn get_span(&self) -> Millis {
+    /// Returns the milliseconds from sending the request until the connection broke.
+    pub(super) fn get_duration(&self) -> Millis {
         self.interrupted_at.saturating_sub(self.sent_at)
     }
 }
