--- a/crates/gateway/src/node/backoff.rs
+++ b/crates/gateway/src/node/backoff.rs
@@ -1,27 +1,27 @@
-//! Pauses between tries.
+//! Delays between retries.
 
 use std::time::Duration;
 
 use crate::runtime;
 
-/// The first pause after a failure; doubled up to the longest.
+/// The delay after the first failure. It doubles with each failure, up to the maximum.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Spreads a period over three quarters to five quarters of itself, so that nodes do not call at
-/// once.
+/// Randomizes a period between 75 % and 125 %, so that nodes do not make their calls at the same
+/// time.
 pub fn jitter(period: Duration) -> Duration {
     period.mul_f64(0.75 + 0.5 * fastrand::f64())
 }
 
-/// A pause that grows with each failure.
+/// A delay that grows exponentially with each failure.
 #[derive(Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Notes a success.
+    /// Resets the delay after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -1,8 +1,8 @@
-//! Memory that is held for callers and servers.
+//! Reservations of memory that buffers data of clients and servers.
 //!
-//! The decisions are those of [`keeljunction_core::serving::memory`]; this module ties what is
-//! reserved to the life of what holds it, wakes uploads that are evicted, and passes samples of the
-//! process's resident memory to the accountant.
+//! [`keeljunction_core::serving::memory`] decides. This module ties reservations to the lifetime of
+//! their holders, wakes evicted uploads, and passes samples of the process's resident memory to the
+//! accountant.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,46 +15,46 @@
 use crate::http::Stop;
 use crate::runtime::{self, lock};
 
-/// The time between two samples of the resident memory: at the bandwidth of a small VM's link, 10
-/// to 200 Mbit/s, at most some megabytes come meanwhile.
+/// The interval between samples of the resident memory. At the link bandwidth of a small VM, 10 to
+/// 200 Mbit/s, at most some megabytes arrive in between.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long to wait for evicted uploads to release their memory: their tasks only have to be woken.
+/// How long to wait for evicted uploads to release their memory; their tasks only need to be woken.
 const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
-/// Bytes that are held until this is dropped.
+/// Reserved bytes that are released on drop.
 pub struct Reservation {
     node: Arc<Node>,
     id: HolderId,
     bytes: u64,
-    /// Whether a signal of eviction was taken.
+    /// `true` once the eviction signal was taken.
     has_eviction_signal: bool,
 }
 
 impl Reservation {
-    /// Makes a reservation of no bytes, for no client account in particular.
+    /// Creates an empty reservation that belongs to no client account.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
         Self::for_claim(node, &Claim { kind, account: "", urgency: 0 })
     }
 
-    /// Makes a reservation of no bytes for a claim.
+    /// Creates an empty reservation for a claim.
     pub fn for_claim(node: &Arc<Node>, claim: &Claim<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
         Self { node: node.clone(), id, bytes: 0, has_eviction_signal: false }
     }
 
-    /// Returns the signal that this upload is evicted.
+    /// Returns the signal for the eviction of this upload.
     pub(crate) fn watch_eviction(&mut self) -> Stop {
         self.has_eviction_signal = true;
         let stop = lock(&self.node.eviction_signals.0).entry(self.id).or_default().clone();
-        // It may have been picked before it was watched.
+        // The upload may have been selected for eviction before the signal was registered.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
             stop.give();
         }
         stop
     }
 
-    /// Reserves more bytes; returns `false`, and reserves nothing, where there is no room for them.
+    /// Reserves more bytes; returns `false` and reserves nothing if there is not enough memory.
     #[must_use]
     pub fn grow(&mut self, bytes: u64) -> bool {
         self.try_grow(bytes).is_ok()
@@ -64,8 +64,8 @@
     ///
     /// # Errors
     ///
-    /// Returns when to retry where there is no room, and whether some is being made; nothing is
-    /// reserved then.
+    /// Returns when to retry, and whether uploads are being evicted, if there is not enough memory.
+    /// Nothing is reserved in that case.
     fn try_grow(&mut self, bytes: u64) -> Result<(), InsufficientMemory> {
         let now = self.node.now();
         let grown = self.node.with(|state| state.memory.grow(now, self.id, bytes));
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Reserves more bytes, and waits for uploads that are evicted for them.
+    /// Reserves more bytes, and waits for the uploads that are evicted to make room.
     ///
     /// # Errors
     ///
-    /// Returns when to retry where there is no room; nothing is reserved then.
+    /// Returns when to retry if there is not enough memory. Nothing is reserved in that case.
     pub(crate) async fn grow_or_wait(&mut self, bytes: u64) -> Result<(), Millis> {
         match self.try_grow(bytes) {
             Ok(()) => Ok(()),
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Notes that bytes of a body came.
+    /// Records the arrival of bytes of a body.
     pub(crate) fn note_received(&self, bytes: u64) {
         let now = self.node.now();
         self.node.with(|state| state.memory.note_received(now, self.id, bytes));
     }
 
-    /// Notes that a body is whole: it is not evicted any more.
+    /// Records that a body is complete, which exempts it from eviction.
     pub(crate) fn note_complete(&self) {
         self.node.with(|state| state.memory.note_whole(self.id));
     }
@@ -117,7 +117,7 @@
         self.node.with(|state| state.memory.shrink(now, self.id, bytes));
     }
 
-    /// Returns the bytes that are held.
+    /// Returns the number of reserved bytes.
     pub fn get_bytes(&self) -> u64 {
         self.bytes
     }
@@ -133,15 +133,15 @@
     }
 }
 
-/// Why bytes were not reserved.
+/// The error of a reservation that does not fit into memory.
 #[derive(Clone, Copy, Debug)]
 struct InsufficientMemory {
     retry_after: Millis,
-    /// Whether uploads are being evicted for them.
+    /// `true` if uploads are being evicted to make room.
     is_evicting: bool,
 }
 
-/// Passes samples of the resident memory to the accountant for as long as the process runs.
+/// Samples the resident memory until the process ends.
 pub(super) async fn watch(node: Arc<Node>) {
     loop {
         observe(&node);
@@ -149,7 +149,8 @@
     }
 }
 
-/// Passes on one sample, evicts uploads, and logs where the node becomes short of memory or no longer is.
+/// Passes one sample to the accountant, evicts uploads, and logs the start and end of memory
+/// pressure.
 fn observe(node: &Node) {
     let (now, resident) = (node.now(), read_resident_bytes());
     let (was_short, is_short, used, evicted) = node.with(|state| {
@@ -164,7 +165,7 @@
     }
 }
 
-/// Reads the resident memory of the process, in bytes; `None` where the system does not provide it.
+/// Returns the resident memory of the process in bytes; `None` if the system does not provide it.
 pub(crate) fn read_resident_bytes() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: u64 = text.split(' ').nth(1)?.parse().ok()?;
--- a/crates/gateway/src/node/pause_detector.rs
+++ b/crates/gateway/src/node/pause_detector.rs
@@ -1,8 +1,8 @@
-//! Notices that the process stood still: its machine was suspended, or it got no processor.
+//! Detects that the process was paused: its machine was suspended, or it got no CPU time.
 //!
-//! All that the node believes is judged by its age on a clock that counts such a pause, so that nothing has
-//! to be undone: what has grown too old is confirmed before it is acted on. Here the pause is logged, and
-//! timers that left a suspension out are woken.
+//! The node judges the age of everything it knows on a clock that includes such pauses, so nothing
+//! has to be undone: stale knowledge is confirmed before it is used. This module only logs the
+//! pause, and wakes timers that did not count a suspension.
 
 use std::time::Duration;
 
@@ -12,32 +12,32 @@
 use crate::event::{self, Event};
 use crate::runtime::{self, Suspension};
 
-/// How much later than its period a look may be before that counts as a pause, in milliseconds: leases
-/// and freshness bounds are a few seconds.
+/// The minimum delay of a check beyond its period that counts as a pause. Leases and freshness
+/// bounds last a few seconds.
 const MIN_PAUSE_MS: Millis = 1_000;
 
-/// Looks for pauses, in each period of reports.
+/// Detects pauses, with one check per report period.
 #[derive(Debug)]
 pub(super) struct PauseDetector {
-    looked_at: Millis,
+    checked_at: Millis,
     suspension: Suspension,
 }
 
 impl PauseDetector {
-    /// Begins at a time on the node's clock.
+    /// Starts at a time on the node's clock.
     pub(super) fn begin(now: Millis) -> Self {
         let suspension = Suspension::new(runtime::boot_time(), runtime::steady_time());
-        Self { looked_at: now, suspension }
+        Self { checked_at: now, suspension }
     }
 
-    /// Looks whether the process stood still since the last look.
-    pub(super) fn look(&mut self, node: &Node, now: Millis) {
+    /// Checks whether the process was paused since the last check.
+    pub(super) fn check(&mut self, node: &Node, now: Millis) {
         let suspended = self.suspension.look(runtime::boot_time(), runtime::steady_time());
         if suspended.is_some() {
             runtime::wake_sleeps();
         }
-        let paused = now.saturating_sub(self.looked_at);
-        self.looked_at = now;
+        let paused = now.saturating_sub(self.checked_at);
+        self.checked_at = now;
         if paused >= MIN_PAUSE_MS || suspended.is_some() {
             let suspended_ms = suspended.unwrap_or(Duration::ZERO).as_millis() as u64;
             node.metrics.pauses.inc();
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -34,7 +34,7 @@
     let mut pause_detector = PauseDetector::begin(node.now());
     loop {
         let now = node.now();
-        pause_detector.look(&node, now);
+        pause_detector.check(&node, now);
         watch::expire_lapsed(&node);
         node.with(|state| refresh(state, now));
         summary_relay::refresh(&node, turn);
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -21,24 +21,24 @@
 use crate::runtime::{self, Clock};
 use crate::settings::Settings;
 
-/// Descriptors kept back from callers' connections, for files, servers and peers.
+/// File descriptors reserved for files, servers and peers; client connections may use the rest.
 const RESERVED_DESCRIPTORS: usize = 1_000;
-/// The part of the process's memory that callers' connections may take: as much as bodies and
-/// answers may. Where both are full, samples of the resident memory take off the latter.
+/// The fraction of the process's memory that client connections may use, the same as for buffered
+/// bodies and responses. If both are full, the samples of resident memory reduce the latter.
 const CONNECTION_MEMORY_FRACTION: f64 = 0.4;
-/// Memory of a connection, in bytes: 42 kB of resident memory for each of 300 whose small bodies
-/// rested, and what the system keeps for its socket.
+/// The memory of one connection: 42 kB of resident memory were measured for each of 300 connections
+/// with small buffered bodies, and the kernel needs memory for the socket.
 const BYTES_PER_CONNECTION: f64 = 50_000.0;
-/// Connections that are taken in any case, for operators and probes.
+/// The minimum number of accepted connections, which leaves room for operators and probes.
 const MIN_CONNECTIONS: usize = 100;
-/// Time for answers in flight to be written out at the very end.
+/// The timeout for writing out in-flight responses at the very end.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs a node until it has stopped.
 ///
 /// # Errors
 ///
-/// Returns [`ErrorKind::Unavailable`] where an address cannot be listened at.
+/// Returns [`ErrorKind::Unavailable`] if a listener cannot be bound to its address.
 pub async fn serve(settings: Settings, path: PathBuf, platform: Platform) -> Result<(), Error> {
     let mut settings = settings;
     let listener_stop = Stop::new();
@@ -73,19 +73,23 @@
     runtime::spawn(watch::watch_servers(node.clone()));
     runtime::spawn(connections::run(node.clone()));
     peers::start(&node);
-    let called = node.clone();
-    runtime::spawn(peer_calls.serve(move |request| peers::calls::serve(called.clone(), request)));
+    let peer_node = node.clone();
+    runtime::spawn(
+        peer_calls.serve(move |request| peers::calls::serve(peer_node.clone(), request)),
+    );
     runtime::spawn(leader::run(node.clone()));
     runtime::spawn(quarantine_rows::run(node.clone()));
     runtime::spawn(memory::watch(node.clone()));
     exchange::watch_callers(&node);
-    let (checked, shown, answering) = (node.clone(), node.clone(), node.clone());
-    runtime::spawn(readiness.serve(move |request| listeners::readiness(checked.clone(), request)));
-    runtime::spawn(metrics.serve(move |request| listeners::metrics(shown.clone(), request)));
-    let resting = node.clone();
-    let callers = callers.with_head_within(Arc::new(move || resting.get_idle_timeout()));
+    let (readiness_node, metrics_node, client_node) = (node.clone(), node.clone(), node.clone());
+    runtime::spawn(
+        readiness.serve(move |request| listeners::readiness(readiness_node.clone(), request)),
+    );
+    runtime::spawn(metrics.serve(move |request| listeners::metrics(metrics_node.clone(), request)));
+    let timeout_node = node.clone();
+    let callers = callers.with_head_within(Arc::new(move || timeout_node.get_idle_timeout()));
     let open = callers.get_open();
-    runtime::spawn(callers.serve(move |request| exchange::answer(answering.clone(), request)));
+    runtime::spawn(callers.serve(move |request| exchange::answer(client_node.clone(), request)));
     run_until_stopped(&node, path).await?;
     runtime::within(FLUSH_TIMEOUT, async {
         while open.get() > 0 {
@@ -97,8 +101,8 @@
     Ok(())
 }
 
-/// Returns how many connections a listener takes at once: as many as there are descriptors and
-/// memory for.
+/// Returns the maximum number of simultaneous connections of a listener, as limited by file
+/// descriptors and memory.
 fn count_connections(settings: &Settings) -> usize {
     let descriptors = settings.limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let bytes = settings.limits.memory_mb * BYTES_PER_MB * CONNECTION_MEMORY_FRACTION;
@@ -119,7 +123,7 @@
     Ok((server, at))
 }
 
-/// Waits for the signal to stop, and then until the node has stopped.
+/// Waits for a stop signal, and then until the node has stopped.
 async fn run_until_stopped(node: &Arc<Node>, path: PathBuf) -> Result<(), Error> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| {
         Error::new(ErrorKind::Unavailable, format!("cannot register signal handlers: {error}"))
@@ -134,7 +138,7 @@
     Ok(())
 }
 
-/// Reads the settings again. What is bound to sockets or a lease stays until the next start.
+/// Reloads the settings. Those bound to sockets or a lease take effect at the next start.
 fn reload(node: &Node, path: &std::path::Path) {
     match Settings::load(path) {
         Ok(settings) => {
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -1,11 +1,12 @@
-//! Calls the table service, and follows its eras.
+//! Calls to the table service, and tracking of its eras.
 //!
-//! All calls pass here. An answer of an earlier era than the newest one that is known counts as none, and
-//! neither does a write under a condition that names a version of an earlier era: the number may be that of
-//! another row by now.
+//! All calls pass through this module. An answer from an earlier era than the newest known one is
+//! discarded, and so is a write whose condition names a version of an earlier era: the version
+//! number may belong to another row by now.
 //!
-//! A write that was sent before a return may still be done after it. Rows that are written under a condition
-//! therefore have a key for each era ([`era_key`]), under which nothing of an earlier era is written.
+//! A write that was sent before the table service was restored from an older copy may still be
+//! applied afterwards. Rows that are written conditionally therefore have one key per era
+//! ([`era_key`]), to which no write of an earlier era applies.
 
 use std::time::Duration;
 
@@ -18,13 +19,14 @@
     Condition, Rows, Selection, TableError, TableName, Transaction, Write, answer_within,
 };
 
-/// Stands between a row's key and its era.
+/// Separates the key of a row from its era.
 const ERA_SEPARATOR: char = '@';
 
-/// Reads all rows of a table, page by page, and waits for each page for a time at most: a long table takes as much
-/// longer as it has more pages.
+/// Reads all rows of a table, page by page, with a timeout for each page. A longer table takes
+/// longer in proportion to its pages.
 ///
-/// Later pages are of a later moment. The version is the first one's, from which a watch misses nothing.
+/// Later pages are read at a later time. The version is that of the first page, so a watch from it
+/// misses no change.
 ///
 /// # Errors
 ///
@@ -42,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// Returns the call's error.
+/// Returns the error of the call.
 pub(super) async fn read_first(
     node: &Node,
     table: TableName,
@@ -65,11 +67,11 @@
     check_era(node, node.platform.table.read_rest(table, timeout, first).await)
 }
 
-/// Reads some rows of a table.
+/// Reads a selection of rows of a table.
 ///
 /// # Errors
 ///
-/// Returns the call's error.
+/// Returns the error of the call.
 pub(super) async fn read_some(
     node: &Node,
     selection: Selection,
@@ -78,12 +80,13 @@
     check_era(node, answer_within(timeout, (node.platform.table.read_some)(selection)).await)
 }
 
-/// Waits for rows that changed after a version. The service holds the call for `hold` where nothing changes,
-/// and the node waits for `timeout` longer.
+/// Waits for rows that changed after a version. The service holds the call for `hold` if nothing
+/// changes, and the node waits for `timeout` longer.
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::HistoryGone`] where the version is of an earlier era.
+/// Returns the error of the call, and [`TableError::HistoryGone`] if the version belongs to an
+/// earlier era.
 pub(super) async fn watch(
     node: &Node,
     table: TableName,
@@ -102,12 +105,12 @@
     Ok(rows)
 }
 
-/// Writes rows, all or none.
+/// Writes rows atomically.
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::Superseded`] where a condition is of an earlier era than the
-/// table service: the write counts for nothing.
+/// Returns the error of the call, and [`TableError::Superseded`] if a condition belongs to an
+/// earlier era than the table service. The write is discarded in that case.
 pub(super) async fn commit(
     node: &Node,
     transaction: Transaction,
@@ -129,11 +132,11 @@
     }
 }
 
-/// Writes a row, or removes it, where it has not changed since a version.
+/// Writes or removes a row if its version is unchanged.
 ///
 /// # Errors
 ///
-/// Returns the same as [`commit`].
+/// Returns the same errors as [`commit`].
 pub(super) async fn replace(
     node: &Node,
     table: TableName,
@@ -147,7 +150,7 @@
     commit(node, Transaction { conditions: vec![condition], writes: vec![write] }, timeout).await
 }
 
-/// Notes the era that an answer shows; one of an earlier era counts for nothing.
+/// Records the era of an answer, and rejects an answer of an earlier era.
 fn check_era(node: &Node, answer: Result<Rows, TableError>) -> Result<Rows, TableError> {
     if let Ok(rows) | Err(TableError::Conflict(rows)) = &answer {
         note_era(node, rows.version.era);
@@ -164,7 +167,7 @@
     answer
 }
 
-/// Notes an era that an answer showed, or that another node knows.
+/// Records an era that an answer or another node reported.
 pub(super) fn note_era(node: &Node, era: Era) {
     let now = node.now();
     let new_era = node.with(|state| {
@@ -185,7 +188,7 @@
     event::emit(&Event::StoreEraBegun { era: era.get_number(), before, is_return });
 }
 
-/// Returns the key of a row that is written under a condition in an era.
+/// Returns the key of a conditionally written row in an era.
 pub(super) fn era_key(key: &str, era: Era) -> String {
     match era.get_number() {
         None => key.to_owned(),
@@ -193,7 +196,8 @@
     }
 }
 
-/// Splits the key of a row that is written under a condition; `None` where it is none.
+/// Splits the key of a conditionally written row into the key and its era; returns `None` for
+/// another kind of key.
 pub(super) fn split_key(key: &str) -> Option<(&str, Era)> {
     match key.rsplit_once(ERA_SEPARATOR) {
         Some((key, era)) => Some((key, Era::named(era.parse().ok()?))),
