--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -10,7 +10,7 @@
 //! | `pause_detector` | detects that the process was paused or its machine suspended |
 //! | `peers` | exchanges messages with the other nodes |
 //! | [`memory`] | reserves memory for buffers of clients and servers |
-//! | `interrupted_attempts`, `eviction_signals` | hold the per-request state of `crashes` and [`memory`] |
+//! | `interrupted_attempts`, `eviction_signals` | hold per-request state of `crashes`, [`memory`] |
 //! | `crashes` | detects crashed servers and the requests they were serving |
 //! | `cross_region` | counts the bytes that requests exchange with other regions |
 //! | [`document`] | compresses documents that nodes fetch from each other |
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -1,5 +1,5 @@
-//! Calls between nodes for what does not fit a datagram: the configuration, and what a node lacks of the
-//! lists of servers and of nodes.
+//! HTTP calls between nodes for content that does not fit a datagram: the configuration, and the
+//! missing parts of the server list and the member list.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -20,17 +20,17 @@
 const CONFIGURATION_PATH: &str = "/configuration";
 const SERVERS_PATH: &str = "/servers";
 const NODES_PATH: &str = "/nodes";
-/// The part of the query of a list that gives the version from which changes are wanted.
+/// The query parameter with the version from which changes are requested.
 const AFTER_PARAMETER: &str = "after=";
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// How long a call may take, as a part of the time in which a configuration must be in force: a
-/// long document takes a while over a narrow link, and a peer may be silent.
+/// The timeout of a call, as a fraction of the time within which a configuration must be in force.
+/// A long document takes a while over a narrow link, and a peer may not answer.
 const CALL_TIMEOUT_FRACTION: f64 = 0.5;
-/// Calls for the same document at the same time, of different peers: one of them may be silent, and
-/// more would hold each other up on a narrow link.
+/// The maximum number of concurrent fetches of the same document. They go to different peers, one
+/// of which may not answer; more would delay each other on a narrow link.
 const MAX_CONCURRENT_FETCHES: usize = 2;
 
-/// Serves what this node knows to peers.
+/// Serves documents to peers.
 pub(in crate::node) async fn serve(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let document = match request.uri().path() {
         CONFIGURATION_PATH => {
@@ -49,12 +49,12 @@
     Response::new(Body::from(document))
 }
 
-/// Reads from a query the version up to which a peer knows the list; `None` where it knows none.
+/// Parses the version of the peer's list from a query; returns `None` if the peer has no list.
 fn read_after<T: FromStr>(query: Option<&str>) -> Option<T> {
     query?.strip_prefix(AFTER_PARAMETER)?.parse().ok()
 }
 
-/// Encodes what a peer lacks of the list of servers.
+/// Encodes the part of the server list that a peer lacks.
 fn encode_update(node: &Node, after: Option<TableVersion>) -> Option<Bytes> {
     let encoded = node.with(|state| {
         let is_known = state.directory.is_known();
@@ -63,35 +63,35 @@
     match encoded {
         Ok(encoded) => Some(Bytes::from(encoded)),
         Err(error) => {
-            log::error!("the list of servers cannot be encoded: {error}");
+            log::error!("failed to encode the server list: {error}");
             None
         }
     }
 }
 
-/// Encodes what a peer lacks of the list of nodes.
+/// Encodes the part of the member list that a peer lacks.
 fn encode_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
     let additions = node.with(|state| state.members.list_additions(now, after.unwrap_or(0)));
     let encoded = postcard::to_stdvec(&additions);
     encoded
-        .inspect_err(|error| log::error!("the nodes cannot be encoded: {error}"))
+        .inspect_err(|error| log::error!("failed to encode the member list: {error}"))
         .ok()
         .map(Bytes::from)
 }
 
-/// Gets from a peer what was added to its list of nodes.
+/// Fetches the additions to a peer's member list.
 pub(super) async fn fetch_additions(node: Arc<Node>, from: SocketAddr, after: u64) {
     let path = format!("{NODES_PATH}?{AFTER_PARAMETER}{after}");
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
         Ok(additions) => node.with(|state| state.members.take_additions(now, from, &additions)),
-        Err(error) => log::warn!("the list of nodes of {from} cannot be read: {error}"),
+        Err(error) => log::warn!("malformed member list from {from}: {error}"),
     }
 }
 
-/// Gets a peer's configuration and adopts it where it is newer.
+/// Fetches a peer's configuration and adopts it if it is newer.
 pub(super) async fn fetch_configuration(node: Arc<Node>, from: SocketAddr) {
     let Some(_slot) = FetchSlot::acquire(&node.active_fetches.configuration) else { return };
     let Some(document) = fetch(&node, from, CONFIGURATION_PATH).await else { return };
@@ -100,15 +100,15 @@
     watch::adopt_configuration(&node, &[row]);
 }
 
-/// Counts a call until it is dropped.
+/// A slot of a fetch in progress, released on drop.
 struct FetchSlot<'a>(&'a AtomicUsize);
 
 impl<'a> FetchSlot<'a> {
-    /// Begins, unless as many as may be at once are going on.
+    /// Acquires a slot; returns `None` if all are in use.
     fn acquire(calls: &'a AtomicUsize) -> Option<Self> {
         let before = calls.fetch_add(1, Ordering::SeqCst);
-        let call = Self(calls);
-        (before < MAX_CONCURRENT_FETCHES).then_some(call)
+        let slot = Self(calls);
+        (before < MAX_CONCURRENT_FETCHES).then_some(slot)
     }
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Gets from a peer what this node lacks of the list of servers.
+/// Fetches the part of a peer's server list that this node lacks.
 pub(super) async fn fetch_servers(node: Arc<Node>, from: SocketAddr) {
     let Some(_slot) = FetchSlot::acquire(&node.active_fetches.servers) else { return };
     let after =
@@ -130,7 +130,7 @@
     let Some(document) = fetch(&node, from, &path).await else { return };
     match postcard::from_bytes(&document) {
         Ok(update) => watch::apply_update(&node, update),
-        Err(error) => log::warn!("the list of servers of {from} cannot be read: {error}"),
+        Err(error) => log::warn!("malformed server list from {from}: {error}"),
     }
 }
 
--- a/crates/gateway/src/node/peers/discovery.rs
+++ b/crates/gateway/src/node/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! Finds the other nodes in a table of the platform, and lists this one there.
+//! Discovers the other nodes through a table of the platform, and registers this node there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,33 +12,35 @@
 use crate::port::{Row, Rows, Selection, TableError, TableName, Transaction, Write};
 use crate::runtime;
 
-/// The table in which nodes register themselves.
+/// The table in which nodes register.
 const TABLE: &str = "nodes";
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Nodes that start together register themselves within this time, and not all at once: the table
-/// service takes a bounded number of writes a second, and refuses more.
+/// The period over which nodes that start together spread their registrations. The table service
+/// accepts a limited number of writes per second and refuses more.
 const REGISTRATION_SPREAD: Duration = Duration::from_millis(1_000);
-/// The pause after a write that failed, by which writes spread further.
+/// The backoff after the first failed registration, which spreads the writes further.
 const INITIAL_REGISTRATION_BACKOFF: Duration = Duration::from_millis(1_500);
-/// That pause after several writes that failed.
+/// The maximum backoff after several failed registrations.
 const MAX_REGISTRATION_BACKOFF: Duration = Duration::from_secs(12);
-/// How long a write's answer is waited for: the table service lets writes wait for a second in turn, and
-/// whoever gives up sooner while it is saturated gets no answer at all.
+/// The timeout of a registration. The table service queues writes for up to a second, and a node
+/// that gives up earlier gets no answer at all while the service is saturated.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The time after which a node that had to register itself reads the register once more.
+/// The delay after which a node that had to register reads the table once more.
 const SECOND_READ_DELAY: Duration = Duration::from_millis(1_000);
-/// Rows that a node reads at its start, with one call: it hears of all others through these nodes.
+/// The number of rows that a node reads at its start in one call. It hears of all other nodes
+/// through these.
 const SAMPLE_ROWS: usize = 500;
-/// The time between two looks whether the table service has come back from an older copy.
+/// The interval between checks whether the table service was restored from an older copy.
 const ERA_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The time between two looks at the register.
+/// The interval between full reads of the table.
 const FULL_READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Reads who else is there, lists this node where it is not listed yet, and goes on to look now and
-/// then where this node reads for all.
+/// Discovers the other nodes, registers this node if necessary, and reads the table at intervals
+/// while this node is a reader.
 ///
-/// At the first start of all nodes the register fills while they read it: a node that had to register itself
-/// therefore reads it again, unless it has found an aggregator, which passes on what it misses.
+/// When all nodes start for the first time, the table fills while they read it. A node that had to
+/// register therefore reads it again, unless it has found an aggregator, which forwards the missing
+/// entries.
 pub(super) async fn run(node: Arc<Node>) {
     let is_first_start = node.settings.node.is_first_start;
     let is_registered =
@@ -72,7 +74,7 @@
     }
 }
 
-/// Lists this node where its row is gone after a return of the table service.
+/// Registers this node again if its row was lost in a restore of the table service.
 async fn ensure_registered(node: &Node) {
     runtime::sleep(REGISTRATION_SPREAD.mul_f64(fastrand::f64())).await;
     let mut backoff = Backoff::default();
@@ -86,23 +88,24 @@
     }
 }
 
-/// Returns `true` if this node is listed as it is.
+/// Returns `true` if this node is registered with its current entry.
 async fn is_registered(node: &Node) -> Result<bool, TableError> {
     let own = read_from(node, &sample::make_key(&node.incarnation.node), 1).await?;
     Ok(own.rows.iter().filter_map(decode).any(|entry| entry == node.get_entry()))
 }
 
-/// The part of the register that is read.
+/// The part of the table to read.
 #[derive(Clone, Copy, Debug)]
 enum Part {
-    /// The first rows; `is_settled` where those that started together with this node
-    /// had the time to register themselves.
+    /// The first rows; `is_settled` if the nodes that started together with this one had time to
+    /// register.
     Sample { is_settled: bool },
     /// All rows.
     Whole,
 }
 
-/// Reads the register, again after each failure; returns whether this node is listed as it is.
+/// Reads the table, retrying after each failure; returns `true` if this node is registered with its
+/// current entry.
 async fn read_with_retries(node: &Node, part: Part) -> bool {
     let mut backoff = Backoff::default();
     loop {
@@ -118,16 +121,16 @@
     }
 }
 
-/// Returns `true` if this node hears no other.
+/// Returns `true` if this node hears no other node.
 fn is_alone(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| state.members.get_reach(now).heard <= 1)
 }
 
-/// Lists this node, again after each failure and ever more seldom, until it is listed.
+/// Registers this node, retrying with exponential backoff.
 ///
-/// A write that was not answered may be done later. Where many nodes start, each further one would hold up
-/// those that wait already, so that the register is read before the next one.
+/// A write without an answer may still be applied later. When many nodes start, each further write
+/// delays those that are queued already, so the table is read before the next attempt.
 async fn register_until_done(node: &Node) {
     let mut pause = INITIAL_REGISTRATION_BACKOFF;
     while let Err(error) = register(node).await {
@@ -159,7 +162,7 @@
     Ok(is_registered)
 }
 
-/// Reads the first rows, and this node's own where it is not among them.
+/// Reads the first rows, and the row of this node if it is not among them.
 async fn read_sample(node: &Node, is_settled: bool) -> Result<bool, TableError> {
     let own_key = sample::make_key(&node.incarnation.node);
     let first = read_from(node, "", SAMPLE_ROWS).await?;
@@ -175,7 +178,7 @@
     let entries: Vec<Entry> = first.rows.iter().chain(&own).filter_map(decode).collect();
     let is_registered = entries.contains(&node.get_entry());
     let now = node.now();
-    // A node that is listed already has run before, and so have the others.
+    // A node that is registered already has run before, and so have the others.
     let is_whole = is_settled || is_registered;
     node.with(|state| state.members.take_sample(now, entries, count, is_whole));
     Ok(is_registered)
@@ -190,7 +193,9 @@
     let value = row.value.as_deref()?;
     let decoded = serde_json::from_slice(value);
     let report = |error: &serde_json::Error| {
-        event::emit(&Event::DocumentRejected { error: format!("node {}: {error}", row.key) });
+        event::emit(&Event::DocumentRejected {
+            error: format!("malformed entry of node {}: {error}", row.key),
+        });
     };
     decoded.inspect_err(report).ok()
 }
--- a/crates/gateway/src/node/peers/link.rs
+++ b/crates/gateway/src/node/peers/link.rs
@@ -1,4 +1,4 @@
-//! The socket for datagrams between nodes.
+//! The UDP socket for datagrams between nodes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -16,31 +16,32 @@
 use crate::metrics::RegionLabels;
 use crate::runtime::{self, lock};
 
-/// The most bytes that a UDP datagram over IPv4 carries.
+/// The maximum payload of a UDP datagram over IPv4.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
-/// The pause after an error of the socket, so that a permanent one does not keep the processor busy.
+/// The delay after a socket error, so that a permanent error does not cause a busy loop.
 const ERROR_BACKOFF: Duration = Duration::from_millis(50);
-/// The part of the link that datagrams to many nodes may take.
+/// The fraction of the link's bandwidth that datagrams to many nodes may use.
 const LINK_FRACTION: f64 = 0.4;
-/// Bytes that are sent without a pause: some eight full packets.
+/// The maximum number of bytes sent without a delay, some eight full packets.
 const MAX_BURST_BYTES: usize = 12 * 1_024;
-/// The shortest pause, in milliseconds; a shorter one is not worth a wake-up.
+/// The minimum pacing delay; a shorter one is not worth a wake-up.
 const MIN_PACING_DELAY_MS: f64 = 1.0;
-/// Addresses whose last_received datagram is remembered; all are forgotten where there are more, and
-/// learnt again with the next ones.
+/// The maximum number of addresses whose newest datagram is remembered. If there are more, all are
+/// discarded and learned again from the next datagrams.
 const MAX_PEERS: usize = 4_096;
 
-/// The socket for datagrams between nodes.
+/// The UDP socket for datagrams between nodes.
 ///
-/// Each datagram carries the time of the last_received one that its sender got from its recipient. Only
-/// that shows the recipient how old its content can be at most: the datagram may have been delayed.
+/// Each datagram echoes the send time of the newest datagram that its sender received from the
+/// recipient. Only this bounds the age of the content for the recipient, because the datagram
+/// itself may have been delayed.
 #[derive(Debug)]
 pub struct Link {
     socket: Async<UdpSocket>,
     boot_id: u32,
     bits_per_ms: f64,
     last_received: Mutex<HashMap<SocketAddr, (u32, Millis)>>,
-    /// The nodes of other regions, with their regions.
+    /// The nodes in other regions, with their regions.
     remote_regions: Mutex<BTreeMap<SocketAddr, String>>,
     /// Bytes sent to each other region.
     cross_region_bytes_by_region: Family<RegionLabels, Counter>,
@@ -48,25 +49,25 @@
     cross_region_bytes: AtomicU64,
 }
 
-/// A datagram that came in.
+/// A received datagram.
 #[derive(Debug)]
 pub struct Received {
-    /// Where it came from.
+    /// The address of the sender.
     pub from: SocketAddr,
-    /// The boot_id of the sender's process, and when it sent this, on its own clock.
+    /// The boot ID of the sender's process, and the send time on the sender's clock.
     pub sent: (u32, Millis),
-    /// When this node sent the last_received datagram that the sender had got, on this node's clock.
+    /// When this node sent the newest datagram that the sender had received, on this node's clock.
     pub echoed_at: Option<Millis>,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
 impl Link {
-    /// Binds the socket, for one boot_id of the process.
+    /// Binds the socket for one run of the process.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     pub fn bind(address: SocketAddr, boot_id: u64, link_mbps: f64) -> io::Result<Self> {
         let socket = Async::<UdpSocket>::bind(address)?;
         let bits_per_ms = link_mbps * 1_000.0 * LINK_FRACTION;
@@ -81,32 +82,32 @@
         })
     }
 
-    /// Sets which nodes stand in other regions.
+    /// Sets which nodes are in other regions.
     pub fn set_remote_regions(&self, remote_regions: BTreeMap<SocketAddr, String>) {
         *lock(&self.remote_regions) = remote_regions;
     }
 
-    /// Notes that a node stands in another region.
+    /// Records that a node is in another region.
     pub fn note_remote_region(&self, address: SocketAddr, region: &str) {
         lock(&self.remote_regions).entry(address).or_insert_with(|| region.to_owned());
     }
 
-    /// Returns the region of a node, where that is another one than this node's.
+    /// Returns the region of a node; `None` if it is this node's region.
     pub fn get_remote_region(&self, address: SocketAddr) -> Option<String> {
         lock(&self.remote_regions).get(&address).cloned()
     }
 
-    /// Returns the bytes that this node has sent to other regions.
+    /// Returns the number of bytes sent to other regions.
     pub fn get_cross_region_bytes(&self) -> u64 {
         self.cross_region_bytes.load(Ordering::Relaxed)
     }
 
-    /// Returns the same by region, as a metric.
+    /// Returns the bytes sent to each other region, as a metric.
     pub fn get_cross_region_bytes_by_region(&self) -> Family<RegionLabels, Counter> {
         self.cross_region_bytes_by_region.clone()
     }
 
-    /// Counts bytes that were sent to a node, if it stands in another region.
+    /// Counts the bytes of a datagram if its recipient is in another region.
     fn count_cross_region_bytes(&self, to: SocketAddr, bytes: usize) {
         let Some(region) = self.get_remote_region(to) else { return };
         self.cross_region_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
@@ -115,7 +116,7 @@
             .inc_by(bytes as u64);
     }
 
-    /// Waits for the next datagram of this format.
+    /// Waits for the next datagram of the supported format.
     pub async fn receive(&self, buffer: &mut Vec<u8>) -> Received {
         buffer.resize(MAX_DATAGRAM_BYTES, 0);
         loop {
@@ -123,14 +124,15 @@
             let (length, from) = match received {
                 Ok(received) => received,
                 Err(error) => {
-                    // A peer's closed port shows here; there is nothing to be done about it.
-                    log::debug!("no datagram was received: {error}");
+                    // The closed port of a peer is reported here as well; there is nothing to do
+                    // about it.
+                    log::debug!("failed to receive a datagram: {error}");
                     runtime::sleep(ERROR_BACKOFF).await;
                     continue;
                 }
             };
             let Some((header, message)) = decode(&buffer[..length]) else {
-                log::debug!("a datagram of {from} is of another format");
+                log::debug!("ignored a datagram with an unsupported format from {from}");
                 continue;
             };
             self.remember(from, &header);
@@ -149,7 +151,7 @@
             last_received.clear();
         }
         let known = last_received.entry(from).or_insert((header.boot_id, header.sent_at));
-        // Datagrams overtake one another; another boot_id has another clock.
+        // Datagrams may arrive out of order; another boot ID has another clock.
         if known.0 != header.boot_id || known.1 < header.sent_at {
             *known = (header.boot_id, header.sent_at);
         }
@@ -161,17 +163,18 @@
             Ok(encoded) => {
                 self.send_encoded(now, to, &encoded).await;
             }
-            Err(error) => log::error!("a message between nodes cannot be encoded: {error}"),
+            Err(error) => log::error!("failed to encode a message: {error}"),
         }
     }
 
-    /// Sends a message to many nodes, no faster than a part of the link carries: what waits in a
-    /// full link's queue is dropped, and would be the same nodes' each time.
+    /// Sends a message to many nodes, paced to a fraction of the link's bandwidth. Packets that
+    /// overflow the queue of a full link are dropped, and without the pacing and shuffling they
+    /// would be those of the same nodes each time.
     pub async fn send_to_all(&self, now: Millis, mut to: Vec<SocketAddr>, message: &Message) {
         let encoded = match Encoded::new(message) {
             Ok(encoded) => encoded,
             Err(error) => {
-                return log::error!("a message between nodes cannot be encoded: {error}");
+                return log::error!("failed to encode a message: {error}");
             }
         };
         fastrand::shuffle(&mut to);
@@ -188,20 +191,21 @@
         }
     }
 
-    /// Sends an encoded message; returns its length.
+    /// Sends an encoded message; returns the length of the datagram.
     async fn send_encoded(&self, now: Millis, to: SocketAddr, encoded: &Encoded) -> usize {
         let last_received = lock(&self.last_received).get(&to).copied();
         let header = Header { boot_id: self.boot_id, sent_at: now, last_received };
         let bytes = match encoded.with_header(&header) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!("a header between nodes cannot be encoded: {error}");
+                log::error!("failed to encode a datagram header: {error}");
                 return 0;
             }
         };
-        // A datagram may be lost on its way as well: whoever misses it hears the next one.
+        // A datagram may be lost in transit as well; the recipient gets the content with the next
+        // one.
         if let Err(error) = self.socket.send_to(&bytes, to).await {
-            log::debug!("a datagram to {to} was not sent: {error}");
+            log::debug!("failed to send a datagram to {to}: {error}");
         }
         self.count_cross_region_bytes(to, bytes.len());
         bytes.len()
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -1,12 +1,13 @@
-//! Keeps and asks for the loads of servers, where nodes report in groups.
+//! Tracks and queries the load of servers if nodes report in groups.
 //!
-//! Each server's load is owned by one of the aggregators of its region, which all nodes find by
-//! themselves. Nodes report to it at once what they send to the server, and soon what ends there.
-//! Before a node chooses, it asks for the loads of the few servers that it considers. What that costs
-//! depends on the requests and not on the number of nodes, and the answer is some milliseconds old.
+//! The load of each server is owned by one of the aggregators of its region, which every node
+//! determines locally. Nodes report to it a request sent to the server at once, and the end of a
+//! request soon after. Before a node picks a server, it queries the loads of the few candidates.
+//! The cost depends on the number of requests and not on the number of nodes, and an answer is some
+//! milliseconds old.
 //!
-//! Answers from other regions are waited for as long as measured round trips say. Each answer is a
-//! measurement ([`super::summary_relay::note_round_trip`]), also one that comes too late.
+//! The timeout for answers from other regions follows the measured round-trip times. Each answer is
+//! a measurement ([`super::summary_relay::note_round_trip`]), even if it arrives too late.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -23,32 +24,32 @@
 use crate::node::state::State;
 use crate::runtime;
 
-/// How long answers from the own region are waited for: some times the way there and back. Those
-/// from other regions are waited for as long as measured round trips say. A server whose load is not
-/// known by then is judged by what this node sent there itself.
+/// The timeout for answers from the node's own region, several round trips. For other regions it
+/// follows the measured round-trip times. A server without a known load is judged by this node's
+/// own requests to it.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(25);
-/// How long an answer counts, in milliseconds.
+/// How long an answer stays valid.
 const ANSWER_TTL_MS: Millis = 100;
-/// How long a peer's load counts after its last message, in milliseconds.
+/// How long a peer's load stays valid after its last message.
 const CHANGE_TTL_MS: Millis = 2_500;
-/// Reports between two repetitions of all that this node has in flight.
+/// The number of reports between repetitions of all loads of this node.
 const REPEAT_INTERVAL_TURNS: u64 = 4;
-/// First tokens and ends of requests gather for this long: a server looks busier than it is
-/// meanwhile.
+/// The window over which first tokens and ends of requests are batched. Until they are sent, a
+/// server appears busier than it is.
 const BATCH_WINDOW: Duration = Duration::from_millis(40);
-/// Answers are owned under this name, which no node bears.
+/// The source name under which answers are stored; no node has this name.
 const ANSWER_SOURCE: &str = "";
 
-/// Servers whose load one node keeps, by short name.
+/// Servers whose load is owned by one node, by short name.
 #[derive(Debug, Default)]
 struct OwnedServers {
     servers: Vec<u64>,
-    /// The region of the one who keeps it, where that is another one.
+    /// The region of the owner; `None` if it is this node's region.
     far_region: Option<String>,
 }
 
-/// Asks for the loads of some servers, and returns once they are known or the time for that is
-/// over; `false` where nobody answered.
+/// Queries the loads of servers and waits until they are known or the timeout expires; returns
+/// `false` if no owner answered.
 pub(crate) async fn query(node: &Node, servers: &[String]) -> bool {
     let by_owner = node.with(|state| {
         let requested = servers.iter().map(|id| {
@@ -74,7 +75,7 @@
     pending.is_any_answered()
 }
 
-/// Returns how long answers are waited for, some of which come from other regions.
+/// Returns the timeout for answers, some of which may come from other regions.
 fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, OwnedServers>) -> Duration {
     let near = QUERY_TIMEOUT.as_millis() as Millis;
     let far = by_owner.values().filter_map(|owned| owned.far_region.as_deref());
@@ -83,8 +84,8 @@
     longest.map_or(QUERY_TIMEOUT, Duration::from_millis)
 }
 
-/// Sorts servers, given with their data centres, by the node that keeps their load, without those
-/// that this node keeps itself.
+/// Groups servers, given with their data centres, by the node that owns their load. Servers owned
+/// by this node are left out.
 fn group_by_owner<'a>(
     members: &Members,
     servers: impl Iterator<Item = (u64, &'a str)>,
@@ -99,7 +100,7 @@
     by_owner
 }
 
-/// Returns the data centres of all servers by short name; none where there is one region only.
+/// Returns the data centres of all servers by short name; empty with a single region.
 fn get_data_centres(node: &Node, state: &State) -> HashMap<u64, String> {
     if !node.topology.is_multi_region() {
         return HashMap::new();
@@ -108,7 +109,7 @@
     servers.map(|server| (short_id(&server.id), server.data_centre.clone())).collect()
 }
 
-/// Returns a server's data centre; none where there is one region only, or where it is gone.
+/// Returns the data centre of a server; empty with a single region or if the server is gone.
 fn get_data_centre(node: &Node, server: &str) -> String {
     if !node.topology.is_multi_region() {
         return String::new();
@@ -117,7 +118,7 @@
         .unwrap_or_default()
 }
 
-/// Answers another node with what all but that one have in flight.
+/// Answers a query with the load of all nodes except the querying one.
 pub(super) async fn answer_query(
     node: &Node,
     from: SocketAddr,
@@ -136,7 +137,7 @@
     node.link.send(node.now(), from, &Message::Loads { query_id, loads }).await;
 }
 
-/// Takes an answer.
+/// Handles the answer to a query.
 pub(super) fn handle_answer(node: &Node, query_id: u32, loads: Vec<(u64, Load)>) {
     let valid_until = node.now() + ANSWER_TTL_MS;
     node.with(|state| {
@@ -147,7 +148,7 @@
     node.pending_loads.answer(query_id);
 }
 
-/// Takes what another node has in flight at servers whose load this node keeps.
+/// Handles a peer's load at servers that this node owns.
 pub(super) fn handle_change(node: &Node, peer: &str, loads: Vec<(u64, Load)>) {
     let valid_until = node.now() + CHANGE_TTL_MS;
     node.with(|state| {
@@ -157,7 +158,7 @@
     });
 }
 
-/// Notes that what this node has in flight at a server has changed.
+/// Records that this node's load at a server has changed.
 pub(crate) fn note_change(node: &Node, server: &str, is_urgent: bool) {
     if node.with(|state| state.members.is_grouped()) {
         let data_centre = get_data_centre(node, server);
@@ -165,7 +166,7 @@
     }
 }
 
-/// Repeats all that this node has in flight, each few reports.
+/// Repeats all loads of this node every few reports.
 pub(super) fn repeat(node: &Node, turn: u64) {
     if !turn.is_multiple_of(REPEAT_INTERVAL_TURNS) {
         return;
@@ -178,7 +179,8 @@
     }
 }
 
-/// Sends changes for as long as the process runs: urgent ones at once, with all that wait.
+/// Sends load changes until the process ends. An urgent change is sent at once, together with all
+/// pending ones.
 pub(super) async fn send_changes(node: Arc<Node>) {
     let changes = &node.pending_loads.changes.1;
     while let Ok(first) = changes.recv().await {
@@ -198,7 +200,7 @@
     }
 }
 
-/// Sends what this node has in flight at some servers, given with their data centres.
+/// Sends this node's load at servers, given with their data centres.
 async fn send_own(node: &Node, servers: BTreeMap<u64, String>) {
     let changed = servers.iter().map(|(server, data_centre)| (*server, data_centre.as_str()));
     let by_owner = node.with(|state| group_by_owner(&state.members, changed));
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -14,238 +14,240 @@
 use keeljunction_core::serving::{demand, quota};
 use serde::{Deserialize, Serialize};
 
-/// The format of the datagrams; others are ignored.
+/// The version of the datagram format. Datagrams of other versions are ignored.
 const FORMAT: u8 = 13;
 
-/// What every datagram begins with.
+/// The header of a datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The boot_id of the sender's process, whose clock `sent_at` is read from.
+    /// The boot ID of the sender's process, which identifies the clock of `sent_at`.
     pub boot_id: u32,
-    /// When it was sent, on the sender's steady clock.
+    /// When the datagram was sent, on the sender's monotonic clock.
     pub sent_at: Millis,
-    /// The boot_id and time of the newest datagram that the sender got from the recipient: what the
-    /// sender knows is younger than that.
+    /// The boot ID and send time of the newest datagram that the sender received from the
+    /// recipient. The sender's knowledge is newer than that datagram.
     pub last_received: Option<(u32, Millis)>,
 }
 
-/// A datagram between nodes.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a node to its aggregator.
+    /// The report of a node to its aggregator.
     Report(Box<Report>),
-    /// From an aggregator to the others, for its group.
+    /// The summary of an aggregator's group for the other aggregators.
     Summary(Box<Summary>),
-    /// From an aggregator to each node of its group.
+    /// The overview of an aggregator for each node of its group.
     Overview(Box<Overview>),
-    /// Asks which versions of the platform's tables the peer knows, and how old that knowledge is.
+    /// Queries the recipient's versions of the platform's tables and their ages.
     QueryVersions,
-    /// Answers that.
+    /// The answer to `QueryVersions`.
     Versions(Versions),
-    /// Something that must not wait for the next report.
+    /// A change that must not wait for the next report.
     Notification(Notification),
-    /// Asks the node that keeps the load of some servers for it.
+    /// Queries the load of servers from the node that owns it.
     QueryLoads {
-        /// Names the question at the one who asks.
+        /// Identifies the query at its sender.
         query_id: u32,
-        /// The name of the one who asks, whose own load is left out.
+        /// The name of the sender, whose own load is left out of the answer.
         node: String,
         /// The servers, by short name.
         servers: Vec<u64>,
     },
-    /// Answers with what all nodes but the one who asks have in flight there.
+    /// The answer to `QueryLoads`: the load of all nodes except the querying one.
     Loads {
-        /// The question.
+        /// The query.
         query_id: u32,
-        /// The loads, by the servers' short names.
+        /// The loads, by short name of the server.
         loads: Vec<(u64, Load)>,
     },
-    /// Asks the owner of a client account whether a request is within its limit.
+    /// Asks the owner of a client account whether a request is within the account's limit.
     QueryQuota {
-        /// Names the question at the one who asks.
+        /// Identifies the query at its sender.
         query_id: u32,
         /// The client account.
         account: String,
         /// The units of the request.
         units: u64,
     },
-    /// Answers that.
+    /// The answer to `QueryQuota`.
     Quota {
-        /// The question.
+        /// The query.
         query_id: u32,
         /// The client account.
         account: String,
-        /// The units of the request, which one who no longer waits refunds.
+        /// The units of the request, which the recipient refunds if it no longer waits for the
+        /// answer.
         units: u64,
-        /// What the owner decided.
+        /// The owner's decision.
         decision: Decision,
     },
-    /// Asks the owner of a limited server for a permit.
+    /// Requests a permit from the owner of a limited server.
     RequestPermit {
-        /// Names the question at the one who asks.
+        /// Identifies the request at its sender.
         query_id: u32,
-        /// What the one who asks knows of the server's limit.
+        /// The server's limit as known to the sender.
         sighting: Sighting,
-        /// The server's data centre; empty where there is one region only.
+        /// The server's data centre; empty with a single region.
         data_centre: String,
     },
-    /// Answers that.
+    /// The answer to `RequestPermit`.
     Permit {
-        /// The question.
+        /// The request.
         query_id: u32,
         /// The server.
         key: Key,
-        /// What the owner decided.
+        /// The owner's decision.
         decision: backpressure::Decision,
     },
     /// Returns the permit of a request that was not sent.
     ReleasePermit(Key),
-    /// A summary of an aggregator of another region, as it came there.
+    /// A summary from another region, relayed unchanged.
     RelayedSummary {
-        /// The boot_id of the aggregator's process.
+        /// The boot ID of the process of the original sender.
         boot_id: u32,
-        /// When the aggregator sent it, on its own clock.
+        /// When the original sender sent it, on its own clock.
         sent_at: Millis,
         /// The summary.
         summary: Box<Summary>,
     },
-    /// A server that crashed, for the keeper of its service.
+    /// The report of a crashed server, for the owner of its service.
     ServerCrashed(Crash),
-    /// A server answered a request whole that is suspected or refused, for the keeper of its service.
+    /// A server completed the response to a suspected or refused request; for the owner of its
+    /// service.
     RequestCompleted(Fingerprint),
-    /// What the sender has in flight at some servers, for the node that keeps their load.
+    /// The sender's load at servers, for the node that owns it.
     LoadChanged {
         /// The sender's name.
         node: String,
-        /// The loads, by the servers' short names.
+        /// The loads, by short name of the server.
         loads: Vec<(u64, Load)>,
     },
 }
 
-/// Who sends a report.
+/// The sender of a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// What the node says of itself.
+    /// The sender's entry in the member list.
     pub entry: Entry,
-    /// Under which incarnation it counts.
+    /// The incarnation under which the sender counts.
     pub incarnation: u64,
-    /// Whether it is about to end.
+    /// `true` if the sender is shutting down.
     pub is_stopping: bool,
-    /// Milliseconds since it heard of the holder of the duties; 0 where it is that itself.
+    /// Milliseconds since the sender heard of the lease holder; 0 if the sender is the holder.
     pub holder_age: Option<Millis>,
-    /// The roll-outs that it knows of.
+    /// The rollouts known to the sender.
     pub rollouts: Vec<Announcement>,
 }
 
-/// What a node counts for itself, or for its group.
+/// The counts of a node or of its group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Units of client accounts.
+    /// Units used by client accounts.
     pub quota: quota::Report,
-    /// Requests that began, in the latest windows.
+    /// Requests started in the latest windows.
     pub usage: Vec<(WindowNumber, Counts)>,
     /// The demand for each service.
     pub demand: Vec<(String, demand::Report)>,
-    /// How fast servers read prompts, by service.
+    /// Samples of the prompt processing rate of servers, by service.
     pub throughputs: Vec<(String, Vec<Sample>)>,
-    /// What was counted of the roll-outs that are not decided.
+    /// The counts of undecided rollouts.
     pub rollouts: Vec<rollout::Report>,
 }
 
 /// The report of a node to its aggregator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Who sends it.
+    /// The sender.
     pub sender: Sender,
-    /// What it counts for itself.
+    /// The counts of the sender.
     pub totals: Totals,
 }
 
-/// The summary of an aggregator to the others.
+/// The summary of an aggregator for the other aggregators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Who sends it.
+    /// The sender.
     pub sender: Sender,
-    /// What it counts for its group.
+    /// The counts of the sender's group.
     pub totals: Totals,
-    /// What it has in flight at servers, where there are no groups.
+    /// The sender's load at servers, if nodes do not report in groups.
     pub loads: Vec<(u64, Load)>,
-    /// The nodes that report to it, by short name.
+    /// The nodes that report to the sender, by short name.
     pub group: Vec<u64>,
-    /// Milliseconds since the one of them was heard that has been silent for longest.
+    /// Milliseconds since the node of the group that has been silent longest was heard.
     pub group_age: Millis,
-    /// Regions from which nothing arrives at it.
+    /// Regions from which the sender receives nothing.
     pub unheard_regions: Vec<String>,
-    /// Its list of nodes.
+    /// The sender's member list.
     pub roster: Roster,
-    /// Nodes that are new to it.
+    /// Nodes that are new to the sender.
     pub joined: Vec<Entry>,
-    /// Some of the requests that it knows to crash servers, or not to.
+    /// Some of the sender's verdicts on requests that may crash servers.
     pub verdicts: Vec<Verdict>,
-    /// Some of the limits of servers that it knows.
+    /// Some of the server limits known to the sender.
     pub limits: Vec<Sighting>,
-    /// Some of the servers that said lately that they leave.
+    /// Some of the servers that recently announced that they leave.
     pub departures: Vec<Departure>,
-    /// Which versions of the platform's tables it knows.
+    /// The sender's versions of the platform's tables.
     pub versions: Versions,
-    /// Windows of usage that it knows as frozen.
+    /// Usage windows that the sender knows to be frozen.
     pub frozen_windows: WindowSet,
-    /// The counts of some of them.
+    /// The counts of some of these windows.
     pub frozen: Vec<(WindowNumber, Counts)>,
 }
 
 /// The overview of an aggregator for the nodes of its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Overview {
-    /// Who sends it.
+    /// The sender.
     pub sender: Sender,
-    /// What all nodes use, the recipient included.
+    /// The units used by all nodes, including the recipient.
     pub quota: quota::Report,
-    /// How fast servers read prompts, by service.
+    /// Samples of the prompt processing rate of servers, by service.
     pub throughputs: Vec<(String, Vec<Sample>)>,
-    /// How many nodes there are and are heard.
+    /// The number of nodes known and heard.
     pub reach: Reach,
-    /// Nodes that should aggregate and are not heard, by short name.
+    /// Nodes that should be aggregators but are not heard, by short name.
     pub silent: Vec<u64>,
-    /// Regions of which nobody is heard.
+    /// Regions of which no node is heard.
     pub lost_regions: Vec<String>,
-    /// Whether nothing came from a whole region for some time.
+    /// `true` if nothing arrived from a whole region for some time.
     pub is_region_overdue: bool,
-    /// The aggregators that it ranks, by short name.
+    /// The aggregators in the sender's ranking, by short name.
     pub aggregators: Vec<u64>,
-    /// Its list of nodes.
+    /// The sender's member list.
     pub roster: Roster,
-    /// Some of the requests that it knows to crash servers, or not to.
+    /// Some of the sender's verdicts on requests that may crash servers.
     pub verdicts: Vec<Verdict>,
-    /// Some of the limits of servers that it knows.
+    /// Some of the server limits known to the sender.
     pub limits: Vec<Sighting>,
-    /// Some of the servers that said lately that they leave.
+    /// Some of the servers that recently announced that they leave.
     pub departures: Vec<Departure>,
-    /// Which versions of the platform's tables it knows.
+    /// The sender's versions of the platform's tables.
     pub versions: Versions,
 }
 
-/// Something that must not wait for the next report.
+/// A change that must not wait for the next report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Notification {
-    /// The list of servers has changed.
+    /// The server list has changed.
     ServersChanged(Batch),
     /// The sender has adopted a configuration.
     ConfigurationChanged {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
     },
-    /// It was decided whether a request crashes servers.
+    /// The owner of a service has decided whether a request crashes servers.
     RequestJudged(Verdict),
-    /// A server names a limit, or none any more.
+    /// A server has set or lifted its limit.
     LimitSeen(Sighting),
-    /// A server said in an answer that it leaves.
+    /// A server announced in a response that it leaves.
     ServerLeaving(Departure),
-    /// A window of usage was frozen, and is about to be reported.
+    /// A usage window was frozen and is about to be reported.
     UsageFrozen(WindowNumber, Counts),
-    /// A roll-out was ordered, or its stage has advanced.
+    /// A rollout was ordered, or its stage has advanced.
     RolloutChanged(Announcement),
-    /// The sender has sent a request to a server whose prompt takes long to read.
+    /// The sender has sent a request with a long prompt to a server.
     RequestStarted {
         /// The sender's name.
         node: String,
@@ -253,12 +255,12 @@
         server: u64,
         /// The size of the request.
         work: Work,
-        /// How long its prompt is expected to be read.
-        reading_ms: Millis,
+        /// The expected prefill time of its prompt.
+        prefill_ms: Millis,
     },
 }
 
-/// A message in bytes, to which the header of each recipient is added.
+/// An encoded message, to which a header for each recipient is added.
 #[derive(Clone, Debug)]
 pub struct Encoded(Vec<u8>);
 
@@ -267,16 +269,16 @@
     ///
     /// # Errors
     ///
-    /// Returns the encoder's error.
+    /// Returns the error of the encoder.
     pub fn new(message: &Message) -> Result<Self, postcard::Error> {
         postcard::to_stdvec(message).map(Self)
     }
 
-    /// Puts a header before the message.
+    /// Prepends a header to the message.
     ///
     /// # Errors
     ///
-    /// Returns the encoder's error.
+    /// Returns the error of the encoder.
     pub fn with_header(&self, header: &Header) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = postcard::to_extend(header, vec![FORMAT])?;
         bytes.extend_from_slice(&self.0);
@@ -284,7 +286,7 @@
     }
 }
 
-/// Decodes a datagram; `None` where its format is another one.
+/// Decodes a datagram; returns `None` if its format version is not supported or it is malformed.
 pub fn decode(bytes: &[u8]) -> Option<(Header, Message)> {
     let (format, content) = bytes.split_first()?;
     if *format != FORMAT {
--- a/crates/gateway/src/node/peers/mod.rs
+++ b/crates/gateway/src/node/peers/mod.rs
@@ -1,26 +1,26 @@
-//! Exchanges datagrams with the other nodes.
+//! Messages between nodes.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
 //! | `message` | defines the messages |
 //! | `link` | sends and receives datagrams |
-//! | `discovery` | finds the other nodes in a table of the platform |
-//! | `report` | exchanges counts some times a second |
-//! | `report_target` | says whom a node reports to, and holds samples for the next report |
-//! | `summary_relay` | sends summaries to other regions, and passes theirs on in this one |
-//! | `relay_state` | holds what is kept of summaries for other regions |
-//! | `pending_loads` | holds questions for loads, and changed loads |
-//! | `loads` | keeps and asks for the loads of servers, where nodes report in groups |
+//! | `discovery` | discovers the other nodes through a table of the platform |
+//! | `report` | exchanges counts several times a second |
+//! | `report_target` | defines the recipients of reports, and buffers samples for the next report |
+//! | `summary_relay` | sends summaries to other regions, and relays theirs in this one |
+//! | `relay_state` | holds the state of `summary_relay` |
+//! | `loads` | tracks and queries the load of servers if nodes report in groups |
+//! | `pending_loads` | holds pending load queries and load changes |
 //! | `quota` | asks the owner of a client account whether a request is within its limit |
-//! | `permits` | asks the owners of limited servers for permits |
-//! | `pending_queries` | holds questions that wait for answers |
-//! | `quarantine` | exchanges which requests crash servers |
-//! | `versions` | confirms what this node knows of the platform's tables, or gets what it lacks |
-//! | `notifications` | passes on what must not wait for the next report |
-//! | `calls` | gets what does not fit a datagram |
+//! | `permits` | acquires permits from the owners of limited servers |
+//! | `pending_queries` | holds queries that await an answer |
+//! | `quarantine` | exchanges verdicts on requests that crash servers |
+//! | `versions` | confirms or updates the node's copies of the platform's tables |
+//! | `notifications` | sends and forwards changes that must not wait for the next report |
+//! | `calls` | fetches content that does not fit a datagram |
 //!
-//! Nothing that has to hold depends on one datagram arriving: what is not heard makes a node more
-//! careful, never less.
+//! No guarantee depends on the delivery of a single datagram: a lost message makes a node more
+//! conservative, never less.
 
 pub(super) mod calls;
 mod discovery;
@@ -46,7 +46,7 @@
 use super::{Node, staleness};
 use crate::runtime;
 
-/// Starts the exchange with other nodes.
+/// Starts the tasks that exchange messages with other nodes.
 pub(super) fn start(node: &Arc<Node>) {
     runtime::spawn(discovery::run(node.clone()));
     runtime::spawn(listen(node.clone()));
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -1,9 +1,9 @@
-//! Passes on what must not wait for the next report: changed servers, a new configuration, long
-//! prompts, limits and departures of servers, requests that crash servers.
+//! Sends and forwards changes that must not wait for the next report: server list changes, a new
+//! configuration, long prompts, limits and departures of servers, and requests that crash servers.
 //!
-//! Where nodes report in groups, news goes from a node to its aggregator, from there to the other
-//! aggregators, and from each of these to its group. An aggregator passes on what is new to it, and
-//! no more. What does not arrive shows in the next report.
+//! If nodes report in groups, a notification goes from a node to its aggregator, from there to the
+//! other aggregators, and from each of these to its group. An aggregator forwards only what is new
+//! to it. The next report carries what was lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,15 +22,15 @@
 use crate::node::{Node, rollouts, table, watch};
 use crate::runtime;
 
-/// The part of the period between two reports that a prompt takes to read, at the least, for its
-/// request to be notified at once.
+/// The minimum prefill time of a prompt that is notified at once, as a fraction of the report
+/// period.
 const MIN_NOTIFIED_PREFILL_FRACTION: f64 = 0.1;
-/// The part of the time in which a configuration must be in force for which a carrier waits before it
-/// gets from another region what this one's readers did not get: these have it from the table service
-/// at once, and the rest must do for the way.
+/// How long a carrier waits for the readers of its own region before it fetches a document from
+/// another region, as a fraction of the time within which a configuration must be in force. The
+/// readers get it from the table service at once; the rest of the time is for the transfer.
 const CROSS_REGION_FETCH_DELAY_FRACTION: f64 = 0.25;
 
-/// Sends this node's news for as long as the process runs.
+/// Sends this node's notifications until the process ends.
 pub(super) async fn send(node: Arc<Node>) {
     while let Ok(notification) = node.notifications.1.recv().await {
         let now = node.now();
@@ -46,7 +46,7 @@
     }
 }
 
-/// Sends a frozen window to the nodes that may hold the duties after this one, before it is reported.
+/// Sends a frozen window to the nodes that may hold the duty lease next, before it is reported.
 pub(in crate::node) async fn send_frozen(node: &Node, window: WindowNumber, counts: &Counts) {
     let now = node.now();
     let to = node.with(|state| list_aggregators(state, now));
@@ -54,31 +54,31 @@
     node.link.send_to_all(now, to, &Message::Notification(notification)).await;
 }
 
-/// Lists the other aggregators of this region, and the carriers of the others.
+/// Lists the other aggregators of this region and the carriers of the other regions.
 fn list_aggregators(state: &State, now: Millis) -> Vec<SocketAddr> {
     let mut to = state.members.list_exchange(now);
     to.extend(state.members.list_carriers(now, 0).concat());
     to
 }
 
-/// Announces to the other nodes a request that is sent to a server, where its prompt keeps the server
-/// busy for long. In groups nodes request the loads of servers instead.
-pub(crate) fn notify_request_started(node: &Node, server: &str, work: &Work, reading_ms: Millis) {
+/// Notifies the other nodes of a request whose prompt will keep its server busy for long. In
+/// groups, nodes query the loads of servers instead.
+pub(crate) fn notify_request_started(node: &Node, server: &str, work: &Work, prefill_ms: Millis) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
-    let least = period.as_millis() as f64 * MIN_NOTIFIED_PREFILL_FRACTION;
-    if is_grouped || (reading_ms as f64) < least {
+    let min_prefill_ms = period.as_millis() as f64 * MIN_NOTIFIED_PREFILL_FRACTION;
+    if is_grouped || (prefill_ms as f64) < min_prefill_ms {
         return;
     }
     let (name, server) = (node.incarnation.node.clone(), short_id(server));
-    node.notify_peers(Notification::RequestStarted { node: name, server, work: *work, reading_ms });
+    node.notify_peers(Notification::RequestStarted { node: name, server, work: *work, prefill_ms });
 }
 
-/// Takes the news of another node.
+/// Handles a notification of another node.
 pub(super) async fn handle(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
     match notification {
-        Notification::RequestStarted { node: peer, server, work, reading_ms } => {
-            let until = node.now() + reading_ms;
+        Notification::RequestStarted { node: peer, server, work, prefill_ms } => {
+            let until = node.now() + prefill_ms;
             node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
         }
         Notification::RequestJudged(verdict) => {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Takes the news of a roll-out, and passes on what is new.
+/// Handles a rollout announcement, and forwards it if it is new.
 async fn handle_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
     let now = node.now();
     if node.with(|state| rollouts::merge(state, now, &announcement)) {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Takes changes of the list of servers, or gets the whole list where some are missing.
+/// Handles changes of the server list, or fetches the list if some changes are missing.
 async fn handle_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
     let version = batch.version;
     table::note_era(node, version.era);
@@ -139,16 +139,16 @@
     }
 }
 
-/// Leaves this region's readers time where another one has news of a table: a document crosses only
-/// where they do not get it themselves.
+/// Gives the readers of this region time to read a table that another region has a newer version
+/// of. A document is transferred between regions only if they fail.
 async fn wait_for_readers(node: &Node, from: SocketAddr) {
     if node.link.get_remote_region(from).is_some() {
-        let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
-        runtime::sleep(bound.mul_f64(CROSS_REGION_FETCH_DELAY_FRACTION)).await;
+        let apply_bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
+        runtime::sleep(apply_bound.mul_f64(CROSS_REGION_FETCH_DELAY_FRACTION)).await;
     }
 }
 
-/// Gets the list of servers where this node's is older than a version.
+/// Fetches the server list if this node's list is older than a version.
 async fn fetch_servers(node: Arc<Node>, from: SocketAddr, version: TableVersion) {
     wait_for_readers(&node, from).await;
     if node.with(|state| !state.directory.is_known() || state.directory.get_version() < version) {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Gets a configuration, and passes on that it is there once this node can give it to others.
+/// Fetches a configuration, and notifies others of it once this node can serve it.
 async fn fetch_configuration(node: Arc<Node>, from: SocketAddr, version: u64) {
     wait_for_readers(&node, from).await;
     let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
@@ -169,11 +169,11 @@
     }
 }
 
-/// Passes news on: to this node's group, to the other aggregators where it came from the group, and
-/// to those of this region where it came from another one.
+/// Forwards a notification: to this node's group, to the other aggregators if it came from the
+/// group, and to those of this region if it came from another region.
 async fn forward(node: &Node, from: SocketAddr, notification: Notification) {
     let now = node.now();
-    let is_far = node.link.get_remote_region(from).is_some();
+    let is_remote = node.link.get_remote_region(from).is_some();
     let to = node.with(|state| {
         if !state.members.is_grouped() || !state.members.is_aggregator() {
             return Vec::new();
@@ -181,7 +181,7 @@
         let mut to = state.members.get_group_addresses(now);
         if to.contains(&from) {
             to.extend(list_aggregators(state, now));
-        } else if is_far {
+        } else if is_remote {
             to.extend(state.members.list_exchange(now));
         }
         to.retain(|address| *address != from);
--- a/crates/gateway/src/node/peers/pending_loads.rs
+++ b/crates/gateway/src/node/peers/pending_loads.rs
@@ -1,4 +1,4 @@
-//! Questions for the loads of servers that wait for answers, and changed loads that wait to be sent.
+//! Load queries that await answers, and load changes to be sent.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,10 +8,11 @@
 
 use crate::runtime::lock;
 
-/// Changes that wait to be sent; more are dropped, and are repeated with all the others.
+/// The maximum number of queued changes. Further ones are dropped, and sent with the next
+/// repetition of all loads.
 const CHANGE_CAPACITY: usize = 1_024;
 
-/// Questions that wait for answers, and changes that wait to be sent.
+/// Pending queries and queued changes.
 #[derive(Debug)]
 pub(in crate::node) struct Pending {
     next: AtomicU32,
@@ -26,20 +27,22 @@
     done: Sender<()>,
 }
 
-/// A query that waits for its answers, until it is dropped: its caller may leave meanwhile.
+/// A query that awaits its answers until it is dropped, which may happen early because the client
+/// disconnects.
 pub(super) struct PendingQuery<'a> {
     pending: &'a Pending,
     pub(super) id: u32,
     pub(super) done: Receiver<()>,
 }
 
-/// A change of what this node has in flight at a server.
+/// A change of this node's load at a server.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) server: u64,
-    /// The server's data centre, where there are several regions.
+    /// The server's data centre; empty with a single region.
     pub(super) data_centre: String,
-    /// Whether a request is being sent there, which others must know before they choose.
+    /// `true` if a request is being sent there, which other nodes must know before they pick a
+    /// server.
     pub(super) is_urgent: bool,
 }
 
@@ -65,14 +68,14 @@
         query.answers_missing = query.answers_missing.saturating_sub(1);
         query.is_any_answered = true;
         if query.answers_missing == 0 {
-            // The receiver may be gone: the request's caller may have left.
+            // The receiver may have been dropped because the client disconnected.
             let _ = query.done.try_send(());
         }
     }
 
     pub(super) fn change(&self, change: Change) {
         if self.changes.0.try_send(change).is_err() {
-            log::debug!("a changed load is sent with the next repetition");
+            log::debug!("load change queue is full; the next repetition carries the change");
         }
     }
 }
--- a/crates/gateway/src/node/peers/pending_queries.rs
+++ b/crates/gateway/src/node/peers/pending_queries.rs
@@ -1,4 +1,4 @@
-//! PendingQueries to other nodes that wait for answers.
+//! Queries to other nodes that await an answer.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,17 +9,17 @@
 
 use crate::runtime::{self, lock};
 
-/// PendingQueries that wait for answers of one kind.
+/// The pending queries with one type of answer.
 #[derive(Debug)]
 pub(in crate::node) struct PendingQueries<T> {
     next: AtomicU32,
     waiting: Mutex<HashMap<u32, Sender<T>>>,
 }
 
-/// A question that waits for its answer, until it is dropped.
+/// A query that awaits its answer until it is dropped.
 pub(super) struct PendingQuery<'a, T> {
     queries: &'a PendingQueries<T>,
-    /// Names the question at the one who asks.
+    /// Identifies the query at its sender.
     pub id: u32,
     answer: Receiver<T>,
 }
@@ -31,7 +31,7 @@
 }
 
 impl<T> PendingQueries<T> {
-    /// Begins a question.
+    /// Registers a query.
     pub(super) fn begin(&self) -> PendingQuery<'_, T> {
         let (sender, answer) = async_channel::bounded(1);
         let id = self.next.fetch_add(1, Ordering::Relaxed);
@@ -39,7 +39,7 @@
         PendingQuery { queries: self, id, answer }
     }
 
-    /// Answers a question; returns `false` where nobody waits for the answer any more.
+    /// Delivers an answer; returns `false` if the query is no longer pending.
     pub(super) fn answer(&self, id: u32, answer: T) -> bool {
         let waiting = lock(&self.waiting).remove(&id);
         waiting.is_some_and(|sender| sender.try_send(answer).is_ok())
@@ -47,17 +47,17 @@
 }
 
 impl<T> PendingQuery<'_, T> {
-    /// Waits for the answer; `None` where it does not come in time.
+    /// Waits for the answer; returns `None` if it does not arrive in time.
     pub(super) async fn wait(&self, within: Duration) -> Option<T> {
         let answer = runtime::within(within, self.answer.recv()).await;
-        // An answer may have come at the end of that time.
+        // The answer may have arrived just as the timeout expired.
         answer.and_then(Result::ok).or_else(|| self.answer.try_recv().ok())
     }
 }
 
 impl<T> Drop for PendingQuery<'_, T> {
     fn drop(&mut self) {
-        // No answer can be put into the channel while its sender is not in the table.
+        // Once the sender is removed, no answer can be delivered to the channel.
         lock(&self.queries.waiting).remove(&self.id);
     }
 }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -1,8 +1,9 @@
-//! Asks the owners of limited servers for permits (see [`keeljunction_core::serving::backpressure`]).
+//! Acquires permits from the owners of limited servers (see
+//! [`keeljunction_core::serving::backpressure`]).
 //!
-//! The owner of a server is the aggregator that keeps its load, which every node finds by itself. A node
-//! that gets no decision sends nothing to the server for a while: a limit holds also where its owner is
-//! out of reach, and other servers get the request.
+//! The owner of a server is the aggregator that owns its load, which every node determines locally.
+//! A node that gets no decision sends nothing to the server for a while: a limit holds even if its
+//! owner is unreachable, and the request goes to another server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,31 +16,31 @@
 use crate::node::Node;
 use crate::node::state::State;
 
-/// How long a decision is waited for: some times the way there and back within a region, and the time
-/// for which a small VM lets a task wait. From another region it is waited for as long as the way there
-/// and back is measured to take.
+/// The timeout for a decision: several round trips within a region, and the scheduling delay of a
+/// task on a small VM. For other regions it follows the measured round-trip times.
 const DECISION_TIMEOUT_MS: Millis = 40;
-/// How long a server gets nothing from a node that got no decision, in milliseconds: one period of
-/// reports, after which the node may have found another owner.
+/// How long a node that got no decision sends nothing to the server: one report period, after which
+/// it may have found another owner.
 const UNDECIDED_BACKOFF_MS: Millis = 200;
 
 /// A permit to send a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
-    /// The server names no limit.
+    /// The server has no limit.
     Unlimited,
-    /// It counts at the server's owner; `None` where that is this node.
+    /// The permit is counted by the server's owner; `None` if that is this node.
     Counted(Option<SocketAddr>),
 }
 
 /// The node that owns a server.
 struct Owner {
     address: SocketAddr,
-    /// Its region, where that is another one.
+    /// Its region; `None` if it is this node's region.
     far_region: Option<String>,
 }
 
-/// Takes a permit to send a request to a server; `None` where the server takes none now.
+/// Acquires a permit to send a request to a server; returns `None` if the server does not accept
+/// one now.
 pub(crate) async fn acquire(node: &Node, server: &Server) -> Option<Permit> {
     let now = node.now();
     let sighting = node.with(|state| state.backpressure.get_limit(now, server));
@@ -47,7 +48,7 @@
         None => Permit::Unlimited,
         Some(sighting) => acquire_counted(node, server, sighting).await?,
     };
-    // The server may have said something while the decision was waited for.
+    // The server may have requested a backoff while the decision was pending.
     let now = node.now();
     if node.with(|state| state.is_in_backoff(now, server)) {
         release_unused(node, server, permit).await;
@@ -56,7 +57,7 @@
     Some(permit)
 }
 
-/// Takes a permit of the owner of a limited server.
+/// Acquires a permit from the owner of a limited server.
 async fn acquire_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
@@ -82,7 +83,7 @@
     })
 }
 
-/// Asks the owner of a server; undecided where it does not answer in time.
+/// Requests a decision from the owner of a server; undecided if it does not answer in time.
 async fn request_from_owner(
     node: &Node,
     owner: &Owner,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Decides as the owner; undecided where this node is not the owner.
+/// Decides as the owner; undecided if this node is not the owner.
 fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Sighting) -> Decision {
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
@@ -127,7 +128,7 @@
     state.backpressure.decide(now, sighting, reach)
 }
 
-/// Answers another node.
+/// Answers the permit request of another node.
 pub(super) async fn answer_request(
     node: &Node,
     from: SocketAddr,
@@ -141,7 +142,7 @@
     node.link.send(now, from, &Message::Permit { query_id, key, decision }).await;
 }
 
-/// Takes a decision. A permit that comes too late is returned.
+/// Handles a decision. A permit that arrives too late is returned.
 pub(super) async fn handle_decision(
     node: &Node,
     from: SocketAddr,
@@ -155,18 +156,18 @@
     }
 }
 
-/// Takes back the permit of a request that another node did not send.
+/// Handles the return of an unused permit by another node.
 pub(super) fn handle_release(node: &Node, key: Key) {
     node.with(|state| state.backpressure.take_back(key));
 }
 
-/// Takes what another node saw of a server's limit; returns `true` if it is news.
+/// Applies a server limit observed by another node; returns `true` if it is new.
 pub(super) fn apply_sighting(node: &Node, sighting: &Sighting) -> bool {
     let now = node.now();
     node.with(|state| state.backpressure.merge(now, sighting))
 }
 
-/// Takes the sightings that came with a report.
+/// Applies the server limits in a report.
 pub(super) fn apply_sightings(node: &Node, sightings: &[Sighting]) {
     for sighting in sightings {
         apply_sighting(node, sighting);
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -1,9 +1,9 @@
-//! Exchanges with other nodes which requests crash servers (see
+//! Exchanges reports and verdicts on requests that crash servers (see
 //! [`keeljunction_core::serving::quarantine`]).
 //!
-//! Reports go to the keeper of the service, the aggregator that owns its name. What the keeper decides
-//! goes to all nodes at once as news, and some of all that is known goes with each report, for nodes that
-//! missed it or were not there yet.
+//! Reports go to the owner of the service, the aggregator that owns its name. The owner's verdicts
+//! go to all nodes as notifications, and each report carries some of the known verdicts for nodes
+//! that missed them or started later.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::node::state::State;
 use crate::runtime;
 
-/// Sends reports that are due, and judges as the keeper; once in each period of reports.
+/// Sends due reports, and decides as the owner; called once per report period.
 pub(super) async fn step(node: &Node) {
     send_reports(node).await;
     let now = node.now();
@@ -24,7 +24,7 @@
     }
 }
 
-/// Sends the reports of servers that crashed to the keepers of their services.
+/// Sends the reports of crashed servers to the owners of their services.
 pub(in crate::node) async fn send_reports(node: &Node) {
     let now = node.now();
     let due = node.with(|state| {
@@ -36,13 +36,14 @@
     }
 }
 
-/// Takes the report of a server that crashed, as the keeper.
+/// Handles the report of a crashed server, as the owner.
 pub(super) fn handle_report(node: &Node, crash: &Crash) {
     let now = node.now();
     node.with(|state| state.quarantine.take_report(now, crash));
 }
 
-/// Notes that a server answered a request whole, and notifies the keeper where the request is suspected.
+/// Records that a server completed the response to a request, and notifies the owner if the request
+/// is suspected.
 pub(crate) fn note_request_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     let now = node.now();
     let service = node.with(|state| state.quarantine.note_answered(now, fingerprint));
@@ -51,7 +52,7 @@
     }
 }
 
-/// Notifies the keeper of a service that a request was answered whole.
+/// Notifies the owner of a service that a request was completed.
 async fn notify_completed(node: Arc<Node>, service: u64, fingerprint: Fingerprint) {
     match node.with(|state| state.members.find_owner(service)) {
         Some(keeper) => {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Takes the word of a node that a request was answered whole, as the keeper.
+/// Handles a node's message that a request was completed, as the owner.
 pub(super) fn handle_completed(node: &Node, fingerprint: Fingerprint) {
     let now = node.now();
     let cleared = node.with(|state| state.quarantine.take_answered(now, fingerprint));
@@ -70,13 +71,13 @@
     }
 }
 
-/// Sends all nodes what this one decided as the keeper.
+/// Sends this node's verdict as the owner to all nodes.
 fn announce(node: &Node, verdict: Verdict) {
     log(&verdict, true);
     node.notify_peers(Notification::RequestJudged(verdict));
 }
 
-/// Takes what another node knows of a request; returns `true` if it is news.
+/// Applies the verdict of another node; returns `true` if it is new.
 pub(super) fn apply_verdict(node: &Arc<Node>, verdict: Verdict) -> bool {
     let now = node.now();
     let merged = node.with(|state| state.quarantine.merge(now, verdict));
@@ -89,14 +90,14 @@
     merged.is_news
 }
 
-/// Takes the verdicts that came with a report.
+/// Applies the verdicts in a report.
 pub(super) fn apply_verdicts(node: &Arc<Node>, verdicts: Vec<Verdict>) {
     for verdict in verdicts {
         apply_verdict(node, verdict);
     }
 }
 
-/// Takes a verdict from the platform's table, and sends it to all nodes where it is news.
+/// Applies a verdict from the platform's table, and sends it to all nodes if it is new.
 pub(in crate::node) fn apply_persisted(node: &Arc<Node>, verdict: Verdict) {
     if apply_verdict(node, verdict) {
         node.notify_peers(Notification::RequestJudged(verdict));
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -1,8 +1,8 @@
-//! Asks the owner of a client account whether a request is within its limit.
+//! Asks the owner of a client account whether a request is within the account's limit.
 //!
-//! Each node decides by itself while much is left. Near the limit the account's owner decides for
-//! all, which every node finds by itself among the aggregators: what a question costs depends on
-//! the requests and not on the number of nodes.
+//! Each node decides locally while much of the limit is left. Near the limit, the account's owner
+//! decides for all nodes. Every node determines the owner locally from the aggregators, and the
+//! cost of the queries depends on the number of requests and not on the number of nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 use crate::node::Node;
 use crate::node::state::State;
 
-/// How long a decision is waited for: some times the way there and back within a region, and the
-/// time for which a small VM lets a task wait. The local share is consumed then.
+/// The timeout for a decision: several round trips within a region, and the scheduling delay of a
+/// task on a small VM. After it, the node consumes its local share.
 ///
-/// From another region it is waited for as long as the way there and back is measured to take.
+/// For other regions the timeout follows the measured round-trip times.
 const DECISION_TIMEOUT_MS: Millis = 40;
 
 /// Consumes units of a client account for a request.
 ///
 /// # Errors
 ///
-/// Returns the milliseconds after which the request fits.
+/// Returns the milliseconds after which the request fits the limit.
 pub(crate) async fn consume(node: &Node, account: &Account, units: u64) -> Result<(), Millis> {
     let now = node.now();
     let name = &account.name;
@@ -63,7 +63,7 @@
     Limit { rate_per_second: account.rate_per_second, burst: account.burst }
 }
 
-/// Asks the owner of a client account; undecided where it does not answer in time.
+/// Queries the owner of a client account; undecided if it does not answer in time.
 async fn query_owner(node: &Node, owner: SocketAddr, account: &str, units: u64) -> Decision {
     let query = node.pending_decisions.begin();
     let message = Message::QueryQuota { query_id: query.id, account: account.to_owned(), units };
@@ -75,7 +75,7 @@
     })
 }
 
-/// Returns how long the decision of an owner is waited for.
+/// Returns the timeout for an owner's decision.
 fn get_wait(node: &Node, owner: SocketAddr) -> Duration {
     let region = node.link.get_remote_region(owner);
     let wait = region
@@ -83,7 +83,7 @@
     Duration::from_millis(wait.unwrap_or(DECISION_TIMEOUT_MS))
 }
 
-/// Decides as the owner; undecided where this node is not the owner.
+/// Decides as the owner; undecided if this node is not the owner.
 fn decide(state: &mut State, now: Millis, account: &Account, units: u64) -> Decision {
     if !state.members.is_owner(short_id(&account.name)) {
         return Decision::Undecided;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Answers another node.
+/// Answers the query of another node.
 pub(super) async fn answer_query(
     node: &Node,
     from: SocketAddr,
@@ -114,8 +114,8 @@
     node.link.send(now, from, &message).await;
 }
 
-/// Takes a decision. One that comes too late is refunded: the request has consumed units of the
-/// local share meanwhile, or was refused.
+/// Handles a decision. One that arrives too late is refunded, because the request has consumed
+/// units of the local share in the meantime or was refused.
 pub(super) fn handle_decision(
     node: &Node,
     query_id: u32,
--- a/crates/gateway/src/node/peers/relay_state.rs
+++ b/crates/gateway/src/node/peers/relay_state.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of the summaries that it sends to other regions.
+//! The state of summaries that a node sends to other regions.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,20 @@
 
 use super::report_target::Samples;
 
-/// What this node sends to other regions.
+/// The state of summaries that this node sends to other regions.
 #[derive(Debug)]
 pub(in crate::node) struct RelayState {
     pub(super) pace: Crossing,
-    /// Summaries that crossed, which are sent to the carriers by turns.
+    /// The number of summaries sent, which rotates the carriers.
     pub(super) sent: usize,
-    /// Samples that wait for the next summary that crosses.
+    /// Samples for the next summary to other regions.
     pub(super) samples: Samples,
-    /// Regions of which nobody is heard, as they were logged.
+    /// Unreachable regions, as last logged.
     pub(super) lost: BTreeSet<String>,
 }
 
 impl RelayState {
-    /// Makes the state of a node whose region may send so many kilobits a second to the others.
+    /// Creates the state for a region that may send `control_kbps` kilobits a second to the others.
     pub(in crate::node) fn new(control_kbps: f64) -> Self {
         Self {
             pace: Crossing::new(control_kbps),
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -1,8 +1,8 @@
-//! Exchanges counts with other nodes, some times a second.
+//! Exchanges counts with other nodes several times a second.
 //!
-//! A node that is no aggregator reports to one, and gets an overview of the whole from it. An
-//! aggregator exchanges summaries of its group with the others. Which of the two a node is follows
-//! from [`keeljunction_core::serving::members`].
+//! A node that is no aggregator reports to one and receives an overview of all nodes from it. An
+//! aggregator exchanges summaries of its group with the other aggregators.
+//! [`keeljunction_core::serving::members`] determines which nodes are aggregators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 use crate::node::{Node, rollouts, staleness, watch};
 use crate::runtime;
 
-/// The counts of a node are used for this many periods.
+/// The number of report periods for which a node's counts stay valid.
 const COUNTS_TTL_PERIODS: u32 = 7;
-/// Windows of usage in each report.
+/// The maximum number of usage windows in a report.
 const MAX_REPORTED_WINDOWS: usize = 4;
 
-/// Reports for as long as the process runs.
+/// Sends reports until the process ends.
 pub(super) async fn run(node: Arc<Node>) {
     let mut turn = 0;
     let mut pause_detector = PauseDetector::begin(node.now());
@@ -55,15 +55,15 @@
     }
 }
 
-/// Gets from another node what its list of nodes holds and this one's lacks.
+/// Fetches missing entries of the member list from another node.
 fn fetch_additions(node: &Arc<Node>, now: Millis) {
     if let Some((from, after)) = node.with(|state| state.members.pick_roster_source(now)) {
         runtime::spawn(calls::fetch_additions(node.clone(), from, after));
     }
 }
 
-/// Brings what the node knows of others up to date, and begins to count anew where it reports to
-/// another node than before.
+/// Updates the node's view of the others, and starts a new incarnation of the counts if the report
+/// target changes.
 fn refresh(state: &mut State, now: Millis) {
     state.members.refresh(now);
     state.loads.expire(now);
@@ -96,7 +96,8 @@
     });
 }
 
-/// Begins to count from what did not arrive where this node reported until now.
+/// Starts a new incarnation of the counts with those that the previous report target did not
+/// receive.
 fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
     let former = state.handover.get_incarnation().clone();
     let arrived = state.handover.begin(fastrand::u64(..));
@@ -123,7 +124,7 @@
     usage.split_off(usage.len().saturating_sub(MAX_REPORTED_WINDOWS))
 }
 
-/// Takes the samples that peers were not sent yet.
+/// Takes the samples that were not sent to peers yet.
 fn take_samples(state: &mut State) -> Samples {
     let throughputs = state.throughputs.iter_mut();
     let unreported =
@@ -171,7 +172,7 @@
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
         state.handover.record(now, snapshot);
         let sums = state.usage.sum_group(state.handover.get_incarnation(), MAX_REPORTED_WINDOWS);
-        // What crosses between regions is sent at a pace of its own, and holds all windows each time.
+        // Summaries to other regions have their own pace, and carry all windows each time.
         let usage = match state.members.is_crossing() {
             true => sums,
             false => state.outgoing_usage.select(turn, sums),
@@ -227,7 +228,7 @@
     }
 }
 
-/// Keeps the buckets of all client accounts, whose levels are sent to the nodes of the group.
+/// Tracks the buckets of all client accounts, whose levels are sent to the nodes of the group.
 fn track_accounts(state: &mut State, now: Millis) {
     if !state.members.is_grouped() {
         return;
@@ -240,15 +241,14 @@
     }
 }
 
-/// Takes the samples for the nodes of this node's group: those of the other aggregators, and the
-/// group's own.
+/// Takes the samples for this node's group: those of the other aggregators and the group's own.
 fn take_forwarded_samples(state: &mut State, own: &Samples) -> Samples {
     let mut samples = std::mem::take(&mut state.samples);
     samples.extend(own.iter().cloned());
     samples
 }
 
-/// Takes over what a node of this node's group counts.
+/// Handles the report of a node of this node's group.
 pub(super) fn handle_report(node: &Node, echoed_at: Option<Millis>, report: Report) {
     let now = node.now();
     let Report { sender, totals } = report;
@@ -273,8 +273,7 @@
     });
 }
 
-/// Takes over what another aggregator counts for its group; `echoed_at` where it came from there
-/// directly.
+/// Handles the summary of another aggregator; `echoed_at` is set if it came directly from there.
 pub(super) fn handle_summary(node: &Arc<Node>, echoed_at: Option<Millis>, summary: Summary) {
     let now = node.now();
     let Summary { sender, totals, loads, group, group_age, roster, joined, .. } = summary;
@@ -320,7 +319,7 @@
     watch::apply_departures(node, &departures);
 }
 
-/// Takes over what this node's aggregator says of the whole.
+/// Handles the overview of this node's aggregator.
 pub(super) fn handle_overview(
     node: &Arc<Node>,
     from: SocketAddr,
@@ -358,8 +357,8 @@
     versions::handle(node, from, echoed_at, &versions);
 }
 
-/// Notes that a node was heard, and which of this node's reports it had got by then; returns the
-/// counts in that one.
+/// Records that a node was heard, and which of this node's reports it had received; returns the
+/// counts in that report.
 fn note_heard(
     state: &mut State,
     now: Millis,
@@ -382,7 +381,7 @@
         state.quotas.forget(name, former);
         state.demand.forget(name, former);
         state.rollouts.forget(name, former);
-        // The aggregator began anew and knows nothing of what this node reported.
+        // The aggregator has started anew and does not know what this node reported.
         if state.report_target == ReportTarget::OwnAggregator(name.clone()) {
             begin_incarnation(state, now, false);
         }
--- a/crates/gateway/src/node/peers/report_target.rs
+++ b/crates/gateway/src/node/peers/report_target.rs
@@ -1,24 +1,24 @@
-//! Whom a node reports its counts to, and the samples that wait for the next report.
+//! The recipients of a node's reports, and samples for the next report.
 
 use keeljunction_core::serving::throughput::Sample;
 
-/// Samples of how fast servers read prompts in each overview, of all nodes.
+/// The maximum number of throughput samples of all nodes in an overview.
 const MAX_FORWARDED_SAMPLES: usize = 24;
 
-/// Samples by service, on their way to other nodes.
+/// Samples by service, to be sent to other nodes.
 pub(in crate::node) type Samples = Vec<(String, Vec<Sample>)>;
 
-/// Whom a node reports its counts to.
+/// The recipients of a node's reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(in crate::node) enum ReportTarget {
-    /// The other aggregators, or all other nodes where there are no groups.
+    /// The other aggregators, or all other nodes if there are no groups.
     #[default]
     AllAggregators,
-    /// Its aggregator, by name.
+    /// The node's aggregator, by name.
     OwnAggregator(String),
 }
 
-/// Keeps samples for the nodes of this node's group, up to as many as an overview holds.
+/// Buffers samples for the nodes of this node's group, up to the number that an overview holds.
 pub(super) fn buffer_samples(kept: &mut Samples, service: String, samples: Vec<Sample>) {
     let count: usize = kept.iter().map(|(_, samples)| samples.len()).sum();
     if count < MAX_FORWARDED_SAMPLES {
--- a/crates/gateway/src/node/peers/summary_relay.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -1,9 +1,9 @@
-//! Sends the summary of this node's group to the aggregators of other regions, and passes on in its
-//! own region the summaries of others.
+//! Sends the summary of this node's group to the aggregators of other regions, and relays their
+//! summaries within its own region.
 //!
-//! A summary crosses once: to one of two carriers of the region, by turns. The carrier passes it on
-//! as it came, under the name and the time of the one who sent it. What comes twice is taken once,
-//! and what was passed on says nothing of the way to the one who passed it on.
+//! A summary is sent to another region once, to one of that region's two carriers in turn. The
+//! carrier relays it unchanged, with the name and send time of the original sender. Duplicates are
+//! dropped, and a relayed summary is no measurement of the path to its carrier.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,12 +18,11 @@
 use crate::node::state::State;
 use crate::runtime;
 
-/// Turns of reports between two looks at which nodes stand in other regions: five a second, and the
-/// list changes when nodes come and go.
+/// The number of reports between refreshes of which nodes are in other regions. There are five
+/// reports a second, and the list changes as nodes come and go.
 const REGION_REFRESH_TURNS: u64 = 5;
 
-/// Brings up to date, once in each period, which nodes stand in other regions and how long their
-/// messages take.
+/// Updates, once per period, which nodes are in other regions and how long messages to them take.
 pub(super) fn refresh(node: &Node, turn: u64) {
     if !node.topology.is_multi_region() {
         return;
@@ -50,7 +49,7 @@
     state.summary_relay.lost = lost;
 }
 
-/// Sends a summary to a carrier of each other region where it is time, and returns it.
+/// Sends a summary to a carrier of each other region if it is due, and returns it.
 pub(super) async fn send(node: &Node, now: Millis, mut summary: Summary) -> Summary {
     let own = summary.totals.throughputs.clone();
     let crossed = node.link.get_cross_region_bytes();
@@ -75,12 +74,12 @@
     if !carriers.is_empty() {
         node.link.send_to_all(now, carriers, &message).await;
     }
-    let Message::Summary(mut summary) = message else { unreachable!("made above") };
+    let Message::Summary(mut summary) = message else { unreachable!("constructed above") };
     summary.totals.throughputs = own;
     *summary
 }
 
-/// Takes a summary that came directly, and passes on one of another region.
+/// Handles a summary that came directly, and relays one of another region.
 pub(super) fn handle_summary(
     node: &Arc<Node>,
     from: SocketAddr,
@@ -105,35 +104,36 @@
     versions::confirm(node, echoed_at, &reported);
 }
 
-/// Takes a summary that a carrier of this region passed on.
+/// Handles a summary that a carrier of this region relayed.
 ///
-/// When the carrier last heard of this node says nothing of the one who sent the summary.
+/// When the carrier last heard this node says nothing about the original sender.
 pub(super) fn handle_relayed(node: &Arc<Node>, sent: (u32, Millis), summary: Summary) {
     if note_crossed(node, sent, &summary) {
         merge(node, None, summary);
     }
 }
 
-/// Takes over a summary of another region, unless its sender does not hear this one: that counts as
-/// out of reach for both then.
+/// Merges a summary of another region, unless its sender does not hear this region. In that case,
+/// both regions count as unreachable for each other.
 fn merge(node: &Arc<Node>, echoed_at: Option<Millis>, summary: Summary) {
     if node.with(|state| state.members.is_own_region_heard(&summary.unheard_regions)) {
         report::handle_summary(node, echoed_at, summary);
     }
 }
 
-/// Returns `true` if a summary of another region is newer than those that came before.
+/// Returns `true` if a summary of another region is newer than all earlier ones.
 fn note_crossed(node: &Node, (boot_id, sent_at): (u32, Millis), summary: &Summary) -> bool {
     let now = node.now();
     let entry = &summary.sender.entry;
     if let Some(region) = node.topology.get_region(&entry.data_centre) {
-        // The list is brought up to date only from time to time: an answer may come before that.
+        // The list of remote nodes is refreshed at intervals only, and an answer may arrive
+        // earlier.
         node.link.note_remote_region(entry.address, region);
     }
     node.with(|state| state.members.note_crossed(now, entry, boot_id, sent_at))
 }
 
-/// Passes a summary on to the other aggregators of this region.
+/// Relays a summary to the other aggregators of this region.
 async fn forward(node: Arc<Node>, (boot_id, sent_at): (u32, Millis), summary: Summary) {
     let now = node.now();
     let to = node.with(|state| state.members.list_exchange(now));
@@ -141,8 +141,8 @@
     node.link.send_to_all(now, to, &message).await;
 }
 
-/// Notes how long the way to another region and back is, where an answer came from there that is
-/// given at once.
+/// Records the round-trip time to another region, if the message is an answer that is sent without
+/// delay.
 pub(super) fn note_round_trip(
     node: &Node,
     from: SocketAddr,
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -1,9 +1,9 @@
-//! Confirms what this node knows of the platform's tables, or gets what it lacks, from other nodes.
+//! Confirms or updates the node's copies of the platform's tables through other nodes.
 //!
-//! A few nodes read the tables for all. Each report between nodes says which versions its sender
-//! knows and how old that knowledge is. That age counts from before the newest datagram that the
-//! sender had got from this node, so that a report that was long on its way makes nothing look
-//! young. A node whose knowledge grows old all the same asks, and at last reads the tables itself.
+//! A few nodes, the readers, read the tables on behalf of all. Each report between nodes carries
+//! the sender's versions and their ages. The age counts from the newest datagram that the sender
+//! had received from this node, so a delayed report never makes old data look fresh. A node whose
+//! copies age nevertheless queries other nodes, and finally reads the tables itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,16 +20,17 @@
 use crate::node::{Node, staleness, table};
 use crate::runtime;
 
-/// The time between two looks at how old the knowledge is.
+/// The interval between checks of the age.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// The part of its bound at which knowledge is ageing: reports did not make it young.
+/// The fraction of the staleness bound at which a copy is ageing, because reports did not refresh
+/// it.
 const AGEING_FRACTION: f64 = 0.5;
-/// The part of its bound at which a reader asks another region: that costs the narrow link, and what
-/// comes back has to reach the nodes of this region in time.
+/// The fraction of the staleness bound at which a reader queries another region. That uses the
+/// narrow link, and the result must reach the nodes of this region in time.
 const CROSS_REGION_AGEING_FRACTION: f64 = 0.7;
 
-/// Asks the nodes that read for all while this node's knowledge is ageing, and any other as well
-/// while it is old.
+/// Queries the readers while this node's copies are ageing, and random nodes as well once they are
+/// stale.
 pub(super) async fn run(node: Arc<Node>) {
     let bound = node.get_max_configuration_age();
     let mut was_fresh = true;
@@ -55,8 +56,8 @@
     }
 }
 
-/// Lists whom to ask: an aggregator asks the readers, and another node its aggregator, so that the
-/// few nodes query the readers.
+/// Lists the nodes to query: an aggregator queries the readers and another node its aggregator, so
+/// that few nodes query the readers.
 fn list_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
     let is_old = staleness::is_configuration_stale(node) || staleness::is_servers_stale(node);
     node.with(|state| {
@@ -73,7 +74,8 @@
     })
 }
 
-/// Lists whom a reader asks in other regions: it did not reach the table service for a while.
+/// Lists the nodes in other regions that a reader queries if it did not reach the table service for
+/// a while.
 fn list_cross_region_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
     let is_ageing = staleness::is_configuration_older_than(node, CROSS_REGION_AGEING_FRACTION)
         || staleness::is_servers_older_than(node, CROSS_REGION_AGEING_FRACTION);
@@ -83,8 +85,8 @@
     })
 }
 
-/// Takes what an aggregator of another region knows: it confirms what this node has. What this node
-/// lacks, its own region's readers get.
+/// Confirms this node's copies by the versions of an aggregator of another region. Missing versions
+/// are left to the readers of this region.
 pub(super) fn confirm(node: &Node, echoed_at: Option<Millis>, versions: &Versions) {
     if let Some(known) = versions.configuration {
         confirm_configuration(node, echoed_at, known);
@@ -95,8 +97,8 @@
     }
 }
 
-/// Takes what a node knows, of a time after `echoed_at` on this node's clock: confirms what this
-/// node has, or gets what it lacks.
+/// Handles the versions of a node as of a time after `echoed_at` on this node's clock: confirms
+/// this node's copies, or fetches newer ones.
 pub(super) fn handle(
     node: &Arc<Node>,
     from: SocketAddr,
@@ -123,12 +125,12 @@
     }
 }
 
-/// Returns `true` if this node's configuration has a version, or a newer one.
+/// Returns `true` if this node has the configuration of a version or a newer one.
 fn has_configuration(node: &Node, version: u64) -> bool {
     node.with(|state| state.configuration.as_ref().is_some_and(|own| own.version >= version))
 }
 
-/// Gets a newer configuration from the node that knows it.
+/// Fetches a newer configuration from the node that has it.
 async fn fetch_newer_configuration(
     node: Arc<Node>,
     from: SocketAddr,
@@ -139,7 +141,7 @@
     confirm_configuration(&node, echoed_at, known);
 }
 
-/// Gets a newer list of servers from the node that knows it.
+/// Fetches a newer server list from the node that has it.
 async fn fetch_newer_servers(
     node: Arc<Node>,
     from: SocketAddr,
@@ -150,7 +152,8 @@
     confirm_servers(&node, echoed_at, known);
 }
 
-/// Confirms this node's configuration by what a peer knows; one that is older than that stays unconfirmed.
+/// Confirms this node's configuration by the version of a peer; a configuration that is older than
+/// that stays unconfirmed.
 fn confirm_configuration(node: &Node, echoed_at: Option<Millis>, known: Known<u64>) {
     let Some(echoed_at) = echoed_at.filter(|_| has_configuration(node, known.version)) else {
         return;
@@ -158,8 +161,8 @@
     node.with(|state| state.freshness.confirm_by_peer(echoed_at, known.age));
 }
 
-/// Confirms the list of servers by a peer's. The list that was got may be newer than the one that was
-/// reported, and never older; that a list of an earlier era was the newest says nothing of this one.
+/// Confirms the server list by the version of a peer. The fetched list may be newer than the
+/// reported one, but never older. A peer's list of an earlier era proves nothing about this one.
 fn confirm_servers(node: &Node, echoed_at: Option<Millis>, known: Known<TableVersion>) {
     let Some(echoed_at) = echoed_at else { return };
     node.with(|state| {
