--- a/crates/gateway/tests/blocked_writes.rs
+++ b/crates/gateway/tests/blocked_writes.rs
@@ -1,14 +1,13 @@
-//! A connection goes on after each blocked write.
+//! A connection continues after every blocked write.
 //!
-//! What happened: a caller that had rested for 5 s read the first megabytes of its answer, and nothing more
-//! came; after 10 s it was disconnected as one that does not read. The node's own log showed that
-//! the server was not at fault (`answer_ms` 104: all 11,000,000 bytes were there), and what was left
-//! (`caller_disconnected`, `reason` no_progress, `held_bytes` 3,672,273, `resting_ms` 10,010). The system
-//! showed why: the send queue of the caller's socket was empty, and the process waited for bytes to
-//! read from it and not for room to write (`/proc/PID/fdinfo`, events 4000001b: EPOLLOUT is not among them).
+//! A client that had been idle for 5 s read the first megabytes of a response and then received
+//! nothing more; after 10,010 ms it was disconnected for not reading. All 11,000,000 bytes of the
+//! response had arrived from the server after 104 ms, and 3,672,273 bytes were still held. The send
+//! queue of the client's socket was empty, but the process waited only for the socket to become
+//! readable: EPOLLOUT was missing from its events (`/proc/PID/fdinfo`, 4000001b).
 //!
-//! Why: the HTTP library flushes once more after a blocked write. Where the socket becomes writable just
-//! then, the flush succeeds and drops the wake, with more of the body to write.
+//! The HTTP library flushes once more after a blocked write. If the socket becomes writable just
+//! then, the flush succeeds and drops the waker, although more of the body is left to write.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -29,31 +28,32 @@
 use hyper::{Request, Response};
 use keeljunction_gateway::http::{Socket, drive};
 
-/// Pieces of the answer, each larger than the library buffers.
-const PIECES: usize = 40;
-/// Bytes of a piece.
-const PIECE: usize = 16 * 1024;
-/// Polls after which the answer is as far as it comes.
-const MOST_POLLS: usize = 10_000;
+/// The number of chunks of the response, each larger than the library's buffers.
+const CHUNKS: usize = 40;
+/// The size of a chunk in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// The maximum number of polls; the response makes no progress after them.
+const MAX_POLLS: usize = 10_000;
 
-/// A socket that takes one piece in each turn, and has room for more as soon as a write was blocked.
+/// A socket that accepts a few chunks per turn, and becomes writable after a number of blocked
+/// writes.
 #[derive(Default)]
 struct Peer {
     request: &'static [u8],
-    /// Bytes that are taken before the next write is blocked.
+    /// Bytes accepted before the next write is blocked.
     room: usize,
     written: usize,
-    /// Whom to wake once there is room; a write that succeeds before drops it.
+    /// The waker to call once there is room; a write that succeeds first drops it.
     writer: Option<Waker>,
-    /// Writes that are blocked in a row before there is room.
+    /// The number of consecutive blocked writes before there is room.
     blocked_in_a_row: usize,
     blocked: usize,
 }
 
 #[derive(Clone)]
-struct Shared(Rc<RefCell<Peer>>);
+struct SharedPeer(Rc<RefCell<Peer>>);
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedPeer {
     fn poll_read(
         self: Pin<&mut Self>,
         _context: &mut Context<'_>,
@@ -70,7 +70,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedPeer {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -82,7 +82,7 @@
             peer.blocked += 1;
             if peer.blocked >= peer.blocked_in_a_row {
                 peer.blocked = 0;
-                peer.room = 3 * PIECE;
+                peer.room = 3 * CHUNK_BYTES;
             }
             return Poll::Pending;
         }
@@ -103,40 +103,40 @@
     }
 }
 
-struct Woken(AtomicBool);
+struct WakeFlag(AtomicBool);
 
-impl Wake for Woken {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// Answers one request over a socket whose writes are blocked so often in a row; returns the bytes that were
-/// written once nothing wakes the connection any more.
-fn play(blocked_in_a_row: usize) -> usize {
+/// Responds to one request over a socket that blocks `blocked_in_a_row` consecutive writes; returns
+/// the number of bytes written once nothing wakes the connection any more.
+fn serve_response(blocked_in_a_row: usize) -> usize {
     let request = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n";
-    let peer = Peer { request, room: PIECE, blocked_in_a_row, ..Peer::default() };
-    let shared = Shared(Rc::new(RefCell::new(peer)));
+    let peer = Peer { request, room: CHUNK_BYTES, blocked_in_a_row, ..Peer::default() };
+    let shared = SharedPeer(Rc::new(RefCell::new(peer)));
     let socket = Socket::new(shared.clone());
     let writes = socket.get_writes();
     let service = service_fn(|_: Request<_>| async {
-        let piece = || Ok::<_, Infallible>(Frame::data(Bytes::from(vec![b'x'; PIECE])));
-        let body = StreamBody::new(stream::iter((0..PIECES).map(move |_| piece())));
+        let chunk = || Ok::<_, Infallible>(Frame::data(Bytes::from(vec![b'x'; CHUNK_BYTES])));
+        let body = StreamBody::new(stream::iter((0..CHUNKS).map(move |_| chunk())));
         Ok::<_, Infallible>(Response::new(body))
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(PIECE);
+    builder.max_buf_size(CHUNK_BYTES);
     let mut connection = pin!(builder.serve_connection(socket, service));
-    let mut driven = pin!(drive(connection.as_mut(), &writes));
-    let woken = Arc::new(Woken(AtomicBool::new(true)));
+    let mut driver = pin!(drive(connection.as_mut(), &writes));
+    let woken = Arc::new(WakeFlag(AtomicBool::new(true)));
     let waker = Waker::from(woken.clone());
-    for _ in 0..MOST_POLLS {
+    for _ in 0..MAX_POLLS {
         if !woken.0.swap(false, Ordering::SeqCst) {
             let Some(writer) = shared.0.borrow_mut().writer.take() else { break };
             writer.wake();
             continue;
         }
-        if driven.as_mut().poll(&mut Context::from_waker(&waker)).is_ready() {
+        if driver.as_mut().poll(&mut Context::from_waker(&waker)).is_ready() {
             break;
         }
     }
@@ -144,12 +144,12 @@
 }
 
 #[test]
-fn an_answer_comes_whole_whenever_its_socket_becomes_writable() {
+fn response_completes_whenever_its_socket_becomes_writable() {
     for blocked_in_a_row in 1..=8 {
-        let written = play(blocked_in_a_row);
+        let written = serve_response(blocked_in_a_row);
         assert!(
-            written > PIECES * PIECE,
-            "{written} bytes, with {blocked_in_a_row} blocked writes in a row"
+            written > CHUNKS * CHUNK_BYTES,
+            "{written} bytes written, with {blocked_in_a_row} consecutive blocked writes"
         );
     }
 }
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -1,4 +1,4 @@
-//! How long the client believes in connections that rest.
+//! How long the HTTP client reuses idle connections, and how many it keeps.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,64 +7,65 @@
 use keeljunction_gateway::http::{Body, Client, Limits, Server, Stop, read};
 use keeljunction_gateway::runtime;
 
-/// Starts a server that answers every request.
+/// Starts a server that responds to every request.
 async fn serve() -> SocketAddr {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server = Server::bind(any, Limits::default(), Stop::new()).await.expect("a free port");
+    let server =
+        Server::bind(any, Limits::default(), Stop::new()).await.expect("a listener on a free port");
     let address = server.get_address().expect("an address");
     runtime::spawn(server.serve(|_| async { Response::new(Body::from("ok")) }));
     address
 }
 
-async fn ask(client: &Client, to: SocketAddr) {
+async fn send_request(client: &Client, to: SocketAddr) {
     let request = Request::get("/").header("host", "x").body(Body::empty()).expect("a request");
-    let response = client.send(to, request).await.expect("an answer");
+    let response = client.send(to, request).await.expect("a response");
     assert_eq!(read(response.into_body(), 100).await.as_deref(), Some(&b"ok"[..]));
-    // The connection is kept once it is ready again.
+    // The connection becomes idle once it is ready again.
     while client.get_idle(to) == 0 {
         runtime::sleep(Duration::from_millis(1)).await;
     }
 }
 
 #[test]
-fn a_connection_that_has_not_rested_for_long_is_used_again() {
+fn recently_used_connection_is_reused() {
     runtime::run(1, async {
         let to = serve().await;
         let client = Client::new(Duration::from_secs(5)).with_rest(Duration::from_secs(60));
         for _ in 0..3 {
-            ask(&client, to).await;
+            send_request(&client, to).await;
         }
         assert_eq!(client.get_opened(), 1);
     });
 }
 
 #[test]
-fn a_connection_that_rested_for_long_is_not_used_again_as_it_may_have_gone_silent() {
+fn connection_idle_for_too_long_is_not_reused() {
     runtime::run(1, async {
         let to = serve().await;
         let client = Client::new(Duration::from_secs(5)).with_rest(Duration::ZERO);
         for _ in 0..3 {
-            ask(&client, to).await;
+            send_request(&client, to).await;
         }
         assert_eq!((client.get_opened(), client.get_idle(to)), (3, 1));
     });
 }
 
 #[test]
-fn no_more_connections_to_a_server_rest_than_are_set() {
+fn idle_connections_per_server_are_limited() {
     runtime::run(1, async {
         let to = serve().await;
         let client = Client::new(Duration::from_secs(5));
         client.set_idle_per_address(2);
-        let asking: Vec<_> = (0..5)
+        let requests: Vec<_> = (0..5)
             .map(|_| {
                 let client = client.clone();
-                runtime::task(async move { ask(&client, to).await })
+                runtime::task(async move { send_request(&client, to).await })
             })
             .collect();
-        for asked in asking {
-            asked.await;
+        for request in requests {
+            request.await;
         }
-        assert!(client.get_idle(to) <= 2, "{} connections rest", client.get_idle(to));
+        assert!(client.get_idle(to) <= 2, "{} idle connections", client.get_idle(to));
     });
 }
--- a/crates/gateway/tests/document.rs
+++ b/crates/gateway/tests/document.rs
@@ -1,10 +1,10 @@
-//! Documents that peers get from each other.
+//! Compression of the documents that nodes fetch from each other.
 
 use keeljunction_gateway::node::document::{Document, decompress};
 use proptest::prelude::*;
 
 #[test]
-fn a_long_configuration_is_packed_small() {
+fn long_configuration_compresses_well() {
     let route =
         r#"{"name":"r","host":"bahu79.example","path_prefix":"/nywu900/no2/","service":"s"}"#;
     let text = format!("[{}]", vec![route; 1_400].join(","));
@@ -14,19 +14,19 @@
 }
 
 #[test]
-fn bytes_that_are_no_document_are_refused() {
+fn malformed_bytes_are_rejected() {
     assert_eq!(decompress(b"\xff\xff\xff\xff"), None);
 }
 
 #[test]
-fn a_document_that_grows_without_end_is_refused() {
+fn document_beyond_the_maximum_size_is_rejected() {
     let compressed = Document::new(vec![b'a'; (16 << 20) + 1]).get_compressed();
     assert_eq!(decompress(&compressed), None);
 }
 
 proptest! {
     #[test]
-    fn every_document_comes_back(text in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+    fn every_document_survives_a_round_trip(text in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let compressed = Document::new(text.clone()).get_compressed();
         prop_assert_eq!(decompress(&compressed), Some(text));
     }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -7,7 +7,7 @@
 const SPILL: &str = "  spill_mbps: 15 ";
 
 #[test]
-fn the_budget_for_other_regions_has_a_default() {
+fn spill_budget_has_a_default() {
     assert!(EXAMPLE.contains(SPILL));
     let without: String =
         EXAMPLE.lines().filter(|line| !line.starts_with(SPILL)).map(|l| format!("{l}\n")).collect();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_budget_for_other_regions_below_nothing_is_an_error_that_says_what_is_allowed() {
+fn negative_spill_budget_is_rejected_with_the_allowed_range() {
     let below = EXAMPLE.replace(SPILL, "  spill_mbps: -1 ");
     let error = Settings::parse(&below).expect_err("an error");
     assert_eq!(error.get_kind(), ErrorKind::InvalidValue);
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! What the clock shows of a suspended machine, and what timers do then.
+//! Detection of a suspended machine by its clocks, and the behaviour of timers.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_difference_of_the_two_clocks_is_a_suspension() {
+fn difference_of_the_clocks_is_a_suspension() {
     let mut suspension = Suspension::new(ms(90_000), ms(50_000));
     assert_eq!(suspension.look(ms(90_200), ms(50_200)), None);
     assert_eq!(suspension.look(ms(97_400), ms(50_400)), Some(ms(7_000)));
@@ -17,22 +17,22 @@
 }
 
 #[test]
-fn a_pause_that_both_clocks_count_is_none() {
+fn pause_counted_by_both_clocks_is_no_suspension() {
     let mut suspension = Suspension::new(ms(90_000), ms(50_000));
     assert_eq!(suspension.look(ms(99_000), ms(59_000)), None);
 }
 
 #[test]
-fn clocks_that_are_read_one_after_the_other_are_no_suspension() {
+fn delay_between_clock_reads_is_no_suspension() {
     let mut suspension = Suspension::new(ms(90_000), ms(50_000));
     assert_eq!(suspension.look(ms(90_240), ms(50_200)), None);
     assert_eq!(suspension.look(ms(90_400), ms(50_400)), None);
 }
 
 #[test]
-fn a_sleep_that_is_woken_goes_on_for_the_time_that_is_left() {
+fn woken_sleep_continues_for_the_remaining_time() {
     let clock = Clock::new();
-    let began = clock.now();
+    let started_at = clock.now();
     runtime::run(1, async {
         let waking = runtime::task(async {
             for _ in 0..10 {
@@ -43,5 +43,5 @@
         runtime::sleep(ms(300)).await;
         waking.await;
     });
-    assert!(clock.now() - began >= 299, "{}", clock.now() - began);
+    assert!(clock.now() - started_at >= 299, "{}", clock.now() - started_at);
 }
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -1,15 +1,15 @@
-//! The row that keeps the counts of windows that are not reported yet.
+//! The table row that holds the counts of unreported usage windows.
 
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use keeljunction_gateway::node::usage_rows::encode_running;
 
-/// What the platform's table service takes as the value of one row, in bytes.
-const LONGEST_ROW: usize = 65_536;
+/// The maximum size of a row's value in the platform's table service.
+const MAX_ROW_BYTES: usize = 65_536;
 
-/// Each aggregator counts for its group, and each client account sends some requests to each group. The row
-/// of 986 nodes and 333 client accounts grew beyond what a row may hold.
+/// Each aggregator counts for its group, and each client account sends some requests to each group.
+/// The uncompressed row of 986 nodes and 333 client accounts exceeded the maximum size.
 #[test]
-fn the_running_counts_of_a_large_fleet_fit_one_row() {
+fn running_counts_of_a_large_fleet_fit_one_row() {
     for (incarnations, accounts, requests) in [(68, 333, 3_500), (140, 666, 7_000)] {
         let mut random = fastrand::Rng::with_seed(3);
         let mut ledger = Ledger::default();
@@ -26,8 +26,11 @@
             }
         }
         let kept = ledger.get_since(1);
-        let unpacked = postcard::to_stdvec(&kept).expect("encoded").len();
-        let packed = encode_running(&kept).expect("encoded").len();
-        assert!(packed < LONGEST_ROW, "{packed} of {unpacked} bytes, {incarnations} groups");
+        let uncompressed = postcard::to_stdvec(&kept).expect("encoded").len();
+        let compressed = encode_running(&kept).expect("encoded").len();
+        assert!(
+            compressed < MAX_ROW_BYTES,
+            "{compressed} of {uncompressed} bytes, {incarnations} groups"
+        );
     }
 }
