--- a/crates/gateway/src/node/peers/discovery.rs
+++ b/crates/gateway/src/node/peers/discovery.rs
@@ -111,7 +111,7 @@
     loop {
         let reading = match part {
             Part::Sample { is_settled } => read_sample(node, is_settled).await,
-            Part::Whole => read_whole(node).await,
+            Part::Whole => read_all(node).await,
         };
         match reading {
             Ok(is_registered) => return is_registered,
@@ -132,14 +132,14 @@
 /// A write without an answer may still be applied later. When many nodes start, each further write
 /// delays those that are queued already, so the table is read before the next attempt.
 async fn register_until_done(node: &Node) {
-    let mut pause = INITIAL_REGISTRATION_BACKOFF;
+    let mut backoff = INITIAL_REGISTRATION_BACKOFF;
     while let Err(error) = register(node).await {
         note_failure("register this node", &error);
-        runtime::sleep(jitter(pause)).await;
+        runtime::sleep(jitter(backoff)).await;
         if read_with_retries(node, Part::Sample { is_settled: false }).await {
             return;
         }
-        pause = (pause * 2).min(MAX_REGISTRATION_BACKOFF);
+        backoff = (backoff * 2).min(MAX_REGISTRATION_BACKOFF);
     }
 }
 
@@ -153,7 +153,7 @@
     table::commit(node, transaction, REGISTRATION_TIMEOUT).await.map(|_| ())
 }
 
-async fn read_whole(node: &Node) -> Result<bool, TableError> {
+async fn read_all(node: &Node) -> Result<bool, TableError> {
     let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?.rows;
     let entries: Vec<Entry> = rows.iter().filter_map(decode).collect();
     let is_registered = entries.contains(&node.get_entry());
--- a/crates/gateway/src/node/peers/link.rs
+++ b/crates/gateway/src/node/peers/link.rs
@@ -182,9 +182,9 @@
         for address in to {
             sent += self.send_encoded(now, address, &encoded).await;
             if sent >= MAX_BURST_BYTES {
-                let pause = sent as f64 * 8.0 / self.bits_per_ms;
-                if pause >= MIN_PACING_DELAY_MS {
-                    runtime::sleep(Duration::from_secs_f64(pause / 1_000.0)).await;
+                let delay_ms = sent as f64 * 8.0 / self.bits_per_ms;
+                if delay_ms >= MIN_PACING_DELAY_MS {
+                    runtime::sleep(Duration::from_secs_f64(delay_ms / 1_000.0)).await;
                 }
                 sent = 0;
             }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -123,12 +123,12 @@
     node: &Node,
     from: SocketAddr,
     query_id: u32,
-    asking: &str,
+    requester: &str,
     servers: &[u64],
 ) {
     let loads = node.with(|state| {
         let others = |server: &u64| {
-            let mut load = state.loads.get_others(asking, *server);
+            let mut load = state.loads.get_others(requester, *server);
             load.add(&state.loads.get_own_of(*server));
             (*server, load)
         };
@@ -188,8 +188,8 @@
         let until = node.now() + BATCH_WINDOW.as_millis() as Millis;
         let mut is_urgent = first.is_urgent;
         while !is_urgent {
-            let left = Duration::from_millis(until.saturating_sub(node.now()));
-            let Some(Ok(next)) = runtime::within(left, changes.recv()).await else { break };
+            let remaining = Duration::from_millis(until.saturating_sub(node.now()));
+            let Some(Ok(next)) = runtime::within(remaining, changes.recv()).await else { break };
             servers.insert(next.server, next.data_centre);
             is_urgent = next.is_urgent;
         }
--- a/crates/gateway/src/node/peers/mod.rs
+++ b/crates/gateway/src/node/peers/mod.rs
@@ -80,8 +80,8 @@
             Message::Notification(notification) => {
                 notifications::handle(&node, from, notification).await
             }
-            Message::QueryLoads { query_id, node: asking, servers } => {
-                loads::answer_query(&node, from, query_id, &asking, &servers).await;
+            Message::QueryLoads { query_id, node: requester, servers } => {
+                loads::answer_query(&node, from, query_id, &requester, &servers).await;
             }
             Message::Loads { query_id, loads } => loads::handle_answer(&node, query_id, loads),
             Message::QueryQuota { query_id, account, units } => {
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -31,8 +31,8 @@
         let State { quarantine, members, .. } = state;
         quarantine.take_due(now, |service| members.find_owner(service))
     });
-    for (keeper, crash) in due {
-        node.link.send(now, keeper, &Message::ServerCrashed(crash)).await;
+    for (owner, crash) in due {
+        node.link.send(now, owner, &Message::ServerCrashed(crash)).await;
     }
 }
 
@@ -55,8 +55,8 @@
 /// Notifies the owner of a service that a request was completed.
 async fn notify_completed(node: Arc<Node>, service: u64, fingerprint: Fingerprint) {
     match node.with(|state| state.members.find_owner(service)) {
-        Some(keeper) => {
-            node.link.send(node.now(), keeper, &Message::RequestCompleted(fingerprint)).await;
+        Some(owner) => {
+            node.link.send(node.now(), owner, &Message::RequestCompleted(fingerprint)).await;
         }
         None => handle_completed(&node, fingerprint),
     }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -99,11 +99,11 @@
 /// Starts a new incarnation of the counts with those that the previous report target did not
 /// receive.
 fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
-    let former = state.handover.get_incarnation().clone();
+    let previous = state.handover.get_incarnation().clone();
     let arrived = state.handover.begin(fastrand::u64(..));
     let next = state.handover.get_incarnation().clone();
     state.quotas.hand_over(now, &arrived.quota);
-    state.usage.hand_over(&former, &next, &arrived.usage, was_own_sum);
+    state.usage.hand_over(&previous, &next, &arrived.usage, was_own_sum);
     state.rollouts.hand_over();
     state.samples.clear();
 }
@@ -377,11 +377,11 @@
         role,
         holder_age: sender.holder_age,
     };
-    if let Some(former) = state.members.hear(now, &heard) {
-        state.quotas.forget(name, former);
-        state.demand.forget(name, former);
-        state.rollouts.forget(name, former);
-        // The aggregator has started anew and does not know what this node reported.
+    if let Some(previous) = state.members.hear(now, &heard) {
+        state.quotas.forget(name, previous);
+        state.demand.forget(name, previous);
+        state.rollouts.forget(name, previous);
+        // The aggregator has restarted and does not know what this node reported.
         if state.report_target == ReportTarget::OwnAggregator(name.clone()) {
             begin_incarnation(state, now, false);
         }
--- a/crates/gateway/src/node/peers/report_target.rs
+++ b/crates/gateway/src/node/peers/report_target.rs
@@ -19,9 +19,9 @@
 }
 
 /// Buffers samples for the nodes of this node's group, up to the number that an overview holds.
-pub(super) fn buffer_samples(kept: &mut Samples, service: String, samples: Vec<Sample>) {
-    let count: usize = kept.iter().map(|(_, samples)| samples.len()).sum();
+pub(super) fn buffer_samples(buffer: &mut Samples, service: String, samples: Vec<Sample>) {
+    let count: usize = buffer.iter().map(|(_, samples)| samples.len()).sum();
     if count < MAX_FORWARDED_SAMPLES {
-        kept.push((service, samples));
+        buffer.push((service, samples));
     }
 }
--- a/crates/gateway/src/node/peers/summary_relay.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -27,7 +27,7 @@
     if !node.topology.is_multi_region() {
         return;
     }
-    let far = node.with(|state| {
+    let remote_regions = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
         let others = regions.filter(|region| *region != node.topology.get_own());
         let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
@@ -36,8 +36,8 @@
         log_lost(state);
         turn.is_multiple_of(REGION_REFRESH_TURNS).then(|| state.members.list_far())
     });
-    if let Some(far) = far {
-        node.link.set_remote_regions(far);
+    if let Some(remote_regions) = remote_regions {
+        node.link.set_remote_regions(remote_regions);
     }
 }
 
@@ -52,7 +52,7 @@
 /// Sends a summary to a carrier of each other region if it is due, and returns it.
 pub(super) async fn send(node: &Node, now: Millis, mut summary: Summary) -> Summary {
     let own = summary.totals.throughputs.clone();
-    let crossed = node.link.get_cross_region_bytes();
+    let cross_region_bytes = node.link.get_cross_region_bytes();
     let carriers: Vec<SocketAddr> = node.with(|state| {
         if !state.members.is_crossing() {
             return Vec::new();
@@ -61,7 +61,7 @@
             report_target::buffer_samples(&mut state.summary_relay.samples, service, samples);
         }
         let senders = state.members.count_near_aggregators();
-        if !state.summary_relay.pace.is_due(now, crossed, senders) {
+        if !state.summary_relay.pace.is_due(now, cross_region_bytes, senders) {
             return Vec::new();
         }
         state.summary_relay.pace.note_sent(now);
@@ -95,7 +95,7 @@
         report::handle_summary(node, echoed_at, summary);
         return versions::handle(node, from, echoed_at, &reported);
     }
-    if note_crossed(node, sent, &summary) {
+    if record_summary(node, sent, &summary) {
         if node.with(|state| state.members.is_crossing()) {
             runtime::spawn(forward(node.clone(), sent, summary.clone()));
         }
@@ -108,7 +108,7 @@
 ///
 /// When the carrier last heard this node says nothing about the original sender.
 pub(super) fn handle_relayed(node: &Arc<Node>, sent: (u32, Millis), summary: Summary) {
-    if note_crossed(node, sent, &summary) {
+    if record_summary(node, sent, &summary) {
         merge(node, None, summary);
     }
 }
@@ -122,7 +122,7 @@
 }
 
 /// Returns `true` if a summary of another region is newer than all earlier ones.
-fn note_crossed(node: &Node, (boot_id, sent_at): (u32, Millis), summary: &Summary) -> bool {
+fn record_summary(node: &Node, (boot_id, sent_at): (u32, Millis), summary: &Summary) -> bool {
     let now = node.now();
     let entry = &summary.sender.entry;
     if let Some(region) = node.topology.get_region(&entry.data_centre) {
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -72,7 +72,7 @@
 async fn step(node: &Arc<Node>, clock: &mut Option<ClockReading>) -> Result<(), TableError> {
     let era = node.with(|state| state.eras.get());
     let Some(known) = clock.filter(|known| known.era == era) else {
-        if is_keeper(node) {
+        if is_owner(node) {
             *clock = Some(load(node).await?);
             let now = node.now();
             node.with(|state| {
@@ -95,7 +95,7 @@
 }
 
 /// Returns `true` if this node owns a service.
-fn is_keeper(node: &Node) -> bool {
+fn is_owner(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| {
         let Some(configuration) = &state.configuration else { return false };
--- a/crates/gateway/src/node/usage_reporter.rs
+++ b/crates/gateway/src/node/usage_reporter.rs
@@ -319,7 +319,8 @@
     let length = get_window_length(node);
     let ended_at = (window + 1) * length;
     let now = node.now();
-    let began_at = now.saturating_sub(runtime::unix_ms().saturating_sub(ended_at) + length);
+    let window_started_at =
+        now.saturating_sub(runtime::unix_ms().saturating_sub(ended_at) + length);
     node.with(|state| {
         if state.eras.is_surely_after_return(ended_at + get_settle_time(get_report_deadline(node)))
         {
@@ -333,6 +334,7 @@
         let Some(era_age) = state.eras.get_age(now) else { return false };
         // The holder of the previous era acts until its lease expires.
         let released_at = now.saturating_sub(era_age) + state.lease.get_length();
-        node.clock.get_start() < began_at && state.members.is_whole(released_at, began_at)
+        node.clock.get_start() < window_started_at
+            && state.members.is_whole(released_at, window_started_at)
     })
 }
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -102,8 +102,9 @@
             unconfirmed_since = None;
         }
         // A node without a configuration waits for the first one instead of requesting it again.
-        let is_told_soon = is_unconfirmed(&node) && now < since + CONFIRMATION_WAIT_MS;
-        let is_waiting = !is_reader(&node) && (lacks_configuration(&node) || is_told_soon);
+        let is_confirmation_expected = is_unconfirmed(&node) && now < since + CONFIRMATION_WAIT_MS;
+        let is_waiting =
+            !is_reader(&node) && (lacks_configuration(&node) || is_confirmation_expected);
         if is_waiting || !should_read(&node, staleness::is_configuration_stale) {
             runtime::sleep(POLL_INTERVAL).await;
             continue;
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -77,8 +77,8 @@
             Ok(rows) => {
                 take(&rows, asked_at);
                 version = rows.version.max(version);
-                if let Some(pause) = watch.batch_delay.filter(|_| !rows.rows.is_empty()) {
-                    runtime::sleep(pause).await;
+                if let Some(delay) = watch.batch_delay.filter(|_| !rows.rows.is_empty()) {
+                    runtime::sleep(delay).await;
                 }
             }
             Err(error) => return note_failure("watch", &error),
