--- a/crates/gateway/src/node/backoff.rs
+++ b/crates/gateway/src/node/back_off.rs
@@ -5,8 +5,8 @@
 use crate::runtime;
 
 /// The delay after the first failure. It doubles with each failure, up to the maximum.
-const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
-const MAX_BACKOFF: Duration = Duration::from_millis(500);
+const INITIAL_BACK_OFF: Duration = Duration::from_millis(60);
+const MAX_BACK_OFF: Duration = Duration::from_millis(500);
 
 /// Randomizes a period between 75 % and 125 %, so that nodes do not make their calls at the same
 /// time.
@@ -16,11 +16,11 @@
 
 /// A delay that grows exponentially with each failure.
 #[derive(Debug, Default)]
-pub struct Backoff {
+pub struct BackOff {
     failures: u32,
 }
 
-impl Backoff {
+impl BackOff {
     /// Resets the delay after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
@@ -28,8 +28,8 @@
 
     /// Waits, longer after each failure.
     pub async fn wait(&mut self) {
-        let bound = INITIAL_BACKOFF * (1 << self.failures.min(5));
+        let bound = INITIAL_BACK_OFF * (1 << self.failures.min(5));
         self.failures += 1;
-        runtime::sleep(jitter(bound.min(MAX_BACKOFF))).await;
+        runtime::sleep(jitter(bound.min(MAX_BACK_OFF))).await;
     }
 }
--- a/crates/gateway/src/node/capacity_controller.rs
+++ b/crates/gateway/src/node/capacity_controller.rs
@@ -24,7 +24,7 @@
 /// The window whose largest need counts, so that capacity is scaled down slowly.
 const SCALE_DOWN_WINDOW_MS: Millis = 8_000;
 /// The backoff after an order was refused or not answered.
-const ORDER_BACKOFF_MS: Millis = 2_000;
+const ORDER_BACK_OFF_MS: Millis = 2_000;
 /// The interval between orders of spot servers while the server list is still growing. A tenth of a
 /// usual boot time keeps the number of calls low and lets few on-demand servers wait for their
 /// replacement.
@@ -38,12 +38,12 @@
 /// The servers of each data centre, by region.
 type Inventories = BTreeMap<String, BTreeMap<String, Inventory>>;
 
-/// The capacity orders of the lease holder and the state they depend on.
+/// The capacity orders of the duty holder and the state they depend on.
 #[derive(Debug, Default)]
 pub struct CapacityController {
     fence: Option<u64>,
     ordered: BTreeMap<OrderKey, Order>,
-    backoff_until: BTreeMap<OrderKey, Millis>,
+    back_off_until: BTreeMap<OrderKey, Millis>,
     /// The recent maximum of the needs, by service.
     needs: BTreeMap<String, Needs>,
     /// When this holder first knew the demand, by service.
@@ -270,10 +270,10 @@
         inventory: &BTreeMap<String, Inventory>,
         now: Millis,
     ) -> bool {
-        let mut refused = self.backoff_until.iter().filter(|((service, data_centre, kind), _)| {
+        let mut refused = self.back_off_until.iter().filter(|((service, data_centre, kind), _)| {
             service == name && *kind && inventory.contains_key(data_centre)
         });
-        refused.any(|(_, until)| now < until + ORDER_BACKOFF_MS)
+        refused.any(|(_, until)| now < until + ORDER_BACK_OFF_MS)
     }
 
     /// Lists the orders that turn the current orders, or the servers present, into the plan.
@@ -302,7 +302,7 @@
 
     /// Returns `true` if an order for `count` servers must be sent now.
     fn is_due(&self, key: &OrderKey, count: u32, held: &Inventory, now: Millis) -> bool {
-        if self.backoff_until.get(key).is_some_and(|until| now < *until) {
+        if self.back_off_until.get(key).is_some_and(|until| now < *until) {
             return false;
         }
         let (present, booting) = match key.2 {
@@ -339,7 +339,7 @@
             self.ordered.insert(key, Order::new(node.now(), order.count, present));
         } else {
             self.ordered.remove(&key);
-            self.backoff_until.insert(key, node.now() + ORDER_BACKOFF_MS);
+            self.back_off_until.insert(key, node.now() + ORDER_BACK_OFF_MS);
         }
     }
 }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -21,7 +21,7 @@
 //! | `table` | calls the table service and tracks its eras |
 //! | [`stop`] | shuts the node down without interrupting responses |
 
-mod backoff;
+mod back_off;
 mod capacity_controller;
 mod connections;
 pub(crate) mod crashes;
--- a/crates/gateway/src/node/peers/discovery.rs
+++ b/crates/gateway/src/node/peers/discovery.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::serving::members::{Entry, sample};
 
 use crate::event::{self, Event};
-use crate::node::backoff::{Backoff, jitter};
+use crate::node::back_off::{BackOff, jitter};
 use crate::node::{Node, table};
 use crate::port::{Row, Rows, Selection, TableError, TableName, Transaction, Write};
 use crate::runtime;
@@ -19,9 +19,9 @@
 /// accepts a limited number of writes per second and refuses more.
 const REGISTRATION_SPREAD: Duration = Duration::from_millis(1_000);
 /// The backoff after the first failed registration, which spreads the writes further.
-const INITIAL_REGISTRATION_BACKOFF: Duration = Duration::from_millis(1_500);
+const INITIAL_REGISTRATION_BACK_OFF: Duration = Duration::from_millis(1_500);
 /// The maximum backoff after several failed registrations.
-const MAX_REGISTRATION_BACKOFF: Duration = Duration::from_secs(12);
+const MAX_REGISTRATION_BACK_OFF: Duration = Duration::from_secs(12);
 /// The timeout of a registration. The table service queues writes for up to a second, and a node
 /// that gives up earlier gets no answer at all while the service is saturated.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -77,14 +77,14 @@
 /// Registers this node again if its row was lost in a restore of the table service.
 async fn ensure_registered(node: &Node) {
     runtime::sleep(REGISTRATION_SPREAD.mul_f64(fastrand::f64())).await;
-    let mut backoff = Backoff::default();
+    let mut back_off = BackOff::default();
     loop {
         match is_registered(node).await {
             Ok(true) => return,
             Ok(false) => return register_until_done(node).await,
-            Err(error) => note_failure("read nodes", &error),
+            Err(error) => emit_failure("read nodes", &error),
         }
-        backoff.wait().await;
+        back_off.wait().await;
     }
 }
 
@@ -107,7 +107,7 @@
 /// Reads the table, retrying after each failure; returns `true` if this node is registered with its
 /// current entry.
 async fn read_with_retries(node: &Node, part: Part) -> bool {
-    let mut backoff = Backoff::default();
+    let mut back_off = BackOff::default();
     loop {
         let reading = match part {
             Part::Sample { is_settled } => read_sample(node, is_settled).await,
@@ -115,9 +115,9 @@
         };
         match reading {
             Ok(is_registered) => return is_registered,
-            Err(error) => note_failure("read nodes", &error),
+            Err(error) => emit_failure("read nodes", &error),
         }
-        backoff.wait().await;
+        back_off.wait().await;
     }
 }
 
@@ -132,14 +132,14 @@
 /// A write without an answer may still be applied later. When many nodes start, each further write
 /// delays those that are queued already, so the table is read before the next attempt.
 async fn register_until_done(node: &Node) {
-    let mut backoff = INITIAL_REGISTRATION_BACKOFF;
+    let mut back_off = INITIAL_REGISTRATION_BACK_OFF;
     while let Err(error) = register(node).await {
-        note_failure("register this node", &error);
-        runtime::sleep(jitter(backoff)).await;
+        emit_failure("register this node", &error);
+        runtime::sleep(jitter(back_off)).await;
         if read_with_retries(node, Part::Sample { is_settled: false }).await {
             return;
         }
-        backoff = (backoff * 2).min(MAX_REGISTRATION_BACKOFF);
+        back_off = (back_off * 2).min(MAX_REGISTRATION_BACK_OFF);
     }
 }
 
@@ -200,6 +200,6 @@
     decoded.inspect_err(report).ok()
 }
 
-fn note_failure(what: &'static str, error: &TableError) {
+fn emit_failure(what: &'static str, error: &TableError) {
     event::emit(&Event::TableCallFailed { what, error: error.to_string() });
 }
--- a/crates/gateway/src/node/peers/link.rs
+++ b/crates/gateway/src/node/peers/link.rs
@@ -19,7 +19,7 @@
 /// The maximum payload of a UDP datagram over IPv4.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 /// The delay after a socket error, so that a permanent error does not cause a busy loop.
-const ERROR_BACKOFF: Duration = Duration::from_millis(50);
+const ERROR_BACK_OFF: Duration = Duration::from_millis(50);
 /// The fraction of the link's bandwidth that datagrams to many nodes may use.
 const LINK_FRACTION: f64 = 0.4;
 /// The maximum number of bytes sent without a delay, some eight full packets.
@@ -88,7 +88,7 @@
     }
 
     /// Records that a node is in another region.
-    pub fn note_remote_region(&self, address: SocketAddr, region: &str) {
+    pub fn record_remote_region(&self, address: SocketAddr, region: &str) {
         lock(&self.remote_regions).entry(address).or_insert_with(|| region.to_owned());
     }
 
@@ -127,7 +127,7 @@
                     // The closed port of a peer is reported here as well; there is nothing to do
                     // about it.
                     log::debug!("failed to receive a datagram: {error}");
-                    runtime::sleep(ERROR_BACKOFF).await;
+                    runtime::sleep(ERROR_BACK_OFF).await;
                     continue;
                 }
             };
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -7,7 +7,7 @@
 //! milliseconds old.
 //!
 //! The timeout for answers from other regions follows the measured round-trip times. Each answer is
-//! a measurement ([`super::summary_relay::note_round_trip`]), even if it arrives too late.
+//! a measurement ([`super::summary_relay::record_round_trip`]), even if it arrives too late.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -133,7 +133,7 @@
     pub incarnation: u64,
     /// `true` if the sender is shutting down.
     pub is_stopping: bool,
-    /// Milliseconds since the sender heard of the lease holder; 0 if the sender is the holder.
+    /// Milliseconds since the sender heard of the duty holder; 0 if the sender is the holder.
     pub holder_age: Option<Millis>,
     /// The rollouts known to the sender.
     pub rollouts: Vec<Announcement>,
--- a/crates/gateway/src/node/peers/mod.rs
+++ b/crates/gateway/src/node/peers/mod.rs
@@ -60,7 +60,7 @@
     let mut buffer = Vec::new();
     loop {
         let Received { from, sent, echoed_at, message } = node.link.receive(&mut buffer).await;
-        summary_relay::note_round_trip(&node, from, echoed_at, &message);
+        summary_relay::record_round_trip(&node, from, echoed_at, &message);
         match message {
             Message::Report(report) => report::handle_report(&node, echoed_at, *report),
             Message::Summary(summary) => {
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -123,7 +123,7 @@
 /// Handles changes of the server list, or fetches the list if some changes are missing.
 async fn handle_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
     let version = batch.version;
-    table::note_era(node, version.era);
+    table::record_era(node, version.era);
     let notification = Notification::ServersChanged(batch.clone());
     let (changes, is_new) = node.with(|state| {
         let before = state.directory.get_version();
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -21,7 +21,7 @@
 const DECISION_TIMEOUT_MS: Millis = 40;
 /// How long a node that got no decision sends nothing to the server: one report period, after which
 /// it may have found another owner.
-const UNDECIDED_BACKOFF_MS: Millis = 200;
+const UNDECIDED_BACK_OFF_MS: Millis = 200;
 
 /// A permit to send a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     };
     let now = node.now();
     let is_granted = node.with(|state| {
-        state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_BACKOFF_MS)
+        state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_BACK_OFF_MS)
     });
     if !is_granted {
         node.metrics.permits_denied.inc();
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -256,7 +256,7 @@
         return;
     }
     node.with(|state| {
-        note_heard(state, now, &sender, Role::Member, echoed_at);
+        record_heard(state, now, &sender, Role::Member, echoed_at);
         let from = (sender.entry.name.as_str(), sender.incarnation);
         state.quotas.merge(now, Source::Member, from, &totals.quota);
         let incarnation =
@@ -283,7 +283,7 @@
         return;
     }
     node.with(|state| {
-        note_heard(state, now, &sender, Role::Aggregator, echoed_at);
+        record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         state.members.take_entries(now, &joined);
         let name = sender.entry.name.as_str();
         state.members.take_roster(name, roster);
@@ -333,7 +333,7 @@
     let (lost_regions, is_region_overdue) = (overview.lost_regions, overview.is_region_overdue);
     let (aggregators, roster) = (overview.aggregators, overview.roster);
     node.with(|state| {
-        let arrived = note_heard(state, now, &sender, Role::Aggregator, echoed_at);
+        let arrived = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         let name = sender.entry.name.as_str();
         state.members.take_roster(name, roster);
         state.members.take_overview(now, name, reach, &silent);
@@ -359,7 +359,7 @@
 
 /// Records that a node was heard, and which of this node's reports it had received; returns the
 /// counts in that report.
-fn note_heard(
+fn record_heard(
     state: &mut State,
     now: Millis,
     sender: &Sender,
--- a/crates/gateway/src/node/peers/summary_relay.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -128,7 +128,7 @@
     if let Some(region) = node.topology.get_region(&entry.data_centre) {
         // The list of remote nodes is refreshed at intervals only, and an answer may arrive
         // earlier.
-        node.link.note_remote_region(entry.address, region);
+        node.link.record_remote_region(entry.address, region);
     }
     node.with(|state| state.members.note_crossed(now, entry, boot_id, sent_at))
 }
@@ -143,7 +143,7 @@
 
 /// Records the round-trip time to another region, if the message is an answer that is sent without
 /// delay.
-pub(super) fn note_round_trip(
+pub(super) fn record_round_trip(
     node: &Node,
     from: SocketAddr,
     echoed_at: Option<Millis>,
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -16,7 +16,7 @@
 use super::calls;
 use super::message::Message;
 use crate::event::{self, Event};
-use crate::node::backoff::jitter;
+use crate::node::back_off::jitter;
 use crate::node::{Node, staleness, table};
 use crate::runtime;
 
@@ -92,7 +92,7 @@
         confirm_configuration(node, echoed_at, known);
     }
     if let Some(known) = versions.servers {
-        table::note_era(node, known.version.era);
+        table::record_era(node, known.version.era);
         confirm_servers(node, echoed_at, known);
     }
 }
@@ -114,7 +114,7 @@
         }
     }
     if let Some(known) = versions.servers {
-        table::note_era(node, known.version.era);
+        table::record_era(node, known.version.era);
         let has_servers = node.with(|state| {
             state.directory.is_known() && state.directory.get_version() >= known.version
         });
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -15,7 +15,7 @@
 use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINED_FOR, Standing, Verdict};
 use serde::{Deserialize, Serialize};
 
-use super::backoff::Backoff;
+use super::back_off::BackOff;
 use super::{Node, peers, table};
 use crate::event::{self, Event};
 use crate::port::{Row, TableError, TableName, Transaction, Write};
@@ -56,15 +56,15 @@
 /// Reads and writes the rows until the process ends.
 pub(super) async fn run(node: Arc<Node>) {
     let mut clock = None;
-    let mut backoff = Backoff::default();
+    let mut back_off = BackOff::default();
     loop {
         runtime::sleep(POLL_INTERVAL).await;
         let Err(error) = step(&node, &mut clock).await else {
-            backoff.reset();
+            back_off.reset();
             continue;
         };
         event::emit(&Event::TableCallFailed { what: TABLE, error: error.to_string() });
-        backoff.wait().await;
+        back_off.wait().await;
     }
 }
 
--- a/crates/gateway/src/node/rollout_controller.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -32,9 +32,9 @@
 const TABLE: &str = "rollouts";
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The backoff after a failed call to the table service.
-const FAILURE_BACKOFF_MS: Millis = 300;
+const FAILURE_BACK_OFF_MS: Millis = 300;
 
-/// The lease holder's state of the rollouts.
+/// The duty holder's state of the rollouts.
 #[derive(Debug, Default)]
 pub struct RolloutController {
     fence: Option<u64>,
@@ -44,7 +44,7 @@
     records: BTreeMap<String, StoredRecord>,
     progress: BTreeMap<String, (TableVersion, Progress)>,
     statuses: Statuses,
-    backoff_until: Millis,
+    back_off_until: Millis,
 }
 
 /// The progress of a rollout, as stored in the table.
@@ -87,7 +87,7 @@
     pub async fn step(&mut self, node: &Node) {
         let now = node.now();
         let orders = node.with(|state| state.rollouts.list_orders());
-        if orders.is_empty() || now < self.backoff_until {
+        if orders.is_empty() || now < self.back_off_until {
             return;
         }
         let is_done = match self.load_records(node).await {
@@ -98,7 +98,7 @@
             // The write may have succeeded or may still succeed: read the rows before the next
             // attempt.
             self.fence = None;
-            self.backoff_until = node.now() + FAILURE_BACKOFF_MS;
+            self.back_off_until = node.now() + FAILURE_BACK_OFF_MS;
         }
     }
 
@@ -241,7 +241,7 @@
         let key = table::era_key(service, self.era);
         let writing =
             table::replace(node, TableName::Own(TABLE), &key, version, value, CALL_TIMEOUT);
-        let Ok(rows) = writing.await.inspect_err(note_failure) else {
+        let Ok(rows) = writing.await.inspect_err(emit_failure) else {
             return false;
         };
         let written = StoredRecord { record, version: rows.version };
@@ -250,7 +250,7 @@
     }
 }
 
-fn note_failure(error: &TableError) {
+fn emit_failure(error: &TableError) {
     event::emit(&Event::TableCallFailed { what: "roll-out", error: error.to_string() });
 }
 
--- a/crates/gateway/src/node/rollout_status.rs
+++ b/crates/gateway/src/node/rollout_status.rs
@@ -2,7 +2,7 @@
 //!
 //! The status row belongs to the operator and has the same key in all eras of the table service. A
 //! write that was sent before the service was restored from an older copy may therefore be applied
-//! afterwards and put an earlier stage there. For some time after a restore, the lease holder
+//! afterwards and put an earlier stage there. For some time after a restore, the duty holder
 //! rewrites the status at intervals.
 
 use std::collections::BTreeMap;
@@ -62,7 +62,7 @@
         });
         let (name, value) = (TableName::Status, Some(row.value));
         let writing = table::replace(node, name, &row.key, status.version, value, CALL_TIMEOUT);
-        match writing.await.inspect_err(note_failure) {
+        match writing.await.inspect_err(emit_failure) {
             Ok(rows) => {
                 let written = Some((order.number, stage));
                 status = PublishedStatus { version: rows.version, written, written_at: node.now() };
@@ -88,6 +88,6 @@
     is_restore_recent && now >= status.written_at + STATUS_REWRITE_INTERVAL_MS
 }
 
-fn note_failure(error: &TableError) {
+fn emit_failure(error: &TableError) {
     event::emit(&Event::TableCallFailed { what: "rollout status", error: error.to_string() });
 }
--- a/crates/gateway/src/node/skipped.rs
+++ b/crates/gateway/src/node/skipped.rs
@@ -19,7 +19,7 @@
 impl Entries {
     /// Records that an entry could not be decoded; returns `true` if this version of its row is
     /// new.
-    pub fn note(&mut self, key: &str, version: TableVersion) -> bool {
+    pub fn record(&mut self, key: &str, version: TableVersion) -> bool {
         let known = self.versions.get(key).copied();
         if known.is_some() || self.versions.len() < MAX_ENTRIES {
             self.versions.insert(key.to_owned(), version);
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -153,7 +153,7 @@
 /// Records the era of an answer, and rejects an answer of an earlier era.
 fn check_era(node: &Node, answer: Result<Rows, TableError>) -> Result<Rows, TableError> {
     if let Ok(rows) | Err(TableError::Conflict(rows)) = &answer {
-        note_era(node, rows.version.era);
+        record_era(node, rows.version.era);
         let known = node.with(|state| state.eras.get());
         if rows.version.era < known {
             event::emit(&Event::RowsDropped {
@@ -168,7 +168,7 @@
 }
 
 /// Records an era that an answer or another node reported.
-pub(super) fn note_era(node: &Node, era: Era) {
+pub(super) fn record_era(node: &Node, era: Era) {
     let now = node.now();
     let new_era = node.with(|state| {
         let new_era = state.eras.note(now, era)?;
--- a/crates/gateway/src/node/usage_reporter.rs
+++ b/crates/gateway/src/node/usage_reporter.rs
@@ -39,7 +39,7 @@
 /// hundred entries.
 const MAX_REMOVALS: usize = 50;
 
-/// The lease holder's state of the usage reports.
+/// The duty holder's state of the usage reports.
 #[derive(Debug, Default)]
 pub struct UsageReporter {
     fence: Option<u64>,
@@ -55,7 +55,7 @@
     /// Windows whose counts were sent to the nodes that may hold the lease next.
     announced: BTreeSet<WindowNumber>,
     reported: BTreeSet<WindowNumber>,
-    backoff_until: Millis,
+    back_off_until: Millis,
     checkpoint: Checkpoint,
 }
 
@@ -70,11 +70,11 @@
     /// Freezes and reports the windows that have ended.
     pub async fn step(&mut self, node: &Node) {
         let now = node.now();
-        if now < self.backoff_until {
+        if now < self.back_off_until {
             return;
         }
         if !self.load_from_table(node).await {
-            self.backoff_until = now + CALL_TIMEOUT.as_millis() as Millis;
+            self.back_off_until = now + CALL_TIMEOUT.as_millis() as Millis;
             return;
         }
         self.write_checkpoint(node).await;
@@ -89,7 +89,7 @@
                 continue;
             }
             if !self.freeze(node, window).await || !self.report(node, window).await {
-                self.backoff_until = node.now() + CALL_TIMEOUT.as_millis() as Millis;
+                self.back_off_until = node.now() + CALL_TIMEOUT.as_millis() as Millis;
                 return;
             }
         }
--- a/crates/gateway/src/node/usage_rows.rs
+++ b/crates/gateway/src/node/usage_rows.rs
@@ -1,4 +1,4 @@
-//! The table rows in which the lease holder stores usage counts.
+//! The table rows in which the duty holder stores usage counts.
 //!
 //! A frozen window has one row per era of the table service, and so have the running counts of the
 //! unreported windows.
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -10,11 +10,11 @@
 use keeljunction_core::serving::table_version::TableVersion;
 
 use super::{
-    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, follow, fraction_of, is_reader, note_failure, read,
+    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, emit_failure, follow, fraction_of, is_reader, read,
     should_read,
 };
 use crate::event::{self, Event};
-use crate::node::backoff::{Backoff, jitter};
+use crate::node::back_off::{BackOff, jitter};
 use crate::node::document::Document;
 use crate::node::peers::message::Notification;
 use crate::node::state::ConfigurationRow;
@@ -44,7 +44,7 @@
 /// Follows the configuration until the process ends, while this node is a reader or has no
 /// configuration.
 pub async fn watch_configuration(node: Arc<Node>) {
-    let mut backoff = Backoff::default();
+    let mut back_off = BackOff::default();
     let mut read_at = None;
     loop {
         let now = node.now();
@@ -55,18 +55,18 @@
         }
         match read(&node, TableName::Configuration).await {
             Ok(rows) => {
-                note_rewritten(&node, &rows.rows);
+                record_rewritten(&node, &rows.rows);
                 adopt_and_notify(&node, &rows.rows);
                 if let Err(error) = confirm_configuration(&node, now).await {
-                    note_failure("era", &error);
+                    emit_failure("era", &error);
                 }
-                backoff.reset();
+                back_off.reset();
                 read_at = Some(now);
                 follow_configuration(&node, rows.version).await;
             }
-            Err(error) => note_failure("configuration", &error),
+            Err(error) => emit_failure("configuration", &error),
         }
-        backoff.wait().await;
+        back_off.wait().await;
     }
 }
 
@@ -83,7 +83,7 @@
     let hold = fraction_of(node.settings.bounds.config_apply_ms, CONFIGURATION_HOLD_FRACTION);
     let watch = Watch { table, hold, batch_delay: None, is_wanted: is_reader };
     follow(node, &watch, from, |rows, _| {
-        note_rewritten(node, &rows.rows);
+        record_rewritten(node, &rows.rows);
         adopt_and_notify(node, &rows.rows);
     })
     .await;
@@ -93,7 +93,7 @@
 pub async fn confirm_freshness(node: Arc<Node>) {
     let bound =
         Duration::from_millis(node.get_max_configuration_age()) / MIN_CONFIRMATIONS_PER_BOUND;
-    let mut backoff = Backoff::default();
+    let mut back_off = BackOff::default();
     let mut unconfirmed_since = None;
     loop {
         let now = node.now();
@@ -111,7 +111,7 @@
         }
         match confirm(&node).await {
             Ok(()) => {
-                backoff.reset();
+                back_off.reset();
                 let is_grouped = node.with(|state| state.members.is_grouped());
                 let part = if is_grouped {
                     GROUPED_CONFIRM_INTERVAL_FRACTION
@@ -122,8 +122,8 @@
                 runtime::sleep(jitter(period.min(bound))).await;
             }
             Err(error) => {
-                note_failure("freshness", &error);
-                backoff.wait().await;
+                emit_failure("freshness", &error);
+                back_off.wait().await;
             }
         }
     }
@@ -145,7 +145,7 @@
         },
         None => read(node, TableName::Configuration).await?.rows,
     };
-    note_rewritten(node, &rows);
+    record_rewritten(node, &rows);
     adopt_and_notify(node, &rows);
     rollouts::announce_deferred(node);
     confirm_configuration(node, asked_at).await
@@ -169,7 +169,7 @@
 
 /// Records that the operator has written again after a restore of the table service: the row of the
 /// configuration has another version number, and its content is not older.
-fn note_rewritten(node: &Node, rows: &[Row]) {
+fn record_rewritten(node: &Node, rows: &[Row]) {
     let Some(known) = node.with(|state| state.configuration_row.clone()) else { return };
     let is_rewritten = |row: &&Row| {
         let (new, old) = (row.version, known.row_version);
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -81,11 +81,11 @@
                     runtime::sleep(delay).await;
                 }
             }
-            Err(error) => return note_failure("watch", &error),
+            Err(error) => return emit_failure("watch", &error),
         }
     }
 }
 
-fn note_failure(what: &'static str, error: &TableError) {
+fn emit_failure(what: &'static str, error: &TableError) {
     event::emit(&Event::TableCallFailed { what, error: error.to_string() });
 }
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -10,10 +10,10 @@
 use keeljunction_core::serving::table_version::TableVersion;
 
 use super::{
-    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, follow, fraction_of, is_reader, note_failure, should_read,
+    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, emit_failure, follow, fraction_of, is_reader, should_read,
 };
 use crate::event::{self, Event};
-use crate::node::backoff::Backoff;
+use crate::node::back_off::BackOff;
 use crate::node::peers::message::Notification;
 use crate::node::{Node, staleness, table};
 use crate::port::{Row, Rows, TableError, TableName};
@@ -36,7 +36,7 @@
 /// Follows the server list until the process ends, while this node is a reader or its list is
 /// stale.
 pub async fn watch_servers(node: Arc<Node>) {
-    let mut backoff = Backoff::default();
+    let mut back_off = BackOff::default();
     let mut is_long = false;
     loop {
         let is_delegated = is_long && is_delegated_to_aggregator(&node);
@@ -50,7 +50,7 @@
                 continue;
             }
             Ok(Some(version)) => {
-                backoff.reset();
+                back_off.reset();
                 let bound = node.settings.bounds.drain_ms;
                 let watch = Watch {
                     table: TableName::Servers,
@@ -64,11 +64,11 @@
                 .await;
             }
             Err(error) => {
-                note_failure("servers", &error);
+                emit_failure("servers", &error);
                 node.with(|state| state.directory.note_away());
             }
         }
-        backoff.wait().await;
+        back_off.wait().await;
     }
 }
 
@@ -84,7 +84,7 @@
     let asked_at = node.now();
     match table::watch(node, TableName::Servers, after, Duration::ZERO, ANSWER_TIMEOUT).await {
         Ok(rows) => {
-            note_list_recovered(node);
+            record_list_recovered(node);
             update_servers(node, &rows, asked_at);
             Ok(Some(rows.version.max(after)))
         }
@@ -119,21 +119,21 @@
 
 /// Replaces the server list, unless the given one is older.
 fn replace_list(node: &Node, version: TableVersion, servers: Vec<Server>) {
-    note_list_recovered(node);
+    record_list_recovered(node);
     let changes = node.with(|state| state.directory.replace(version, servers));
     apply(node, changes);
 }
 
 /// Applies an update of the server list that this node fetched from a peer.
 pub(in crate::node) fn apply_update(node: &Node, update: Update<'_>) {
-    table::note_era(node, update.get_version().era);
-    note_list_recovered(node);
+    table::record_era(node, update.get_version().era);
+    record_list_recovered(node);
     let changes = node.with(|state| state.directory.take(update));
     apply(node, changes.unwrap_or_default());
 }
 
 /// Records that the server list is up to date again after it was stale.
-fn note_list_recovered(node: &Node) {
+fn record_list_recovered(node: &Node) {
     let now = node.now();
     if staleness::is_servers_stale(node) {
         node.with(|state| {
@@ -205,7 +205,7 @@
     let decoded = row.value.as_deref().map(|value| (node.platform.decode_server)(&row.key, value));
     match decoded {
         Some(Err(error)) => {
-            if node.with(|state| state.skipped_entries.note(&row.key, row.version)) {
+            if node.with(|state| state.skipped_entries.record(&row.key, row.version)) {
                 event::emit(&Event::DocumentRejected { error: error.to_string() });
             }
             None
