--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -16,16 +16,16 @@
     /// No byte of it left, or the server says that it did not run it.
     NotSent,
     /// It may have run in part, and no more comes of it.
-    Broken,
+    Interrupted,
     /// It must be taken off its server.
-    Steered(Action),
+    Drained(Action),
     /// The answer would come too late.
-    Late,
+    DeadlineExceeded,
 }
 
 /// What else the decision needs to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Conditions {
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
     /// Whether the attempt's server is known to leave.
@@ -36,40 +36,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// Its deadline has passed.
-    Late,
+    DeadlineExceeded,
     /// Nothing was sent, and no retry is left.
-    NotTaken,
+    Unsent,
     /// It was sent, and must not be repeated.
-    Unrepeatable,
+    NotRepeatable,
     /// It was sent, and no retry is left.
-    NoRetry,
+    RetriesExhausted,
 }
 
 impl Reason {
     /// Says the reason in a sentence, for the caller.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Late => "the deadline has passed",
-            Self::NotTaken => "no backend server took the request",
-            Self::Unrepeatable => {
+            Self::DeadlineExceeded => "the deadline has passed",
+            Self::Unsent => "no backend server took the request",
+            Self::NotRepeatable => {
                 "the backend server broke off and the request is not to be repeated"
             }
-            Self::NoRetry => "the backend server broke off and no retry is left",
+            Self::RetriesExhausted => "the backend server broke off and no retry is left",
         }
     }
 
     /// Returns the HTTP status that goes with it.
-    pub fn as_status(self) -> u16 {
+    pub fn get_status(self) -> u16 {
         match self {
-            Self::Late => 504,
-            Self::NotTaken => 503,
-            Self::Unrepeatable | Self::NoRetry => 502,
+            Self::DeadlineExceeded => 504,
+            Self::Unsent => 503,
+            Self::NotRepeatable | Self::RetriesExhausted => 502,
         }
     }
 
     /// Returns `true` if asking again before long may help.
-    pub fn is_passing(self) -> bool {
-        matches!(self, Self::NotTaken | Self::NoRetry)
+    pub fn is_transient(self) -> bool {
+        matches!(self, Self::Unsent | Self::RetriesExhausted)
     }
 }
 
@@ -77,36 +77,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Nothing: the answer is whole.
-    Stop,
+    Done,
     /// Go on at another server than this one.
-    Elsewhere,
+    FailOver,
     /// Leave the attempt behind by this action, and go on at another server.
-    Leave(Action),
+    Migrate(Action),
     /// Read the attempt on where it is.
-    Stay,
+    KeepReading,
     /// End the request.
     GiveUp(Reason),
 }
 
 /// Decides what to do after an attempt. `take_retry` takes one retry of the budget, if there is one.
-pub fn next(end: End, standing: Standing, take_retry: impl FnOnce() -> bool) -> Next {
+pub fn decide_next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
     match end {
-        End::Finished => Next::Stop,
-        End::Late => Next::GiveUp(Reason::Late),
-        End::Steered(Action::Finish) => Next::Stay,
-        End::Steered(action) => Next::Leave(action),
-        End::Broken if !standing.is_repeatable => Next::GiveUp(Reason::Unrepeatable),
-        End::NotSent | End::Broken => {
+        End::Finished => Next::Done,
+        End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
+        End::Drained(Action::Finish) => Next::KeepReading,
+        End::Drained(action) => Next::Migrate(action),
+        End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
+        End::NotSent | End::Interrupted => {
             if standing.is_leaving || take_retry() {
-                return Next::Elsewhere;
+                return Next::FailOver;
             }
-            let reason = if end == End::NotSent { Reason::NotTaken } else { Reason::NoRetry };
+            let reason =
+                if end == End::NotSent { Reason::Unsent } else { Reason::RetriesExhausted };
             Next::GiveUp(reason)
         }
     }
 }
 
 /// Decides the outcome that a caller gets for a request that is given up.
-pub fn outcome(is_sent: bool) -> Outcome {
+pub fn decide_outcome(is_sent: bool) -> Outcome {
     if is_sent { Outcome::Unknown } else { Outcome::NotRun }
 }
--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -18,10 +18,10 @@
 //! | this one | plans |
 //! | `need` | computes how many servers the demand needs, and follows its peaks |
 //! | `placement` | spreads servers over data centres |
-//! | `found` | counts the servers that a new holder of the duties finds |
+//! | `initial_count` | counts the servers that a new holder of the duties finds |
 //! | `order` | follows an order until its servers accept requests |
 
-mod found;
+mod initial_count;
 mod need;
 mod order;
 mod placement;
@@ -30,8 +30,8 @@
 
 use super::configuration::Scaling;
 
-pub use self::found::Found;
-pub use self::need::{Demand, Needs, PeakWindow, count_crossing, needs};
+pub use self::initial_count::InitialCount;
+pub use self::need::{Demand, PeakNeeds, PeakWindow, compute_needs, count_spillable};
 pub use self::order::Order;
 
 use self::placement::{by_price, fill, spread};
@@ -91,7 +91,7 @@
     /// On-demand servers that were ordered, or are there, in all its data centres.
     pub on_demand_held: u32,
     /// How many servers of its need may stand in other regions: the work of more cannot cross.
-    pub crossing: u32,
+    pub spillable: u32,
 }
 
 impl Snapshot<'_> {
@@ -99,7 +99,7 @@
     ///
     /// On-demand servers may then be given up while the list of servers still grows. Of an order for
     /// fewer, nobody knows whether those stay that have listed themselves.
-    pub fn is_carried_by_spot(&self, scaling: &Scaling) -> bool {
+    pub fn is_spot_sufficient(&self, scaling: &Scaling) -> bool {
         let least = scaling.min * self.inventory.len() as u32;
         self.inventory.values().map(|held| held.spot).sum::<u32>() >= self.need.max(least)
     }
@@ -153,7 +153,7 @@
         _ => scaling.max * snapshot.inventory.len() as u32,
     };
     for (from, lacking) in snapshots {
-        let mut left = lacking.need.saturating_sub(count_places(lacking)).min(lacking.crossing);
+        let mut left = lacking.need.saturating_sub(count_places(lacking)).min(lacking.spillable);
         for (to, snapshot) in snapshots.iter().filter(|(to, _)| *to != from) {
             let taken = moved.entry(to).or_default();
             let room = count_places(snapshot).saturating_sub(snapshot.need + *taken);
--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -50,7 +50,7 @@
 
 /// The demand for each service, over all nodes.
 #[derive(Clone, Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     /// The region that this node stands in.
     region: String,
     /// What arrived at this node itself, by service.
@@ -97,7 +97,7 @@
 /// The least time that a rate must cover, in milliseconds.
 const LEAST_COVERED: Millis = 1_500;
 
-impl DemandBook {
+impl DemandTracker {
     /// Makes the book of a node that stands in a region.
     pub fn new(region: &str) -> Self {
         Self { region: region.to_owned(), ..Self::default() }
@@ -110,12 +110,12 @@
     }
 
     /// Counts a request that is sent to a server.
-    pub fn begin(&mut self, service: &str) {
+    pub fn begin_request(&mut self, service: &str) {
         self.own.entry(service.to_owned()).or_default().in_flight += 1;
     }
 
     /// Counts that a request to a server has ended.
-    pub fn end(&mut self, service: &str) {
+    pub fn end_request(&mut self, service: &str) {
         if let Some(own) = self.own.get_mut(service) {
             own.in_flight = own.in_flight.saturating_sub(1);
         }
@@ -212,7 +212,7 @@
     }
 
     /// Returns `true` if no known node has seen a request for a service.
-    pub fn is_untouched(&self, service: &str) -> bool {
+    pub fn is_never_requested(&self, service: &str) -> bool {
         !self.touched.contains(service)
     }
 
@@ -235,7 +235,7 @@
     /// Returns the demand for a service within the latest `span`, by the region where it arrived, and
     /// the time that it covers, which begins with the first request; `None` before that time is long
     /// enough for a rate.
-    pub fn within(
+    pub fn get_recent(
         &self,
         now: Millis,
         service: &str,
--- a/crates/core/src/serving/memory/room.rs
+++ b/crates/core/src/serving/memory/room.rs
@@ -1,8 +1,8 @@
 //! Whether there is room for a holder's growth: pools and fair shares.
 
-use super::accountant::Accountant;
-use super::holder::Holder;
+use super::budget::MemoryBudget;
 use super::kind::Kind;
+use super::reservation::Reservation;
 use crate::Millis;
 
 /// The part of the capacity that bodies and answers leave to control, so that heads and reports
@@ -21,9 +21,9 @@
 /// account finds room at once.
 const MOST_SHARE: f64 = 0.75;
 
-impl Accountant {
+impl MemoryBudget {
     /// Returns the bytes by which a holder's growth exceeds what there is; 0 where it fits.
-    pub(super) fn get_shortfall(&self, now: Millis, holder: &Holder, bytes: u64) -> u64 {
+    pub(super) fn get_shortfall(&self, now: Millis, holder: &Reservation, bytes: u64) -> u64 {
         let capacity = self.get_capacity() as f64;
         let part = if holder.kind == Kind::Control { 1.0 } else { 1.0 - CONTROL_PART };
         let total = self.get_total().saturating_add(bytes);
@@ -39,7 +39,7 @@
         of_all.max(of_kind)
     }
 
-    fn get_body_shortfall(&self, now: Millis, holder: &Holder, bytes: u64) -> u64 {
+    fn get_body_shortfall(&self, now: Millis, holder: &Reservation, bytes: u64) -> u64 {
         let small_pool = self.get_small_pool();
         if holder.is_small_with(bytes) && self.small_held + bytes <= small_pool {
             return 0;
@@ -83,7 +83,7 @@
 
     /// Returns `true` if an account that holds bytes would get more than its share, while another
     /// one waits or holds some.
-    pub(super) fn is_beyond_share(&self, now: Millis, holder: &Holder, bytes: u64) -> bool {
+    pub(super) fn is_beyond_share(&self, now: Millis, holder: &Reservation, bytes: u64) -> bool {
         if holder.kind != Kind::RequestBody || holder.is_small_with(bytes) {
             return false;
         }
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -4,11 +4,11 @@
 //! sum up to the whole.
 
 use super::decision::get_wait;
-use super::limit::{Limit, Reach};
+use super::limit::{Limit, Reachability};
 use super::report::Source;
 use super::{LEAST_LEFT, NEW_FOR, Quotas, get_raised_part};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// The part of the local share that is admitted, less what pays back what was admitted beyond the
 /// limit.
@@ -36,10 +36,10 @@
 impl Quotas {
     /// Takes note that the owner of a client account decides about its requests: nothing of the
     /// local share is saved up meanwhile.
-    pub fn restart_local_share(&mut self, now: Millis, account: &str) {
+    pub fn discard_local_share_savings(&mut self, now: Millis, account: &str) {
         if let Some(bucket) = self.local_share.get_mut(account) {
             // What was admitted in advance is paid back as before.
-            bucket.stop_saving(now);
+            bucket.stop_accumulating(now);
         }
     }
 
@@ -54,12 +54,12 @@
         account: &str,
         units: u64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Result<(), Millis> {
         let limit = self.tolerance.raise(limit, get_raised_part(reach));
         let rate = limit.rate_per_second * reach.get_fraction();
         let left = self.refill_whole(now, account, limit, reach);
-        if reach.all == 1 {
+        if reach.known == 1 {
             return Err(get_wait(LEAST_LEFT - left, rate));
         }
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
@@ -82,14 +82,14 @@
         account: &str,
         left: f64,
         limit: Limit,
-        reach: Reach,
+        reach: Reachability,
     ) -> Share {
         let whole_rate = limit.rate_per_second * reach.get_fraction();
         let beyond = (-left / limit.get_capacity()).max(0.0);
         let admitted = (SHARE_ADMITTED - PAY_BACK_PART * beyond).max(LEAST_SHARE_ADMITTED);
         Share {
             rate: admitted * whole_rate * self.get_share(now, account, reach),
-            advance: self.tolerance.slack * ADVANCE_PART / reach.all as f64,
+            advance: self.tolerance.slack * ADVANCE_PART / reach.known as f64,
             room: left + self.get_headroom(now, limit, reach),
             whole_rate,
         }
@@ -108,8 +108,8 @@
         // otherwise.
         let debt = (units - share.advance).max(0.0);
         let bucket = self.local_share.entry(account.to_owned());
-        let bucket = bucket.or_insert(Bucket::new(now, -debt));
-        bucket.set(now, share.rate, share.rate.max(LEAST_LEFT));
+        let bucket = bucket.or_insert(TokenBucket::new(now, -debt));
+        bucket.set_limits(now, share.rate, share.rate.max(LEAST_LEFT));
         if bucket.available < LEAST_LEFT {
             return Err(get_wait(LEAST_LEFT - bucket.available, share.rate));
         }
@@ -128,7 +128,7 @@
     ///
     /// While this node is new its peers may be too, and may not have reported yet what is requested
     /// of them: an even share is no node's loss then.
-    fn get_share(&self, now: Millis, account: &str, reach: Reach) -> f64 {
+    fn get_share(&self, now: Millis, account: &str, reach: Reachability) -> f64 {
         let own = self.get_own_requested(now, account);
         let is_new = now < self.started_at + NEW_FOR;
         if own <= 0.0 || is_new {
--- a/crates/core/src/serving/handover.rs
+++ b/crates/core/src/serving/report_log.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::quota::Units;
+use super::quota::AccountUsage;
 use super::usage::{Counts, Incarnation, WindowNumber};
 use crate::Millis;
 
@@ -20,20 +20,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// What client accounts used.
-    pub quota: BTreeMap<String, Units>,
+    pub quota: BTreeMap<String, AccountUsage>,
     /// Requests that began, by window of the wall clock.
     pub usage: BTreeMap<WindowNumber, Counts>,
 }
 
 /// The reports of one node to those that sum them up.
 #[derive(Clone, Debug)]
-pub struct Handover {
+pub struct ReportLog {
     incarnation: Incarnation,
     reports: VecDeque<(Millis, Snapshot)>,
     arrived: Option<(Millis, Snapshot)>,
 }
 
-impl Handover {
+impl ReportLog {
     /// Begins with the first incarnation of a node.
     pub fn new(incarnation: Incarnation) -> Self {
         Self { incarnation, reports: VecDeque::new(), arrived: None }
@@ -54,7 +54,7 @@
 
     /// Notes that the report of a time arrived, and returns its counts; `None` where it is not
     /// kept any more.
-    pub fn confirm(&mut self, sent_at: Millis) -> Option<&Snapshot> {
+    pub fn acknowledge(&mut self, sent_at: Millis) -> Option<&Snapshot> {
         while self.reports.front().is_some_and(|(at, _)| *at <= sent_at) {
             self.arrived = self.reports.pop_front();
         }
@@ -62,13 +62,13 @@
     }
 
     /// Returns the counts that are known to have arrived last.
-    pub fn get_arrived(&self) -> Option<&Snapshot> {
+    pub fn get_acknowledged(&self) -> Option<&Snapshot> {
         self.arrived.as_ref().map(|(_, snapshot)| snapshot)
     }
 
     /// Begins a new incarnation; returns the counts that arrived under the former one, which the
     /// node must no longer report.
-    pub fn begin(&mut self, number: u64) -> Snapshot {
+    pub fn begin_incarnation(&mut self, number: u64) -> Snapshot {
         self.incarnation.number = number;
         self.reports.clear();
         self.arrived.take().map(|(_, snapshot)| snapshot).unwrap_or_default()
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -15,7 +15,7 @@
 use super::choice::{Candidate, Choice, Criteria};
 use super::topology::Topology;
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// Round trips from the choice of a far server to the first byte of its answer: one for a new
 /// connection and one for the request. Few requests cross, so that an idle connection is often gone.
@@ -60,11 +60,11 @@
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Destination {
     /// To the server of its own region.
-    Near,
+    Local,
     /// To the server of the other region.
-    Far,
+    Remote,
     /// Nowhere; the time after which to retry.
     Busy(Millis),
     /// Nowhere: there is no server.
@@ -109,7 +109,7 @@
 
 /// The way to another region, for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Way {
+pub struct RemotePath {
     /// How long the caller has waited.
     pub waited: Millis,
     /// The time until the caller gives up.
@@ -122,9 +122,9 @@
     pub is_load_requested: bool,
 }
 
-impl Way {
+impl RemotePath {
     /// Returns the time from now until the first byte of an answer, without the server's own.
-    pub fn get_travel(&self) -> Millis {
+    pub fn get_travel_time(&self) -> Millis {
         let question = if self.is_load_requested { TRIPS_OF_QUESTION } else { 0 };
         let trips = (TRIPS_OF_REQUEST + question) * self.round_trip;
         trips.saturating_add(self.transfer)
@@ -136,7 +136,7 @@
     /// Where it has no server, it is before the caller gives up: a late answer is better than none.
     pub fn is_in_time(&self, criteria: &Criteria, cause: Cause) -> bool {
         let reading = criteria.estimate_idle().unwrap_or(0);
-        let from_now = self.get_travel().saturating_add(reading);
+        let from_now = self.get_travel_time().saturating_add(reading);
         let is_within = from_now < self.left;
         match (cause, criteria.ttft_objective) {
             (Cause::NoServer, _) | (_, 0) => is_within,
@@ -150,8 +150,8 @@
     ///
     /// An objective that cannot be met any more stays as it is: the request is late, and is refused
     /// only where servers are busy for longer than that.
-    pub fn shorten(&self, criteria: &Criteria) -> Criteria {
-        let used = self.waited.saturating_add(self.get_travel());
+    pub fn adjust_criteria(&self, criteria: &Criteria) -> Criteria {
+        let used = self.waited.saturating_add(self.get_travel_time());
         let left = criteria.ttft_objective.saturating_sub(used);
         let ttft_objective = if left == 0 { criteria.ttft_objective } else { left };
         Criteria { ttft_objective, ..*criteria }
@@ -161,22 +161,22 @@
 /// Settles where a request goes whose own region offers `near`, and another one `far`.
 ///
 /// A far server that is full or ejected is no better than one that is near.
-pub fn settle(near: Offer, far: Offer) -> Settled {
+pub fn pick_destination(near: Offer, far: Offer) -> Destination {
     match (near, far) {
         (Offer::Free | Offer::Full | Offer::Ejected, Offer::Full | Offer::Ejected)
         | (Offer::Free | Offer::Full | Offer::Ejected, Offer::Busy(_) | Offer::None)
-        | (Offer::Free, Offer::Free) => Settled::Near,
-        (_, Offer::Free) => Settled::Far,
-        (Offer::Busy(near), Offer::Busy(far)) => Settled::Busy(near.min(far)),
-        (Offer::Busy(wait), _) | (Offer::None, Offer::Busy(wait)) => Settled::Busy(wait),
-        (Offer::None, Offer::Full | Offer::Ejected) => Settled::Far,
-        (Offer::None, Offer::None) => Settled::None,
+        | (Offer::Free, Offer::Free) => Destination::Local,
+        (_, Offer::Free) => Destination::Remote,
+        (Offer::Busy(near), Offer::Busy(far)) => Destination::Busy(near.min(far)),
+        (Offer::Busy(wait), _) | (Offer::None, Offer::Busy(wait)) => Destination::Busy(wait),
+        (Offer::None, Offer::Full | Offer::Ejected) => Destination::Remote,
+        (Offer::None, Offer::None) => Destination::None,
     }
 }
 
 /// What a node may send and get over the links to other regions.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct LinkBudgets {
     /// Bytes a second of all nodes of the region together.
     rate: f64,
     by_region: BTreeMap<String, Link>,
@@ -184,11 +184,11 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
-    bytes: Bucket,
+    bytes: TokenBucket,
     silent_until: Millis,
 }
 
-impl Links {
+impl LinkBudgets {
     /// Makes full budgets of so many megabits a second for all nodes of the region together.
     pub fn new(spill_mbps: f64) -> Self {
         Self { rate: spill_mbps * BYTES_PER_MBIT, by_region: BTreeMap::new() }
@@ -206,7 +206,7 @@
         }
         let share = self.rate / nodes.max(1) as f64;
         let link = self.open_link(now, region);
-        link.bytes.set(now, share, share);
+        link.bytes.set_limits(now, share, share);
         if link.bytes.available > 0.0 {
             return Ok(());
         }
@@ -222,7 +222,7 @@
 
     /// Returns how long a body takes at the rate of the whole budget; nothing without a budget, where
     /// [`check`](Self::check) refuses.
-    pub fn get_transfer(&self, bytes: usize) -> Millis {
+    pub fn get_transfer_time(&self, bytes: usize) -> Millis {
         if self.rate <= 0.0 {
             return 0;
         }
@@ -230,20 +230,20 @@
     }
 
     /// Notes whether a region answered the question for the loads of its servers.
-    pub fn note_answer(&mut self, now: Millis, region: &str, is_answered: bool) {
+    pub fn record_reply(&mut self, now: Millis, region: &str, is_answered: bool) {
         let silent_until = if is_answered { 0 } else { now + SILENT_FOR };
         self.open_link(now, region).silent_until = silent_until;
     }
 
     /// Returns `true` if a region did not answer the latest question, a short time ago.
-    pub fn is_silent(&self, now: Millis, region: &str) -> bool {
+    pub fn is_unresponsive(&self, now: Millis, region: &str) -> bool {
         self.by_region.get(region).is_some_and(|link| now < link.silent_until)
     }
 
     /// Returns the link to a region, new with a full budget where it was not used yet.
     fn open_link(&mut self, now: Millis, region: &str) -> &mut Link {
         let rate = self.rate;
-        let full = || Link { bytes: Bucket::new(now, rate), silent_until: 0 };
+        let full = || Link { bytes: TokenBucket::new(now, rate), silent_until: 0 };
         self.by_region.entry(region.to_owned()).or_insert_with(full)
     }
 }
@@ -254,9 +254,13 @@
 }
 
 /// Lists the regions other than a node's own, the nearest first and the unknown region last.
-pub fn list_far(topology: &Topology, mut get_round_trip: impl FnMut(&str) -> Millis) -> Vec<&str> {
+pub fn list_remote_regions(
+    topology: &Topology,
+    mut get_round_trip: impl FnMut(&str) -> Millis,
+) -> Vec<&str> {
     let regions = topology.list_regions().into_iter();
-    let mut far: Vec<&str> = regions.filter(|region| *region != topology.get_own()).collect();
+    let mut far: Vec<&str> =
+        regions.filter(|region| *region != topology.get_own_region()).collect();
     far.sort_by_key(|region| get_round_trip(region));
     far.push(UNKNOWN_REGION);
     far
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -2,12 +2,12 @@
 
 use std::collections::HashMap;
 
-use super::ask::{Ask, Decision, Grant, Refusal};
+use super::ask::{Decision, Grant, GrantRequest, Refusal};
 use super::drain_rate::DrainRate;
 use super::hopeless::Hopeless;
-use super::share::{Counter, GENERATED_COST};
+use super::share::{GENERATED_TOKEN_COST, VirtualCounters};
 use crate::Millis;
-use crate::route::{self, Demand, Index, Policy, Report, Server};
+use crate::route::{self, LoadReport, Policy, PrefixIndex, Request, Server};
 
 /// Blocks of prompts remembered per server.
 const BLOCKS_PER_SERVER: usize = 8_192;
@@ -20,8 +20,8 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     servers: Vec<Server>,
-    index: Index,
-    shares: Counter,
+    index: PrefixIndex,
+    shares: VirtualCounters,
     waiting: Vec<Waiter>,
     grants: HashMap<String, Grant>,
     drain_rate: DrainRate,
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug)]
 struct Waiter {
-    ask: Ask,
+    ask: GrantRequest,
     until: Millis,
 }
 
@@ -44,8 +44,8 @@
     pub fn new(slots: u32, prefill_per_second: u32) -> Self {
         Self {
             servers: Vec::new(),
-            index: Index::new(BLOCKS_PER_SERVER),
-            shares: Counter::new(),
+            index: PrefixIndex::new(BLOCKS_PER_SERVER),
+            shares: VirtualCounters::new(),
             waiting: Vec::new(),
             grants: HashMap::new(),
             drain_rate: DrainRate::new(FIRST_GAP_MS),
@@ -117,14 +117,14 @@
     }
 
     /// Takes a server's load report in.
-    pub fn report(&mut self, server: &str, report: Report) {
+    pub fn report(&mut self, server: &str, report: LoadReport) {
         if let Some(server) = self.servers.iter_mut().find(|s| s.name == server) {
             server.report = Some(report);
         }
     }
 
     /// Takes a cache event of a server in; returns false where events before it are missing.
-    pub fn cache_event(
+    pub fn apply_cache_event(
         &mut self,
         server: &str,
         number: u64,
@@ -135,11 +135,11 @@
     }
 
     /// Decides on a request at once: a grant, a place in the queue, or a refusal.
-    pub fn offer(&mut self, now: Millis, ask: Ask) -> Decision {
+    pub fn submit(&mut self, now: Millis, ask: GrantRequest) -> Decision {
         if self.waiting.is_empty()
             && let Some(grant) = self.try_grant(now, &ask)
         {
-            self.shares.arrive(&ask.group);
+            self.shares.add_request(&ask.group);
             return Decision::Granted(self.record(grant));
         }
         let ahead = self.ahead_of(&ask);
@@ -149,7 +149,7 @@
         if is_late || !has_servers {
             return Decision::Refused(self.refuse(now, &ask.group, ahead));
         }
-        self.shares.arrive(&ask.group);
+        self.shares.add_request(&ask.group);
         let until = now + ask.wait;
         self.waiting.push(Waiter { ask, until });
         Decision::Waiting
@@ -164,7 +164,7 @@
         for waiter in late {
             let ahead = self.ahead_of(&waiter.ask);
             let refusal = self.refuse(now, &waiter.ask.group, ahead);
-            self.shares.leave(&waiter.ask.group);
+            self.shares.remove_request(&waiter.ask.group);
             decided.push((waiter.ask.id, Decision::Refused(refusal)));
         }
         decided
@@ -174,7 +174,7 @@
     pub fn cancel(&mut self, id: &str) {
         if let Some(place) = self.waiting.iter().position(|waiter| waiter.ask.id == id) {
             let waiter = self.waiting.remove(place);
-            self.shares.leave(&waiter.ask.group);
+            self.shares.remove_request(&waiter.ask.group);
         }
     }
 
@@ -184,7 +184,7 @@
         if let Some(cost) = cost {
             self.shares.charge(&grant.group, cost, grant.cost);
         }
-        self.shares.leave(&grant.group);
+        self.shares.remove_request(&grant.group);
         self.drain_rate.ended(now);
         if let Some(server) = self.server_mut(&grant.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
@@ -196,7 +196,7 @@
     }
 
     /// Notes that the first token came: the prompt has been read.
-    pub fn first_token(&mut self, id: &str) {
+    pub fn record_first_token(&mut self, id: &str) {
         let Some(grant) = self.grants.get_mut(id) else { return };
         let read = std::mem::take(&mut grant.uncached_tokens);
         let name = grant.server.clone();
@@ -213,7 +213,7 @@
         if self.grants.contains_key(&grant.id) {
             return;
         }
-        self.shares.arrive(&grant.group);
+        self.shares.add_request(&grant.group);
         if let Some(server) = self.server_mut(&grant.server) {
             server.in_flight += 1;
         }
@@ -221,7 +221,7 @@
     }
 
     /// Notes a failure of a server: it is passed over for a while and its limit falls.
-    pub fn failed(&mut self, now: Millis, server: &str) {
+    pub fn record_failure(&mut self, now: Millis, server: &str) {
         if let Some(server) = self.server_mut(server) {
             server.failed_at = Some(now);
             server.limit = (server.limit * 7 / 10).max(LEAST_LIMIT);
@@ -229,14 +229,14 @@
     }
 
     /// Notes that a server cannot be reached at all: it is passed over for a while.
-    pub fn unreachable(&mut self, now: Millis, server: &str) {
+    pub fn record_unreachable(&mut self, now: Millis, server: &str) {
         if let Some(server) = self.server_mut(server) {
             server.failed_at = Some(now);
         }
     }
 
     /// Notes a success of a server: its limit rises again by one, up to the slots.
-    pub fn succeeded(&mut self, server: &str) {
+    pub fn record_success(&mut self, server: &str) {
         let part = (self.slots / self.sharers).max(LEAST_LIMIT);
         if let Some(server) = self.server_mut(server) {
             server.failed_at = None;
@@ -271,9 +271,9 @@
         fit.min_by_key(|(_, waiter)| turn(waiter)).map(|(place, _)| place)
     }
 
-    fn try_grant(&mut self, now: Millis, ask: &Ask) -> Option<Grant> {
+    fn try_grant(&mut self, now: Millis, ask: &GrantRequest) -> Option<Grant> {
         let avoid = if self.has_other_than(&ask.avoid) { ask.avoid.as_slice() } else { &[] };
-        let demand = Demand {
+        let demand = Request {
             prompt_tokens: ask.prompt_tokens,
             prefix: &ask.prefix,
             priority: ask.priority,
@@ -282,8 +282,10 @@
         let (servers, prefill) = (&self.servers, self.prefill_per_second);
         let choice = match self.policy {
             Policy::Expected => route::choose(now, servers, &self.index, prefill, &demand),
-            Policy::TwoChoices => route::choose_two(now, servers, &demand, &mut self.random),
-            Policy::RoundRobin => route::choose_next(now, servers, &demand, self.last),
+            Policy::TwoChoices => {
+                route::choose_less_loaded(now, servers, &demand, &mut self.random)
+            }
+            Policy::RoundRobin => route::choose_round_robin(now, servers, &demand, self.last),
         }?;
         self.last = choice.index;
         let server = &mut self.servers[choice.index];
@@ -295,7 +297,7 @@
         }
         let (name, address) = (server.name.clone(), server.address.clone());
         self.index.insert(&name, &ask.prefix);
-        let cost = uncached + GENERATED_COST * ask.output_tokens;
+        let cost = uncached + GENERATED_TOKEN_COST * ask.output_tokens;
         self.shares.charge(&ask.group, cost, 0);
         Some(Grant {
             id: ask.id.clone(),
@@ -320,7 +322,7 @@
     }
 
     /// Counts the requests of the same group that go before this one.
-    fn ahead_of(&self, ask: &Ask) -> usize {
+    fn ahead_of(&self, ask: &GrantRequest) -> usize {
         let same = self.waiting.iter().filter(|waiter| waiter.ask.group == ask.group);
         same.filter(|w| (w.ask.priority, w.ask.deadline) <= (ask.priority, ask.deadline)).count()
     }
--- a/crates/core/tests/serving/load.rs
+++ b/crates/core/tests/serving/load.rs
@@ -1,18 +1,18 @@
 use std::collections::HashMap;
 
-use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, RequestCost, short_id};
 use proptest::prelude::*;
 
-const WORK: Work = Work { prompt_tokens: 100, memory_tokens: 150, priority: 1 };
+const WORK: RequestCost = RequestCost { prompt_tokens: 100, memory_tokens: 150, priority: 1 };
 
 #[test]
 fn a_request_counts_until_it_ends() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.begin("a", &WORK);
     let load = book.total("a");
     assert_eq!((load.requests, load.waiting, load.memory_tokens), (1, 1, 150));
     assert_eq!((load.get_tokens_ahead(0), load.get_tokens_ahead(1)), (0, 100));
-    book.note_first_token("a", &WORK);
+    book.record_first_token("a", &WORK);
     assert_eq!(book.total("a").get_waiting_tokens(), 0);
     assert_eq!(book.total("a").requests, 1);
     book.end("a", &WORK, true);
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_request_that_ends_before_its_first_token_leaves_nothing() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.begin("a", &WORK);
     book.begin("a", &WORK);
     book.end("a", &WORK, false);
@@ -32,9 +32,9 @@
 
 #[test]
 fn counts_of_peers_are_added_until_they_are_too_old() {
-    let mut peer = LoadBook::default();
+    let mut peer = LoadTracker::default();
     peer.begin("a", &WORK);
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.begin("a", &WORK);
     book.merge(2_000, "peer", peer.get_own());
     book.expire(1_999);
@@ -47,17 +47,17 @@
 
 #[test]
 fn a_request_that_a_peer_has_just_sent_counts_until_it_is_read_or_told_with_the_others() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     let peers = vec![(short_id("a"), Load { requests: 1, ..Load::default() })];
-    book.merge_begun(1_500, "peer", short_id("a"), &WORK);
+    book.merge_started(1_500, "peer", short_id("a"), &WORK);
     assert_eq!(book.total("a"), Load::default());
     book.merge(9_000, "peer", peers.clone());
-    book.merge_begun(1_500, "peer", short_id("a"), &WORK);
+    book.merge_started(1_500, "peer", short_id("a"), &WORK);
     book.expire(1_499);
     let load = book.total("a");
     assert_eq!((load.requests, load.waiting, load.get_waiting_tokens()), (2, 1, 100));
     assert_eq!(book.total("b"), Load::default());
-    book.merge_begun(1_600, "peer", short_id("b"), &WORK);
+    book.merge_started(1_600, "peer", short_id("b"), &WORK);
     book.expire(1_500);
     assert_eq!(book.total("a").get_waiting_tokens(), 0);
     assert_eq!(book.total("b").get_waiting_tokens(), 100);
@@ -68,7 +68,7 @@
 #[test]
 fn what_a_peer_reports_of_one_server_replaces_only_that() {
     let load = |requests| Load { requests, ..Load::default() };
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.merge_server(2_000, "peer", short_id("a"), load(3));
     book.merge_server(2_500, "peer", short_id("b"), load(2));
     book.merge_server(2_000, "other", short_id("a"), load(1));
@@ -84,9 +84,9 @@
 
 #[test]
 fn nothing_of_a_peer_that_is_forgotten_counts() {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     book.merge(9_000, "peer", vec![(short_id("a"), Load { requests: 2, ..Load::default() })]);
-    book.merge_begun(9_000, "peer", short_id("b"), &WORK);
+    book.merge_started(9_000, "peer", short_id("b"), &WORK);
     book.forget("peer");
     assert_eq!((book.total("a"), book.total("b")), (Load::default(), Load::default()));
 }
@@ -123,7 +123,7 @@
     #[test]
     fn sums_are_those_of_the_latest_reports(steps in prop::collection::vec((step(), 0u64..200), 1..60)) {
         const SERVERS: [&str; 3] = ["a", "b", "c"];
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         // By peer and server: requests and the end of the report; then requests told one by one.
         let mut reported: Vec<HashMap<usize, (u32, u64)>> = vec![HashMap::new(); 4];
         let mut begun: Vec<Vec<(usize, u64)>> = vec![Vec::new(); 4];
@@ -158,8 +158,8 @@
                     known_until[peer] = known_until[peer].max(now + lasts);
                 }
                 Step::Begun { peer, server, tokens, lasts } => {
-                    let work = Work { prompt_tokens: tokens, ..WORK };
-                    book.merge_begun(now + lasts, &peer.to_string(), short_id(SERVERS[server]), &work);
+                    let work = RequestCost { prompt_tokens: tokens, ..WORK };
+                    book.merge_started(now + lasts, &peer.to_string(), short_id(SERVERS[server]), &work);
                     if now < known_until[peer] {
                         begun[peer].push((server, now + lasts));
                     }
--- a/crates/core/tests/serving/read_ahead.rs
+++ b/crates/core/tests/serving/read_ahead.rs
@@ -1,13 +1,13 @@
 use bytes::Bytes;
-use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
+use keeljunction_core::serving::event_stream::{Sequence, SequenceCheck, Splitter};
 use keeljunction_core::serving::read_ahead::{
-    Buffer, Caller, Progress, READ_BYTES, get_bound, pick_resting,
+    Buffer, Caller, Progress, READ_BYTES, get_limit, pick_stalled,
 };
 use proptest::prelude::*;
 
 #[test]
 fn one_answer_gets_an_eighth_of_the_memory() {
-    assert_eq!(get_bound(64_000_000), 8_000_000);
+    assert_eq!(get_limit(64_000_000), 8_000_000);
 }
 
 #[test]
@@ -28,9 +28,9 @@
 #[test]
 fn a_caller_that_takes_nothing_is_disconnected_after_ten_seconds() {
     let mut progress = Progress::default();
-    (0..99).for_each(|_| progress.note_look(100));
+    (0..99).for_each(|_| progress.record_check(100));
     assert!(!progress.is_too_slow());
-    progress.note_look(100);
+    progress.record_check(100);
     assert!(progress.is_too_slow());
 }
 
@@ -38,19 +38,19 @@
 fn a_few_bytes_in_ten_seconds_are_no_progress() {
     let mut progress = Progress::default();
     for _ in 0..100 {
-        progress.note_look(100);
-        progress.note_taken(1);
+        progress.record_check(100);
+        progress.record_read(1);
     }
     assert!(progress.is_too_slow());
-    assert_eq!(progress.get_resting(), 0);
+    assert_eq!(progress.get_stalled(), 0);
 }
 
 #[test]
 fn a_caller_that_takes_an_event_now_and_then_is_kept() {
     let mut progress = Progress::default();
     for _ in 0..50 {
-        (0..80).for_each(|_| progress.note_look(100));
-        progress.note_taken(300);
+        (0..80).for_each(|_| progress.record_check(100));
+        progress.record_read(300);
         assert!(!progress.is_too_slow());
     }
 }
@@ -59,8 +59,8 @@
 fn a_caller_that_waits_for_its_server_is_kept() {
     let mut progress = Progress::default();
     for _ in 0..200 {
-        progress.note_look(100);
-        progress.note_waiting();
+        progress.record_check(100);
+        progress.reset();
     }
     assert!(!progress.is_too_slow());
 }
@@ -68,23 +68,23 @@
 #[test]
 fn a_pause_of_the_process_disconnects_nobody() {
     let mut progress = Progress::default();
-    progress.note_look(60_000);
+    progress.record_check(60_000);
     assert!(!progress.is_too_slow());
-    assert_eq!(progress.get_resting(), 500);
+    assert_eq!(progress.get_stalled(), 500);
 }
 
 #[test]
 fn the_slowest_and_largest_go_first_and_no_more_than_needed() {
     let callers = [
-        Caller { id: 1, bytes: 4_000, resting: 1_500 },
-        Caller { id: 2, bytes: 3_000, resting: 9_000 },
-        Caller { id: 3, bytes: 9_000, resting: 2_000 },
-        Caller { id: 4, bytes: 90_000, resting: 900 },
+        Caller { id: 1, bytes: 4_000, stalled: 1_500 },
+        Caller { id: 2, bytes: 3_000, stalled: 9_000 },
+        Caller { id: 3, bytes: 9_000, stalled: 2_000 },
+        Caller { id: 4, bytes: 90_000, stalled: 900 },
     ];
-    assert_eq!(pick_resting(&callers, 3_000), [2]);
-    assert_eq!(pick_resting(&callers, 3_001), [2, 3]);
-    assert_eq!(pick_resting(&callers, 1_000_000), [2, 3, 1]);
-    assert_eq!(pick_resting(&callers, 0), [0; 0]);
+    assert_eq!(pick_stalled(&callers, 3_000), [2]);
+    assert_eq!(pick_stalled(&callers, 3_001), [2, 3]);
+    assert_eq!(pick_stalled(&callers, 1_000_000), [2, 3, 1]);
+    assert_eq!(pick_stalled(&callers, 0), [0; 0]);
 }
 
 proptest! {
@@ -130,10 +130,10 @@
         let callers: Vec<Caller> = callers
             .into_iter()
             .enumerate()
-            .map(|(id, (bytes, resting))| Caller { id: id as u64, bytes, resting })
+            .map(|(id, (bytes, stalled))| Caller { id: id as u64, bytes, stalled })
             .collect();
-        for id in pick_resting(&callers, missing) {
-            prop_assert!(callers[id as usize].resting >= 1_000);
+        for id in pick_stalled(&callers, missing) {
+            prop_assert!(callers[id as usize].stalled >= 1_000);
         }
     }
 }
@@ -168,7 +168,7 @@
                 splitter.push(&rest[..length]);
                 rest = &rest[length..];
                 while let Some(event) = splitter.next_event() {
-                    if event.id.map(|id| sequence.judge(id)) == Some(Verdict::Next) {
+                    if event.id.map(|id| sequence.check(id)) == Some(SequenceCheck::Next) {
                         buffer.push(event.bytes);
                     }
                 }
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use keeljunction_core::serving::rollout::{
-    Exposure, Next, Pair, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
+    Action, Comparison, Exposure, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
 };
 
 /// How a version is bad.
@@ -163,32 +163,33 @@
             }
             Decider::Thresholds if stage == Stage::Canary => {
                 if elapsed >= 7_200 {
-                    Next::Shift
+                    Action::Shift
                 } else {
-                    Next::Wait
+                    Action::Wait
                 }
             }
             Decider::Thresholds => progress.step(&Snapshot { tallies: &nothing, ..snapshot }),
         };
         match next {
-            Next::Wait => None,
-            Next::Begin => Some(Stage::Canary),
-            Next::Ramp => Some(Stage::Ramp),
-            Next::Shift => Some(Stage::Shifting),
-            Next::Complete { .. } => Some(Stage::Completed),
-            Next::RollBack(_) | Next::GiveUp => Some(Stage::RolledBack),
+            Action::Wait => None,
+            Action::Begin => Some(Stage::Canary),
+            Action::Ramp => Some(Stage::Ramp),
+            Action::Shift => Some(Stage::Shifting),
+            Action::Complete { .. } => Some(Stage::Completed),
+            Action::RollBack(_) | Action::GiveUp => Some(Stage::RolledBack),
         }
     }
 }
 
-fn is_beyond((_, pair): (&Series, &Pair)) -> bool {
+fn is_beyond((_, pair): (&Series, &Comparison)) -> bool {
     let rate = |failed: u64, all: u64| failed as f64 / all.max(1) as f64;
     let target = rate(pair.target.failed, pair.target.len());
-    let rest = rate(pair.rest.failed, pair.rest.len());
+    let rest = rate(pair.baseline.failed, pair.baseline.len());
     let median =
         |latencies: &keeljunction_core::serving::rollout::Latencies| latencies.get_quantile(0.5);
-    let is_compared = pair.target.latencies.len() >= 10 && pair.rest.latencies.len() >= 50;
-    let is_slow = is_compared && median(&pair.target.latencies) > 2 * median(&pair.rest.latencies);
+    let is_compared = pair.target.latencies.len() >= 10 && pair.baseline.latencies.len() >= 50;
+    let is_slow =
+        is_compared && median(&pair.target.latencies) > 2 * median(&pair.baseline.latencies);
     (pair.target.failed >= 5 && target > 3.0 * rest) || is_slow
 }
 
@@ -241,15 +242,15 @@
     let series = Series { route: drawn.0.to_owned(), phase: Phase::FirstToken };
     let tally = tallies.get_mut(series, is_target);
     if is_made_to_fail || random.f64() < FAILING {
-        tally.fail();
+        tally.record_failure();
     } else {
         let is_cold = kind == Kind::Cold && drawn.0 == "brief";
         let slowed = if is_made_slow { 4.0 } else { 1.0 } * if is_cold { 1.7 } else { 1.0 };
-        tally.succeed(Some((drawn.2 * slowed * draw_factor(SPREAD, random)) as u64));
+        tally.record_success(Some((drawn.2 * slowed * draw_factor(SPREAD, random)) as u64));
         let series = Series { route: drawn.0.to_owned(), phase: Phase::Stream };
         let slowed = if is_made_slow { 4.0 } else { 1.0 };
         let pace = PACE * slowed * draw_factor(PACE_SPREAD, random);
-        tallies.get_mut(series, is_target).succeed(Some(pace as u64));
+        tallies.get_mut(series, is_target).record_success(Some(pace as u64));
     }
     is_made_to_fail || is_made_slow
 }
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -1,5 +1,6 @@
 use keeljunction_core::serving::usage::{
-    Counts, Frozen, Incarnation, Ledger, Outgoing, WindowSet, count_kept, is_settled, window_at,
+    Counts, FrozenWindows, Incarnation, Ledger, ReportFilter, WindowSet, count_retained_windows,
+    is_settled, window_at,
 };
 use proptest::prelude::*;
 
@@ -66,11 +67,11 @@
     before.count(6, &incarnation("a", 1), "acme");
     before.count(7, &incarnation("a", 1), "acme");
     before.count(7, &incarnation("b", 1), "acme");
-    let kept = before.get_since(7);
+    let kept = before.get_snapshot(7);
     let mut after = Ledger::default();
     after.merge(7, &incarnation("b", 1), &Counts::from([("acme".to_owned(), 4)]));
     after.count(7, &incarnation("a", 2), "acme");
-    after.merge_kept(&kept);
+    after.merge_snapshot(&kept);
     assert_eq!(after.total(7), Counts::from([("acme".to_owned(), 6)]));
     assert_eq!(after.get_first_window(), Some(7));
 }
@@ -83,7 +84,7 @@
 /// The load of many client accounts: an aggregator sends its counts to all others five times a second.
 #[test]
 fn windows_that_have_ended_are_repeated_for_two_seconds_and_then_seldom() {
-    let mut outgoing = Outgoing::default();
+    let mut outgoing = ReportFilter::default();
     let windows = |now: u64| {
         let ended = (1..4).map(|window| (window, of_accounts(333, window)));
         ended.chain([(4, of_accounts(333, now))]).collect::<Vec<_>>()
@@ -97,7 +98,7 @@
 
 #[test]
 fn a_window_that_changes_late_is_reported_again() {
-    let mut outgoing = Outgoing::default();
+    let mut outgoing = ReportFilter::default();
     for turn in 1..40 {
         outgoing.select(turn, vec![(1, of_accounts(3, 1)), (2, of_accounts(3, 2))]);
     }
@@ -111,26 +112,26 @@
 #[test]
 fn a_frozen_window_stays_as_it_was_frozen_first() {
     let counts = |count| Counts::from([("acme".to_owned(), count)]);
-    let mut frozen = Frozen::new(8);
-    frozen.note_heard(7, &counts(3));
-    assert!(!frozen.note_own(7, &counts(4)));
+    let mut frozen = FrozenWindows::new(8);
+    frozen.record_remote(7, &counts(3));
+    assert!(!frozen.record_own(7, &counts(4)));
     assert_eq!(frozen.get(7), Some(&counts(3)));
 }
 
 #[test]
 fn the_latest_frozen_windows_are_remembered() {
-    let mut frozen = Frozen::new(8);
-    (0..100).for_each(|window| frozen.note_heard(window, &Counts::new()));
+    let mut frozen = FrozenWindows::new(8);
+    (0..100).for_each(|window| frozen.record_remote(window, &Counts::new()));
     assert_eq!((frozen.get(91), frozen.get(92)), (None, Some(&Counts::new())));
 }
 
 #[test]
 fn the_node_that_froze_a_window_lists_it_in_a_few_reports_and_all_do_so_once_after_a_return() {
-    let mut own = Frozen::new(8);
-    own.note_own(7, &Counts::new());
+    let mut own = FrozenWindows::new(8);
+    own.record_own(7, &Counts::new());
     assert_eq!((0..5).map(|_| own.list_due().len()).collect::<Vec<_>>(), [1, 1, 1, 0, 0]);
-    let mut other = Frozen::new(8);
-    other.note_heard(7, &Counts::new());
+    let mut other = FrozenWindows::new(8);
+    other.record_remote(7, &Counts::new());
     assert!(other.list_due().is_empty());
     other.repeat();
     assert_eq!(other.list_due(), [(7, Counts::new())]);
@@ -139,8 +140,8 @@
 
 #[test]
 fn a_report_lists_a_few_frozen_windows_the_latest_first() {
-    let mut frozen = Frozen::new(8);
-    (1..=5).for_each(|window| frozen.note_heard(window, &Counts::new()));
+    let mut frozen = FrozenWindows::new(8);
+    (1..=5).for_each(|window| frozen.record_remote(window, &Counts::new()));
     frozen.repeat();
     let mut list = || frozen.list_due().into_iter().map(|(window, _)| window).collect::<Vec<_>>();
     assert_eq!([list(), list(), list(), list()], [vec![5, 4], vec![3, 2], vec![1], vec![]]);
@@ -148,22 +149,22 @@
 
 #[test]
 fn all_windows_that_are_due_are_kept() {
-    assert_eq!(count_kept(10_000, 5_000), 8);
-    assert_eq!(count_kept(10_000, 500), 26);
-    assert_eq!(count_kept(500, 5_000), 7);
+    assert_eq!(count_retained_windows(10_000, 5_000), 8);
+    assert_eq!(count_retained_windows(10_000, 500), 26);
+    assert_eq!(count_retained_windows(500, 5_000), 7);
 }
 
 // Guards against a window that is counted anew because the counts that it was frozen with got lost on their way.
 #[test]
 fn a_window_that_another_node_knows_as_frozen_is_named_without_its_counts() {
-    let mut own = Frozen::new(8);
-    [3, 7, 9].into_iter().for_each(|window| assert!(own.note_own(window, &Counts::new())));
-    let mut other = Frozen::new(8);
-    other.note_named(own.get_names());
-    assert!([3, 7, 9].into_iter().all(|window| other.is_named(window)));
-    assert!([2, 4, 8, 10].into_iter().all(|window| !other.is_named(window)));
+    let mut own = FrozenWindows::new(8);
+    [3, 7, 9].into_iter().for_each(|window| assert!(own.record_own(window, &Counts::new())));
+    let mut other = FrozenWindows::new(8);
+    other.record_announced(own.get_windows());
+    assert!([3, 7, 9].into_iter().all(|window| other.is_announced(window)));
+    assert!([2, 4, 8, 10].into_iter().all(|window| !other.is_announced(window)));
     assert_eq!(other.get(7), None);
-    assert_eq!(other.get_names(), WindowSet::default());
+    assert_eq!(other.get_windows(), WindowSet::default());
 }
 
 #[test]
@@ -173,5 +174,5 @@
     assert_eq!(WindowSet::default().iter().count(), 0);
     let first: WindowSet = [0].into_iter().collect();
     assert_eq!(first.iter().collect::<Vec<_>>(), [0]);
-    assert!(!first.has(1));
+    assert!(!first.contains(1));
 }
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -9,16 +9,16 @@
 use hyper::{HeaderMap, Request};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::memory::Kind;
 use keeljunction_core::serving::throughput::Sample;
 
 use super::admission::Exchange;
 use super::signals::{self, Answered};
 use crate::event::{self, Event};
-use crate::http::{Body, Reply};
+use crate::http::{Body, ResponseBody};
 use crate::node::{Node, Reservation, crashes, note_load_change, watch};
-use crate::port::{AnswerHead, Dispatch};
+use crate::port::{ForwardContext, ResponseHead};
 use crate::runtime;
 
 /// The most bytes of an answer that are held back until it is known to be whole.
@@ -47,7 +47,7 @@
         /// What has come.
         first: Bytes,
         /// The rest.
-        rest: Reply,
+        rest: ResponseBody,
     },
 }
 
@@ -111,7 +111,7 @@
     node: Arc<Node>,
     service: String,
     server: String,
-    work: Work,
+    work: RequestCost,
     body_bytes: u64,
     began_at: Millis,
     had_first_token: bool,
@@ -123,7 +123,7 @@
         node.with(|state| {
             state.server_held_bytes.begin(&server.id, body_bytes);
             state.loads.begin(&server.id, &work);
-            state.demand.begin(&server.service);
+            state.demand.begin_request(&server.service);
         });
         note_load_change(node, &server.id, true);
         let (service, server) = (server.service.clone(), server.id.clone());
@@ -141,7 +141,7 @@
     pub fn note_first_token(&mut self) {
         if !self.had_first_token {
             self.had_first_token = true;
-            self.node.with(|state| state.loads.note_first_token(&self.server, &self.work));
+            self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
             note_load_change(&self.node, &self.server, false);
         }
     }
@@ -153,7 +153,7 @@
         self.node.with(|state| {
             state.server_held_bytes.end(&self.server, self.body_bytes);
             state.loads.end(&self.server, &self.work, had_first_token);
-            state.demand.end(&self.service);
+            state.demand.end_request(&self.service);
         });
         note_load_change(&self.node, &self.server, false);
     }
@@ -164,7 +164,7 @@
     /// The server.
     pub server: &'a Server,
     /// The last event that the caller has got, where a stream goes on.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// How long to wait for the head of the answer.
     pub within: Millis,
 }
@@ -177,13 +177,13 @@
     order: &Order<'_>,
 ) -> Result<Answer, Failure> {
     let within = Duration::from_millis(order.within);
-    let answered = runtime::within(within, exchange_with(node, exchange, order)).await;
+    let answered = runtime::timeout(within, exchange_with(node, exchange, order)).await;
     let answered = answered.unwrap_or(Err((Failed::Timeout, None)));
     let has_begun = match &answered {
         Ok(_) => true,
         Err((failed, _)) => failed.may_have_run() && *failed != Failed::Timeout,
     };
-    if has_begun && order.last_event.is_none() {
+    if has_begun && order.last_event_id.is_none() {
         exchange.count_usage(node);
     }
     answered
@@ -205,7 +205,9 @@
         false => {
             if note_end(node, order.server) {
                 // The server's other requests fail with it: it is ejected at once.
-                node.with(|state| state.health.fail_to_connect(node.now(), &order.server.id));
+                node.with(|state| {
+                    state.health.record_connect_failure(node.now(), &order.server.id)
+                });
             }
             crashes::note_interrupted_attempt(
                 node,
@@ -235,7 +237,7 @@
     load.note_first_token();
     // A sample is of how fast a server reads; a round trip to another region would distort it.
     let is_sample = !node.is_cross_region(data_centre);
-    if is_sample && exchange.has_engine && order.last_event.is_none() {
+    if is_sample && exchange.has_engine && order.last_event_id.is_none() {
         let sample = Sample {
             server: short_id(&order.server.id),
             is_alone,
@@ -267,7 +269,7 @@
         if state.directory.get(id).is_none_or(|known| known.is_leaving) {
             return (held_bytes, None);
         }
-        (held_bytes, state.server_held_bytes.note_end(now, &server.service, id))
+        (held_bytes, state.server_held_bytes.record_disconnect(now, &server.service, id))
     });
     let Some(bound_bytes) = bound else { return false };
     let service = &server.service;
@@ -280,7 +282,7 @@
 /// What is held back is reserved; an answer for which there is no room is passed on as it comes.
 async fn read_first(
     exchange: &Exchange,
-    mut reply: Reply,
+    mut reply: ResponseBody,
     held: &mut Reservation,
 ) -> Option<AnswerBody> {
     let is_streaming = exchange.route.kind.is_streaming();
@@ -303,14 +305,14 @@
 
 fn build(node: &Node, exchange: &Exchange, order: &Order<'_>) -> Option<Request<Body>> {
     let mut headers: HeaderMap = exchange.headers.clone();
-    let dispatch = Dispatch {
-        left: exchange.get_left(node.now()),
+    let dispatch = ForwardContext {
+        time_left: exchange.get_left(node.now()),
         server_id: &order.server.id,
         account: exchange.account.as_deref(),
         urgency: exchange.has_engine.then_some(exchange.urgency),
-        last_event: order.last_event,
+        last_event_id: order.last_event_id,
     };
-    (node.platform.dialect.write_request)(&mut headers, &dispatch);
+    (node.platform.header_codec.encode_request)(&mut headers, &dispatch);
     let path = exchange.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = exchange.get_body();
     let body = match content.is_empty() {
@@ -331,9 +333,9 @@
     sent_at: Millis,
     parts: &Parts,
 ) -> Option<Failed> {
-    let head = (node.platform.dialect.read_answer)(parts);
+    let head = (node.platform.header_codec.decode_response)(parts);
     let fault = find_fault(exchange, parts, &head);
-    if !head.is_other_server && !is_foreign(exchange, &head) {
+    if !head.is_wrong_server && !is_foreign(exchange, &head) {
         let is_run = matches!(fault, None | Some(Failed::ServerError));
         let answered = Answered { sent_at, status: parts.status, is_run };
         signals::note(node, server, &answered, &head);
@@ -347,9 +349,9 @@
 }
 
 /// Returns what is wrong with the head of an answer.
-fn find_fault(exchange: &Exchange, parts: &Parts, head: &AnswerHead) -> Option<Failed> {
+fn find_fault(exchange: &Exchange, parts: &Parts, head: &ResponseHead) -> Option<Failed> {
     let status = parts.status;
-    if head.is_other_server {
+    if head.is_wrong_server {
         return Some(Failed::OtherServer);
     }
     if head.is_not_executed {
@@ -369,6 +371,6 @@
 }
 
 /// Returns `true` if an answer belongs to another request.
-fn is_foreign(exchange: &Exchange, head: &AnswerHead) -> bool {
+fn is_foreign(exchange: &Exchange, head: &ResponseHead) -> bool {
     head.request_id.is_some() && head.request_id != exchange.head.id
 }
--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -3,8 +3,10 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::rollout::Side;
-use keeljunction_core::serving::spill::{Cause, Offer, Settled, Way, get_region, list_far, settle};
+use keeljunction_core::serving::rollout::VersionFilter;
+use keeljunction_core::serving::spill::{
+    Cause, Destination, Offer, RemotePath, get_region, list_remote_regions, pick_destination,
+};
 
 use super::region::{Found, Place, pick_in};
 use super::{Attempts, Pick, conclude};
@@ -22,7 +24,7 @@
     /// The attempts so far.
     pub attempts: Attempts<'a>,
     /// The versions that the request may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// Why the request leaves its region.
     pub cause: Cause,
     /// How the servers of its own region are considered.
@@ -31,7 +33,7 @@
 
 /// Whether a request may go to another region.
 enum Gate {
-    Open(Way),
+    Open(RemotePath),
     Closed,
     /// The link's budget is used up; the time until it recovers, in milliseconds.
     LinkFull(Millis),
@@ -42,7 +44,7 @@
     pub async fn run(self, found: Found) -> Result<Pick, Rejection> {
         let node = self.node;
         let regions = node.with(|state| {
-            list_far(&node.topology, |region| state.round_trips.get_round_trip(region))
+            list_remote_regions(&node.topology, |region| state.round_trips.get_round_trip(region))
         });
         let mut offer = found.offer;
         let mut link_wait: Option<Millis> = None;
@@ -56,11 +58,11 @@
                 }
             };
             let far = self.pick_far(region, &way).await;
-            match (settle(offer, far.offer), far.server) {
-                (Settled::Far, Some(server)) => {
+            match (pick_destination(offer, far.offer), far.server) {
+                (Destination::Remote, Some(server)) => {
                     return Ok(Pick::new(server, Some(self.cause)));
                 }
-                (Settled::Busy(wait), _) => offer = Offer::Busy(wait),
+                (Destination::Busy(wait), _) => offer = Offer::Busy(wait),
                 _ => {}
             }
         }
@@ -77,10 +79,10 @@
     }
 
     /// Picks a server of another region, within what the way there leaves of the objective.
-    async fn pick_far(&self, region: &str, way: &Way) -> Found {
+    async fn pick_far(&self, region: &str, way: &RemotePath) -> Found {
         let place = Place {
             far: Some((region, self.cause)),
-            criteria: way.shorten(&self.near.criteria),
+            criteria: way.adjust_criteria(&self.near.criteria),
             is_load_requested: way.is_load_requested,
             is_version_fixed: self.near.is_version_fixed,
         };
@@ -102,12 +104,12 @@
             if !ready.any(is_there) {
                 return Gate::Closed;
             }
-            let is_silent = state.region_links.is_silent(now, region);
-            let way = Way {
+            let is_silent = state.region_links.is_unresponsive(now, region);
+            let way = RemotePath {
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
                 round_trip: state.round_trips.get_round_trip(region),
-                transfer: state.region_links.get_transfer(self.exchange.body_bytes),
+                transfer: state.region_links.get_transfer_time(self.exchange.body_bytes),
                 is_load_requested: self.near.is_load_requested && !is_silent,
             };
             let is_lost = is_silent && self.cause == Cause::Full;
@@ -121,7 +123,7 @@
             }
         });
         if matches!(gate, Gate::LinkFull(_)) {
-            let labels = RegionLabels::of(region);
+            let labels = RegionLabels::new(region);
             node.metrics.link_full.get_or_create(&labels).inc();
         }
         gate
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -16,7 +16,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::configuration::RouteKind;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
+use keeljunction_core::serving::event_stream::{Sequence, SequenceCheck, Splitter};
 use keeljunction_core::serving::rollout::Phase;
 
 use super::admission::Exchange;
@@ -26,7 +26,7 @@
 use super::relay;
 use super::respond::{ANSWERED, Record};
 use crate::event::{self, Event};
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use crate::node::{Node, crashes, rollouts};
 use crate::runtime;
 
@@ -39,7 +39,7 @@
     /// What has come.
     pub first: Bytes,
     /// The rest.
-    pub rest: Reply,
+    pub rest: ResponseBody,
     /// Counts the request at the server.
     pub load: LoadGuard,
 }
@@ -62,7 +62,7 @@
     let relay = Relay {
         status,
         splitter: is_resumable(&exchange).then(Splitter::default),
-        sequence: Sequence::after(exchange.head.last_event),
+        sequence: Sequence::after(exchange.head.last_event_id),
         ready: VecDeque::new(),
         reply: Some(rest),
         tried: Tried { all: vec![server.id.clone()], ended: Vec::new() },
@@ -90,7 +90,7 @@
     splitter: Option<Splitter>,
     sequence: Sequence,
     ready: VecDeque<Bytes>,
-    reply: Option<Reply>,
+    reply: Option<ResponseBody>,
     tried: Tried,
     pace: Pace,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
@@ -233,11 +233,11 @@
         };
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
-            let verdict = event.id.map_or(Verdict::Next, |id| self.sequence.judge(id));
+            let verdict = event.id.map_or(SequenceCheck::Next, |id| self.sequence.check(id));
             match verdict {
-                Verdict::Next => self.ready.push_back(event.bytes),
-                Verdict::Repeated => {}
-                Verdict::Gap => {
+                SequenceCheck::Next => self.ready.push_back(event.bytes),
+                SequenceCheck::Duplicate => {}
+                SequenceCheck::Gap => {
                     self.stop(End::Broken("an event is missing"));
                     return;
                 }
--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -46,21 +46,21 @@
 
 /// Explains why there is no response.
 #[derive(Debug)]
-pub enum Failure {
+pub enum SendError {
     /// No byte of the request left; it cannot have run.
     NotSent(String),
     /// Some of it may have arrived.
     MaybeSent(String),
 }
 
-impl Failure {
+impl SendError {
     /// Returns `true` if no byte of the request left.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "not sent: {why}"),
@@ -69,7 +69,7 @@
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for SendError {}
 
 type Idle = Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>;
 
@@ -109,7 +109,7 @@
     }
 
     /// Sets how long a connection may rest and still be used again.
-    pub fn with_rest(self, rest: Duration) -> Self {
+    pub fn with_idle_timeout(self, rest: Duration) -> Self {
         Self { rest, ..self }
     }
 
@@ -117,22 +117,22 @@
     ///
     /// A server accepts a number of connections from all nodes together: those that rest here must
     /// leave room for the other nodes' requests.
-    pub fn set_idle_per_address(&self, most: usize) {
+    pub fn set_max_idle_per_address(&self, most: usize) {
         self.idle_per_address.store(most, Ordering::Relaxed);
     }
 
     /// Returns how many connections to an address rest.
-    pub fn get_idle(&self, address: SocketAddr) -> usize {
+    pub fn get_idle_count(&self, address: SocketAddr) -> usize {
         runtime::lock(&self.idle).get(&address).map_or(0, Vec::len)
     }
 
     /// Returns how many connections were made so far.
-    pub fn get_opened(&self) -> u64 {
+    pub fn get_opened_count(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
     /// Closes all idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         runtime::lock(&self.idle).remove(&address);
     }
 
@@ -140,19 +140,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::NotSent`] only where no byte of the request left this machine.
+    /// Returns [`SendError::NotSent`] only where no byte of the request left this machine.
     pub async fn send(
         &self,
         to: SocketAddr,
         request: Request<Body>,
-    ) -> Result<Response<Reply>, Failure> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let mut request = request;
         while let Some(mut connection) = self.take_idle(to) {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.keep(to, connection, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(Failure::MaybeSent(error.into_error().to_string())),
+                    None => return Err(SendError::MaybeSent(error.into_error().to_string())),
                 },
             }
         }
@@ -162,7 +162,7 @@
             Err(mut error) => {
                 let is_unsent = error.take_message().is_some();
                 let why = error.into_error().to_string();
-                Err(if is_unsent { Failure::NotSent(why) } else { Failure::MaybeSent(why) })
+                Err(if is_unsent { SendError::NotSent(why) } else { SendError::MaybeSent(why) })
             }
         }
     }
@@ -171,25 +171,25 @@
     /// again.
     pub async fn is_listening(&self, address: SocketAddr) -> bool {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        let connecting = runtime::within(self.connect_within, TcpStream::connect(address)).await;
+        let connecting = runtime::timeout(self.connect_within, TcpStream::connect(address)).await;
         matches!(connecting, Some(Ok(_)))
     }
 
     fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = runtime::lock(&self.idle);
         let kept = idle.get_mut(&to)?;
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         kept.retain(|connection| connection.is_usable(now, self.rest));
         // The one that was used last: those that are not needed rest until the server closes them.
         kept.pop()
     }
 
-    async fn connect(&self, to: SocketAddr) -> Result<Connection, Failure> {
-        let connecting = runtime::within(self.connect_within, TcpStream::connect(to)).await;
+    async fn connect(&self, to: SocketAddr) -> Result<Connection, SendError> {
+        let connecting = runtime::timeout(self.connect_within, TcpStream::connect(to)).await;
         let stream = match connecting {
             Some(Ok(stream)) => stream,
-            Some(Err(error)) => return Err(Failure::NotSent(error.to_string())),
-            None => return Err(Failure::NotSent("no connection in time".to_owned())),
+            Some(Err(error)) => return Err(SendError::NotSent(error.to_string())),
+            None => return Err(SendError::NotSent("no connection in time".to_owned())),
         };
         self.opened.fetch_add(1, Ordering::Relaxed);
         let _ = stream.set_nodelay(true);
@@ -197,13 +197,13 @@
             log::warn!("a connection to {to} that goes silent shows late: {error}");
         }
         let socket = Socket::new(stream);
-        let writes = socket.get_writes();
+        let writes = socket.get_write_state();
         let made = http1::handshake(socket).await;
-        let (sender, connection) = made.map_err(|error| Failure::NotSent(error.to_string()))?;
-        let driver = runtime::task(async move {
+        let (sender, connection) = made.map_err(|error| SendError::NotSent(error.to_string()))?;
+        let driver = runtime::spawn_with_handle(async move {
             let _ = drive(pin!(connection), &writes).await;
         });
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         Ok(Connection { sender, until: now + KEEP_FOR, rests_since: now, _driver: driver })
     }
 
@@ -212,11 +212,11 @@
         to: SocketAddr,
         mut connection: Connection,
         response: Response<Incoming>,
-    ) -> Response<Reply> {
-        connection.until = runtime::boot_time() + keep_for(response.headers());
+    ) -> Response<ResponseBody> {
+        connection.until = runtime::boottime_now() + keep_for(response.headers());
         let idle = self.idle.clone();
         let idle_per_address = self.idle_per_address.clone();
-        response.map(|body| Reply {
+        response.map(|body| ResponseBody {
             body,
             is_ended: false,
             kept: Some(Kept { to, connection, idle, idle_per_address }),
@@ -255,7 +255,7 @@
 
 /// The body of a response. The connection is kept once it has been read to its end, and closed at
 /// once where the body is dropped before that.
-pub struct Reply {
+pub struct ResponseBody {
     body: Incoming,
     is_ended: bool,
     kept: Option<Kept>,
@@ -268,7 +268,7 @@
     idle_per_address: Arc<AtomicUsize>,
 }
 
-impl HttpBody for Reply {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -288,7 +288,7 @@
     }
 }
 
-impl Drop for Reply {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         let Some(mut kept) = self.kept.take() else { return };
         if !self.is_ended && !self.body.is_end_stream() {
@@ -298,7 +298,7 @@
             if kept.connection.sender.ready().await.is_ok() {
                 let mut idle = runtime::lock(&kept.idle);
                 let connections = idle.entry(kept.to).or_default();
-                kept.connection.rests_since = runtime::boot_time();
+                kept.connection.rests_since = runtime::boottime_now();
                 if connections.len() < kept.idle_per_address.load(Ordering::Relaxed) {
                     connections.push(kept.connection);
                 }
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Registry, Unit};
 
-use super::labels::{AccountLabels, KindLabels, RegionLabels, ServiceLabels};
+use super::labels::{AccountLabels, MemoryKindLabels, RegionLabels, ServiceLabels};
 use crate::node::Node;
 use crate::node::memory::read_resident_bytes;
 
@@ -27,7 +27,7 @@
     sampled_out_lines: Gauge<i64, AtomicI64>,
     dropped_lines: Gauge<i64, AtomicI64>,
     resident: Gauge<i64, AtomicI64>,
-    memory_held: Family<KindLabels, Gauge>,
+    memory_held: Family<MemoryKindLabels, Gauge>,
     memory_capacity: Gauge<i64, AtomicI64>,
     memory_part: Gauge<f64, AtomicU64>,
     is_short_of_memory: Gauge<i64, AtomicI64>,
@@ -154,8 +154,8 @@
     pub fn update(&self, node: &Node) {
         let now = node.now();
         self.in_flight.set(node.get_in_flight() as i64);
-        self.connections_opened.set(node.http_client.get_opened() as i64);
-        let (sampled_out, dropped) = crate::log::get_losses();
+        self.connections_opened.set(node.http_client.get_opened_count() as i64);
+        let (sampled_out, dropped) = crate::log::get_suppressed_counts();
         self.sampled_out_lines.set(sampled_out as i64);
         self.dropped_lines.set(dropped as i64);
         self.resident.set(read_resident_bytes().unwrap_or(0) as i64);
@@ -164,7 +164,7 @@
             self.read_ahead.set(state.memory.get_held(Kind::ReadAhead) as i64);
             self.held_at_servers.set(state.server_held_bytes.get_total() as i64);
             self.skipped_entries.set(state.skipped_entries.count() as i64);
-            self.quarantined.set(state.quarantine.count_refused(now) as i64);
+            self.quarantined.set(state.quarantine.count_quarantined(now) as i64);
             self.in_back_off.set(state.backpressure.count_in_back_off(now) as i64);
             self.limited.set(state.backpressure.count_limited() as i64);
             let age = state.freshness.get_age(now);
@@ -172,30 +172,30 @@
             let version = state.configuration.as_ref().map_or(0, |known| known.version);
             self.configuration_version.set(version as i64);
             self.memory_capacity.set(state.memory.get_capacity() as i64);
-            self.memory_part.set(state.memory.get_use().part);
-            self.is_short_of_memory.set(state.memory.is_short().into());
+            self.memory_part.set(state.memory.get_usage().part);
+            self.is_short_of_memory.set(state.memory.is_under_pressure().into());
             for kind in Kind::ALL {
-                let labels = KindLabels { kind: kind.as_str().to_owned() };
+                let labels = MemoryKindLabels { kind: kind.as_str().to_owned() };
                 let held = state.memory.get_held(kind) as i64;
                 self.memory_held.get_or_create(&labels).set(held);
             }
             self.lease_fence.set(state.lease.get_fence(now).unwrap_or(0) as i64);
             for region in node.topology.list_regions() {
-                if region != node.topology.get_own() {
+                if region != node.topology.get_own_region() {
                     let round_trip = state.round_trips.get_round_trip(region) as f64 / 1_000.0;
-                    let labels = RegionLabels::of(region);
+                    let labels = RegionLabels::new(region);
                     self.region_round_trip.get_or_create(&labels).set(round_trip);
                 }
             }
-            let reach = state.members.get_reach(now);
+            let reach = state.members.get_reachability(now);
             self.nodes_heard.set(reach.heard as i64);
-            self.nodes.set(reach.all as i64);
+            self.nodes.set(reach.known as i64);
             let Some(configuration) = state.configuration.clone() else { return };
             for service in configuration.services.keys() {
                 let ready = state.directory.iter_ready(service).count() as i64;
                 let labels = ServiceLabels { service: service.clone() };
                 self.ready_servers.get_or_create(&labels).set(ready);
-                let retries = state.retry_budget.get_left(now, service, reach.all);
+                let retries = state.retry_budget.get_remaining(now, service, reach.known);
                 self.retries_left.get_or_create(&labels).set(retries);
             }
             for account in configuration.accounts.iter().flatten() {
--- a/crates/gateway/src/node/capacity_controller.rs
+++ b/crates/gateway/src/node/capacity_controller.rs
@@ -5,8 +5,8 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::capacity::{
-    Demand, Found, Inventory, Needs, Order, Plan, Policy, Snapshot, count_crossing, needs,
-    plan_regions,
+    Demand, InitialCount, Inventory, Order, PeakNeeds, Plan, Policy, Snapshot, compute_needs,
+    count_spillable, plan_regions,
 };
 use keeljunction_core::serving::configuration::{Scaling, Service};
 use keeljunction_core::serving::demand::DemandTotals;
@@ -14,7 +14,7 @@
 use super::Node;
 use crate::event::{self, Event};
 use crate::metrics::CapacityLabels;
-use crate::port::{CapacityOrder, DutyHolder};
+use crate::port::{CapacityOrder, LeaseHolder};
 use crate::runtime;
 
 /// The timeout for calls to the platform's control service.
@@ -45,11 +45,11 @@
     ordered: BTreeMap<OrderKey, Order>,
     back_off_until: BTreeMap<OrderKey, Millis>,
     /// The recent maximum of the needs, by service.
-    needs: BTreeMap<String, Needs>,
+    needs: BTreeMap<String, PeakNeeds>,
     /// When this holder first knew the demand, by service.
     demand_known_since: BTreeMap<String, Millis>,
     /// On-demand servers found in the server list, by service and region.
-    found: BTreeMap<(String, String), Found>,
+    found: BTreeMap<(String, String), InitialCount>,
     /// When spot servers may be ordered next while the server list is still growing.
     next_growing_list_order_at: BTreeMap<String, Millis>,
 }
@@ -90,10 +90,10 @@
         let unreachable = list_unreachable_regions(node, &inventories);
         let (needs, policy) = match &demands {
             Some(demands) => {
-                let latest = needs(&policy, demands);
+                let latest = compute_needs(&policy, demands);
                 let unreachable = unreachable.iter().map(String::as_str).collect();
                 let followed = self.needs.entry(name.to_owned()).or_default();
-                (followed.follow(now, &latest, &unreachable, SCALE_DOWN_WINDOW_MS), policy)
+                (followed.record(now, &latest, &unreachable, SCALE_DOWN_WINDOW_MS), policy)
             }
             // A holder that does not know the demand yet keeps the mix of an earlier holder.
             None if is_mixed && !self.has_orders(name) => return,
@@ -121,7 +121,7 @@
             // On-demand servers that have not registered yet must not be released, unless they are
             // known to be surplus.
             let snapshot = snapshots.get(get_region(node, &order.data_centre));
-            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_carried_by_spot(scaling));
+            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_spot_sufficient(scaling));
             let is_surplus = is_demand_settled && is_carried;
             if !is_complete && !order.is_spot && !is_surplus {
                 continue;
@@ -159,7 +159,7 @@
                 need,
                 is_spot_exhausted: self.is_spot_exhausted(name, inventory, now),
                 on_demand_held: self.count_on_demand(name, inventory),
-                crossing: count_crossing(
+                spillable: count_spillable(
                     need,
                     get_tokens_per_second(demands, region),
                     node.settings.regions.spill_mbps,
@@ -172,7 +172,7 @@
 
     /// Returns `true` if spot servers may be ordered while the server list is still growing.
     fn is_growing_list_order_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
-        let is_untouched = node.with(|state| state.demand.is_untouched(name));
+        let is_untouched = node.with(|state| state.demand.is_never_requested(name));
         let next = self
             .next_growing_list_order_at
             .entry(name.to_owned())
@@ -207,14 +207,15 @@
         inventories: &Inventories,
         now: Millis,
     ) -> (BTreeMap<String, u32>, bool) {
-        let (is_idle, age) = node
-            .with(|state| (state.demand.is_untouched(name), state.servers_freshness.get_age(now)));
+        let (is_idle, age) = node.with(|state| {
+            (state.demand.is_never_requested(name), state.servers_freshness.get_age(now))
+        });
         let known_at = age.map(|age| now.saturating_sub(age));
         let mut is_complete = true;
         let follow = |(region, inventory): (&String, &BTreeMap<String, Inventory>)| {
             let listed = inventory.values().map(|held| held.on_demand).sum();
             let found = self.found.entry((name.to_owned(), region.clone())).or_default();
-            let count = found.follow(now, listed, is_idle, known_at);
+            let count = found.record(now, listed, is_idle, known_at);
             is_complete &= found.is_complete(known_at);
             (region.clone(), count)
         };
@@ -258,7 +259,7 @@
         for (data_centre, held) in &mut inventory {
             let key = (name.to_owned(), data_centre.clone(), true);
             let Some(ordered) = self.ordered.get_mut(&key) else { continue };
-            held.spot_booting = ordered.follow(now, held.spot, scaling.boot);
+            held.spot_booting = ordered.update(now, held.spot, scaling.boot);
         }
         inventory
     }
@@ -322,9 +323,9 @@
         let now = node.now();
         let Some(fence) = node.with(|state| state.lease.get_fence(now)) else { return };
         let key = (order.service.clone(), order.data_centre.clone(), order.is_spot);
-        let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
+        let holder = LeaseHolder { name: node.incarnation.node.clone(), fence };
         let calling = (node.platform.control.set_capacity)(holder, order.clone());
-        let status = runtime::within(CALL_TIMEOUT, calling).await.flatten();
+        let status = runtime::timeout(CALL_TIMEOUT, calling).await.flatten();
         event::emit(&Event::CapacityOrdered {
             service: &order.service,
             region: get_region(node, &order.data_centre),
@@ -353,7 +354,7 @@
 ) -> Option<BTreeMap<String, Demand>> {
     let slots = service.engine.as_ref().map_or(1, |engine| engine.slots);
     let (totals, covered, throughput, in_flight) = node.with(|state| {
-        let (totals, covered) = state.demand.within(now, name, DEMAND_WINDOW_MS)?;
+        let (totals, covered) = state.demand.get_recent(now, name, DEMAND_WINDOW_MS)?;
         let throughput = state.throughputs.get(name)?.get_prefill_rate()?;
         Some((totals, covered, throughput, state.demand.get_in_flight(now, name)))
     })?;
@@ -377,7 +378,7 @@
 /// Lists the unreachable regions that still have servers accepting requests: their clients are
 /// served there. The demand of a region without servers moves to other regions.
 fn list_unreachable_regions(node: &Node, inventories: &Inventories) -> BTreeSet<String> {
-    let lost = node.with(|state| state.members.list_lost_regions()).into_iter();
+    let lost = node.with(|state| state.members.list_unreachable_regions()).into_iter();
     let is_serving = |region: &String| {
         let held = inventories.get(region).into_iter().flat_map(BTreeMap::values);
         held.map(|held| held.on_demand + held.spot).sum::<u32>() > 0
--- a/crates/gateway/src/node/connections.rs
+++ b/crates/gateway/src/node/connections.rs
@@ -22,13 +22,13 @@
     loop {
         let now = node.now();
         let known = node.with(|state| {
-            let nodes = state.members.get_reach(now).all;
+            let nodes = state.members.get_reachability(now).known;
             state.configuration.clone().map(|configuration| (configuration, nodes))
         });
         if let Some((configuration, nodes)) = known
             && let Some(max) = get_max_idle(&configuration, nodes)
         {
-            node.http_client.set_idle_per_address(max);
+            node.http_client.set_max_idle_per_address(max);
         }
         runtime::sleep(UPDATE_INTERVAL).await;
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -10,11 +10,11 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Crash, Run, SUSPECTED_FOR};
+use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPICION_PERIOD};
 
 use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
-use crate::event::{self, Event, Running};
+use crate::event::{self, CrashSuspect, Event};
 use crate::metrics::ServiceLabels;
 use crate::runtime::{self, lock};
 
@@ -34,7 +34,7 @@
 ) {
     let is_suspected = attempt
         .response_started_at
-        .is_none_or(|since| attempt.interrupted_at < since + SUSPECTED_FOR);
+        .is_none_or(|since| attempt.interrupted_at < since + SUSPICION_PERIOD);
     if !is_suspected || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
@@ -65,16 +65,16 @@
         return;
     }
     let now = node.now();
-    node.with(|state| state.health.fail_to_connect(now, &server.id));
+    node.with(|state| state.health.record_connect_failure(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
-    let running = attempts.iter().map(|attempt| Running {
+    let running = attempts.iter().map(|attempt| CrashSuspect {
         fingerprint: attempt.fingerprint.to_string(),
         ran_ms: attempt.get_duration(),
     });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
-    node.with(|state| state.quarantine.note_crash(now, make_crash(now, &server, &attempts)));
+    node.with(|state| state.quarantine.record_crash(now, make_crash(now, &server, &attempts)));
     peers::quarantine::send_reports(&node).await;
 }
 
@@ -82,8 +82,10 @@
 fn make_crash(now: Millis, server: &Server, attempts: &[InterruptedAttempt]) -> Crash {
     let crashed_at = attempts.iter().map(|attempt| attempt.interrupted_at).min().unwrap_or(now);
     let attempts = attempts.iter();
-    let attempts = attempts
-        .map(|attempt| Run { fingerprint: attempt.fingerprint, ran_for: attempt.get_duration() });
+    let attempts = attempts.map(|attempt| InterruptedRequest {
+        fingerprint: attempt.fingerprint,
+        ran_for: attempt.get_duration(),
+    });
     Crash {
         service: short_id(&server.service),
         server: short_id(&server.id),
--- a/crates/gateway/src/node/cross_region.rs
+++ b/crates/gateway/src/node/cross_region.rs
@@ -9,7 +9,7 @@
 impl Node {
     /// Returns `true` if a data centre is in another region than the node.
     pub(crate) fn is_cross_region(&self, data_centre: &str) -> bool {
-        !self.topology.is_near(data_centre) && self.topology.is_multi_region()
+        !self.topology.is_local(data_centre) && self.topology.is_multi_region()
     }
 
     /// Returns the round-trip time to the region of a data centre; 0 within the node's own region.
@@ -29,7 +29,7 @@
         }
         let region = get_region(&self.topology, data_centre);
         self.with(|state| state.region_links.count(self.now(), region, sent + received));
-        let labels = RegionLabels::of(region);
+        let labels = RegionLabels::new(region);
         self.metrics.region_bytes_sent.get_or_create(&labels).inc_by(sent as u64);
         self.metrics.region_bytes_received.get_or_create(&labels).inc_by(received as u64);
     }
--- a/crates/gateway/src/node/leader.rs
+++ b/crates/gateway/src/node/leader.rs
@@ -85,7 +85,7 @@
 fn can_skip_lease(node: &Node, now: Millis) -> bool {
     let within = (node.settings.bounds.lease_ms as f64 * HOLDER_TTL_FRACTION) as Millis;
     node.with(|state| {
-        let is_held_elsewhere = state.members.is_holder_heard(now, within);
+        let is_held_elsewhere = state.members.is_duty_holder_heard(now, within);
         let is_candidate = state.members.is_aggregator() && state.members.is_settled(now);
         let is_holder = state.lease.get_fence(now).is_some();
         !is_candidate || (is_held_elsewhere && !is_holder)
@@ -143,7 +143,7 @@
 }
 
 fn make_transaction(row: &LeaseRow, current: &KnownLease) -> Transaction {
-    let (table, version) = (TableName::Own(TABLE), current.version);
+    let (table, version) = (TableName::Internal(TABLE), current.version);
     let key = table::era_key(KEY, version.era);
     let condition = Condition { table, key: key.clone(), version };
     let removals = current.earlier.iter().map(|key| Write { table, key: key.clone(), value: None });
@@ -158,7 +158,7 @@
     unreadable: &mut Option<UnreadableRow>,
 ) -> Result<KnownLease, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_TIMEOUT).await?;
     let clock = TableClock { asked_at, table_time: rows.table_time };
     let era = rows.version.era;
     let key = table::era_key(KEY, era);
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, HolderId, Kind, Use};
+use keeljunction_core::serving::memory::{Kind, Requester, ReservationId, Usage};
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::runtime::{self, lock};
 
 /// The interval between samples of the resident memory. At the link bandwidth of a small VM, 10 to
@@ -24,7 +24,7 @@
 /// Reserved bytes that are released on drop.
 pub struct Reservation {
     node: Arc<Node>,
-    id: HolderId,
+    id: ReservationId,
     bytes: u64,
     /// `true` once the eviction signal was taken.
     has_eviction_signal: bool,
@@ -33,23 +33,23 @@
 impl Reservation {
     /// Creates an empty reservation that belongs to no client account.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
-        Self::for_claim(node, &Claim { kind, account: "", urgency: 0 })
+        Self::for_claim(node, &Requester { kind, account: "", urgency: 0 })
     }
 
     /// Creates an empty reservation for a claim.
-    pub fn for_claim(node: &Arc<Node>, claim: &Claim<'_>) -> Self {
+    pub fn for_claim(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
         Self { node: node.clone(), id, bytes: 0, has_eviction_signal: false }
     }
 
     /// Returns the signal for the eviction of this upload.
-    pub(crate) fn watch_eviction(&mut self) -> Stop {
+    pub(crate) fn watch_eviction(&mut self) -> StopSignal {
         self.has_eviction_signal = true;
         let stop = lock(&self.node.eviction_signals.0).entry(self.id).or_default().clone();
         // The upload may have been selected for eviction before the signal was registered.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
-            stop.give();
+            stop.send();
         }
         stop
     }
@@ -101,12 +101,12 @@
     /// Records the arrival of bytes of a body.
     pub(crate) fn note_received(&self, bytes: u64) {
         let now = self.node.now();
-        self.node.with(|state| state.memory.note_received(now, self.id, bytes));
+        self.node.with(|state| state.memory.record_received(now, self.id, bytes));
     }
 
     /// Records that a body is complete, which exempts it from eviction.
     pub(crate) fn note_complete(&self) {
-        self.node.with(|state| state.memory.note_whole(self.id));
+        self.node.with(|state| state.memory.complete_upload(self.id));
     }
 
     /// Releases some of the bytes.
@@ -154,13 +154,13 @@
 fn observe(node: &Node) {
     let (now, resident) = (node.now(), read_resident_bytes());
     let (was_short, is_short, used, evicted) = node.with(|state| {
-        let was_short = state.memory.is_short();
+        let was_short = state.memory.is_under_pressure();
         let evicted = state.memory.observe(now, resident);
-        (was_short, state.memory.is_short(), state.memory.get_use(), evicted)
+        (was_short, state.memory.is_under_pressure(), state.memory.get_usage(), evicted)
     });
     node.eviction_signals.evict(&evicted);
     if was_short != is_short {
-        let Use { reserved, capacity, resident, part } = used;
+        let Usage { reserved, capacity, resident, part } = used;
         event::emit(&Event::MemoryPressureChanged { is_short, part, reserved, capacity, resident });
     }
 }
--- a/crates/gateway/src/node/pause_detector.rs
+++ b/crates/gateway/src/node/pause_detector.rs
@@ -10,7 +10,7 @@
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::runtime::{self, Suspension};
+use crate::runtime::{self, SuspensionDetector};
 
 /// The minimum delay of a check beyond its period that counts as a pause. Leases and freshness
 /// bounds last a few seconds.
@@ -20,21 +20,21 @@
 #[derive(Debug)]
 pub(super) struct PauseDetector {
     checked_at: Millis,
-    suspension: Suspension,
+    suspension: SuspensionDetector,
 }
 
 impl PauseDetector {
     /// Starts at a time on the node's clock.
     pub(super) fn begin(now: Millis) -> Self {
-        let suspension = Suspension::new(runtime::boot_time(), runtime::steady_time());
+        let suspension = SuspensionDetector::new(runtime::boottime_now(), runtime::monotonic_now());
         Self { checked_at: now, suspension }
     }
 
     /// Checks whether the process was paused since the last check.
     pub(super) fn check(&mut self, node: &Node, now: Millis) {
-        let suspended = self.suspension.look(runtime::boot_time(), runtime::steady_time());
+        let suspended = self.suspension.check(runtime::boottime_now(), runtime::monotonic_now());
         if suspended.is_some() {
-            runtime::wake_sleeps();
+            runtime::wake_sleepers();
         }
         let paused = now.saturating_sub(self.checked_at);
         self.checked_at = now;
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response, StatusCode};
 use keeljunction_core::serving::table_version::TableVersion;
 
-use crate::http::{Body, read};
+use crate::http::{Body, read_body};
 use crate::node::{Node, document, watch};
 use crate::port::Row;
 use crate::runtime;
@@ -72,7 +72,7 @@
 /// Encodes the part of the member list that a peer lacks.
 fn encode_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
-    let additions = node.with(|state| state.members.list_additions(now, after.unwrap_or(0)));
+    let additions = node.with(|state| state.members.get_roster_delta(now, after.unwrap_or(0)));
     let encoded = postcard::to_stdvec(&additions);
     encoded
         .inspect_err(|error| log::error!("failed to encode the member list: {error}"))
@@ -86,7 +86,7 @@
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
-        Ok(additions) => node.with(|state| state.members.take_additions(now, from, &additions)),
+        Ok(additions) => node.with(|state| state.members.apply_roster_delta(now, from, &additions)),
         Err(error) => log::warn!("malformed member list from {from}: {error}"),
     }
 }
@@ -142,8 +142,8 @@
         if response.status() != StatusCode::OK {
             return None;
         }
-        read(response.into_body(), MAX_RESPONSE_BYTES).await
+        read_body(response.into_body(), MAX_RESPONSE_BYTES).await
     };
     let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
-    runtime::within(bound.mul_f64(CALL_TIMEOUT_FRACTION), fetching).await.flatten()
+    runtime::timeout(bound.mul_f64(CALL_TIMEOUT_FRACTION), fetching).await.flatten()
 }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -69,7 +69,7 @@
             Message::QueryLoads { query_id, node: node.incarnation.node.clone(), servers };
         node.link.send(node.now(), owner, &message).await;
     }
-    if runtime::within(within, pending.done.recv()).await.is_none() {
+    if runtime::timeout(within, pending.done.recv()).await.is_none() {
         node.metrics.unanswered_load_questions.inc();
     }
     pending.is_any_answered()
@@ -80,7 +80,7 @@
     let near = QUERY_TIMEOUT.as_millis() as Millis;
     let far = by_owner.values().filter_map(|owned| owned.far_region.as_deref());
     let longest =
-        node.with(|state| far.map(|region| state.round_trips.get_wait(region, near)).max());
+        node.with(|state| far.map(|region| state.round_trips.get_timeout(region, near)).max());
     longest.map_or(QUERY_TIMEOUT, Duration::from_millis)
 }
 
@@ -95,7 +95,7 @@
         let Some(owner) = members.find_load_owner(server, data_centre) else { continue };
         let owned = by_owner.entry(owner.address).or_default();
         owned.servers.push(server);
-        owned.far_region = owner.far_region.map(str::to_owned);
+        owned.far_region = owner.remote_region.map(str::to_owned);
     }
     by_owner
 }
@@ -189,7 +189,7 @@
         let mut is_urgent = first.is_urgent;
         while !is_urgent {
             let remaining = Duration::from_millis(until.saturating_sub(node.now()));
-            let Some(Ok(next)) = runtime::within(remaining, changes.recv()).await else { break };
+            let Some(Ok(next)) = runtime::timeout(remaining, changes.recv()).await else { break };
             servers.insert(next.server, next.data_centre);
             is_urgent = next.is_urgent;
         }
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -1,11 +1,11 @@
 //! The datagrams between nodes.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{self, Key, Sighting};
+use keeljunction_core::serving::backpressure::{self, InstanceKey, Observation};
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
-use keeljunction_core::serving::load::{Load, Work};
-use keeljunction_core::serving::members::{Entry, Overview as Reach, Roster};
+use keeljunction_core::serving::load::{Load, RequestCost};
+use keeljunction_core::serving::members::{Entry, Overview as Reach, RosterSummary};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
 use keeljunction_core::serving::rollout::{self, Announcement};
@@ -86,7 +86,7 @@
         /// Identifies the request at its sender.
         query_id: u32,
         /// The server's limit as known to the sender.
-        sighting: Sighting,
+        sighting: Observation,
         /// The server's data centre; empty with a single region.
         data_centre: String,
     },
@@ -95,12 +95,12 @@
         /// The request.
         query_id: u32,
         /// The server.
-        key: Key,
+        key: InstanceKey,
         /// The owner's decision.
         decision: backpressure::Decision,
     },
     /// Returns the permit of a request that was not sent.
-    ReleasePermit(Key),
+    ReleasePermit(InstanceKey),
     /// A summary from another region, relayed unchanged.
     RelayedSummary {
         /// The boot ID of the process of the original sender.
@@ -179,13 +179,13 @@
     /// Regions from which the sender receives nothing.
     pub unheard_regions: Vec<String>,
     /// The sender's member list.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Nodes that are new to the sender.
     pub joined: Vec<Entry>,
     /// Some of the sender's verdicts on requests that may crash servers.
     pub verdicts: Vec<Verdict>,
     /// Some of the server limits known to the sender.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that recently announced that they leave.
     pub departures: Vec<Departure>,
     /// The sender's versions of the platform's tables.
@@ -216,11 +216,11 @@
     /// The aggregators in the sender's ranking, by short name.
     pub aggregators: Vec<u64>,
     /// The sender's member list.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Some of the sender's verdicts on requests that may crash servers.
     pub verdicts: Vec<Verdict>,
     /// Some of the server limits known to the sender.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that recently announced that they leave.
     pub departures: Vec<Departure>,
     /// The sender's versions of the platform's tables.
@@ -240,7 +240,7 @@
     /// The owner of a service has decided whether a request crashes servers.
     RequestJudged(Verdict),
     /// A server has set or lifted its limit.
-    LimitSeen(Sighting),
+    LimitSeen(Observation),
     /// A server announced in a response that it leaves.
     ServerLeaving(Departure),
     /// A usage window was frozen and is about to be reported.
@@ -254,7 +254,7 @@
         /// The server's short name.
         server: u64,
         /// The size of the request.
-        work: Work,
+        work: RequestCost,
         /// The expected prefill time of its prompt.
         prefill_ms: Millis,
     },
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -11,7 +11,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Batch;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::rollout::Announcement;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{Counts, WindowNumber};
@@ -56,14 +56,19 @@
 
 /// Lists the other aggregators of this region and the carriers of the other regions.
 fn list_aggregators(state: &State, now: Millis) -> Vec<SocketAddr> {
-    let mut to = state.members.list_exchange(now);
+    let mut to = state.members.list_exchange_peers(now);
     to.extend(state.members.list_carriers(now, 0).concat());
     to
 }
 
 /// Notifies the other nodes of a request whose prompt will keep its server busy for long. In
 /// groups, nodes query the loads of servers instead.
-pub(crate) fn notify_request_started(node: &Node, server: &str, work: &Work, prefill_ms: Millis) {
+pub(crate) fn notify_request_started(
+    node: &Node,
+    server: &str,
+    work: &RequestCost,
+    prefill_ms: Millis,
+) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
     let min_prefill_ms = period.as_millis() as f64 * MIN_NOTIFIED_PREFILL_FRACTION;
@@ -79,7 +84,7 @@
     match notification {
         Notification::RequestStarted { node: peer, server, work, prefill_ms } => {
             let until = node.now() + prefill_ms;
-            node.with(|state| state.loads.merge_begun(until, &peer, server, &work));
+            node.with(|state| state.loads.merge_started(until, &peer, server, &work));
         }
         Notification::RequestJudged(verdict) => {
             if quarantine::apply_verdict(node, verdict) {
@@ -97,7 +102,7 @@
             }
         }
         Notification::UsageFrozen(window, counts) => {
-            node.with(|state| state.frozen_usage.note_heard(window, &counts));
+            node.with(|state| state.frozen_usage.record_remote(window, &counts));
         }
         Notification::RolloutChanged(announcement) => {
             handle_rollout(node, from, announcement).await
@@ -127,7 +132,7 @@
     let notification = Notification::ServersChanged(batch.clone());
     let (changes, is_new) = node.with(|state| {
         let before = state.directory.get_version();
-        let changes = state.directory.update(batch);
+        let changes = state.directory.apply_batch(batch);
         (changes, state.directory.get_version() > before)
     });
     match changes {
@@ -182,7 +187,7 @@
         if to.contains(&from) {
             to.extend(list_aggregators(state, now));
         } else if is_remote {
-            to.extend(state.members.list_exchange(now));
+            to.extend(state.members.list_exchange_peers(now));
         }
         to.retain(|address| *address != from);
         to
--- a/crates/gateway/src/node/peers/pending_queries.rs
+++ b/crates/gateway/src/node/peers/pending_queries.rs
@@ -49,7 +49,7 @@
 impl<T> PendingQuery<'_, T> {
     /// Waits for the answer; returns `None` if it does not arrive in time.
     pub(super) async fn wait(&self, within: Duration) -> Option<T> {
-        let answer = runtime::within(within, self.answer.recv()).await;
+        let answer = runtime::timeout(within, self.answer.recv()).await;
         // The answer may have arrived just as the timeout expired.
         answer.and_then(Result::ok).or_else(|| self.answer.try_recv().ok())
     }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{Decision, Key, Sighting};
+use keeljunction_core::serving::backpressure::{Decision, InstanceKey, Observation};
 use keeljunction_core::serving::directory::Server;
 
 use super::message::Message;
@@ -58,10 +58,10 @@
 }
 
 /// Acquires a permit from the owner of a limited server.
-async fn acquire_counted(node: &Node, server: &Server, sighting: Sighting) -> Option<Permit> {
+async fn acquire_counted(node: &Node, server: &Server, sighting: Observation) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.far_region.map(str::to_owned);
+        let far_region = found.remote_region.map(str::to_owned);
         Some(Owner { address: found.address, far_region })
     });
     let now = node.now();
@@ -71,7 +71,7 @@
     };
     let now = node.now();
     let is_granted = node.with(|state| {
-        state.backpressure.take_decision(now, sighting.key, decision, UNDECIDED_BACK_OFF_MS)
+        state.backpressure.apply_decision(now, sighting.key, decision, UNDECIDED_BACK_OFF_MS)
     });
     if !is_granted {
         node.metrics.permits_denied.inc();
@@ -88,7 +88,7 @@
     node: &Node,
     owner: &Owner,
     server: &Server,
-    sighting: Sighting,
+    sighting: Observation,
 ) -> Decision {
     let query = node.pending_permits.begin();
     let data_centre = match node.topology.is_multi_region() {
@@ -98,7 +98,7 @@
     let message = Message::RequestPermit { query_id: query.id, sighting, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
     let wait = owner.far_region.as_deref().map_or(DECISION_TIMEOUT_MS, |region| {
-        node.with(|state| state.round_trips.get_wait(region, DECISION_TIMEOUT_MS))
+        node.with(|state| state.round_trips.get_timeout(region, DECISION_TIMEOUT_MS))
     });
     let decision = query.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
@@ -109,10 +109,10 @@
 
 /// Returns the permit of a request that was not sent.
 pub(crate) async fn release_unused(node: &Node, server: &Server, permit: Permit) {
-    let key = Key::of(server);
+    let key = InstanceKey::of(server);
     match permit {
         Permit::Unlimited => {}
-        Permit::Counted(None) => node.with(|state| state.backpressure.take_back(key)),
+        Permit::Counted(None) => node.with(|state| state.backpressure.return_permit(key)),
         Permit::Counted(Some(owner)) => {
             node.link.send(node.now(), owner, &Message::ReleasePermit(key)).await;
         }
@@ -120,11 +120,11 @@
 }
 
 /// Decides as the owner; undecided if this node is not the owner.
-fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Sighting) -> Decision {
+fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Observation) -> Decision {
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     state.backpressure.decide(now, sighting, reach)
 }
 
@@ -133,7 +133,7 @@
     node: &Node,
     from: SocketAddr,
     query_id: u32,
-    sighting: &Sighting,
+    sighting: &Observation,
     data_centre: &str,
 ) {
     let now = node.now();
@@ -147,7 +147,7 @@
     node: &Node,
     from: SocketAddr,
     query_id: u32,
-    key: Key,
+    key: InstanceKey,
     decision: Decision,
 ) {
     let is_taken = node.pending_permits.answer(query_id, decision);
@@ -157,18 +157,18 @@
 }
 
 /// Handles the return of an unused permit by another node.
-pub(super) fn handle_release(node: &Node, key: Key) {
-    node.with(|state| state.backpressure.take_back(key));
+pub(super) fn handle_release(node: &Node, key: InstanceKey) {
+    node.with(|state| state.backpressure.return_permit(key));
 }
 
 /// Applies a server limit observed by another node; returns `true` if it is new.
-pub(super) fn apply_sighting(node: &Node, sighting: &Sighting) -> bool {
+pub(super) fn apply_sighting(node: &Node, sighting: &Observation) -> bool {
     let now = node.now();
     node.with(|state| state.backpressure.merge(now, sighting))
 }
 
 /// Applies the server limits in a report.
-pub(super) fn apply_sightings(node: &Node, sightings: &[Sighting]) {
+pub(super) fn apply_sightings(node: &Node, sightings: &[Observation]) {
     for sighting in sightings {
         apply_sighting(node, sighting);
     }
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -39,14 +39,14 @@
 /// Handles the report of a crashed server, as the owner.
 pub(super) fn handle_report(node: &Node, crash: &Crash) {
     let now = node.now();
-    node.with(|state| state.quarantine.take_report(now, crash));
+    node.with(|state| state.quarantine.merge_report(now, crash));
 }
 
 /// Records that a server completed the response to a request, and notifies the owner if the request
 /// is suspected.
 pub(crate) fn note_request_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     let now = node.now();
-    let service = node.with(|state| state.quarantine.note_answered(now, fingerprint));
+    let service = node.with(|state| state.quarantine.record_completion(now, fingerprint));
     if let Some(service) = service {
         runtime::spawn(notify_completed(node.clone(), service, fingerprint));
     }
@@ -65,7 +65,7 @@
 /// Handles a node's message that a request was completed, as the owner.
 pub(super) fn handle_completed(node: &Node, fingerprint: Fingerprint) {
     let now = node.now();
-    let cleared = node.with(|state| state.quarantine.take_answered(now, fingerprint));
+    let cleared = node.with(|state| state.quarantine.merge_completion(now, fingerprint));
     if let Some(verdict) = cleared {
         announce(node, verdict);
     }
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -32,8 +32,8 @@
     let name = &account.name;
     let limit = get_limit(account);
     let is_admitted_locally = node.with(|state| {
-        let reach = state.members.get_reach(now);
-        state.quotas.consume_if_filled(now, name, units, limit, reach)
+        let reach = state.members.get_reachability(now);
+        state.quotas.consume_above_low_water(now, name, units, limit, reach)
     });
     if is_admitted_locally {
         return Ok(());
@@ -45,15 +45,15 @@
     let now = node.now();
     node.with(|state| match decision {
         Decision::Undecided => {
-            let reach = state.members.get_reach(now);
+            let reach = state.members.get_reachability(now);
             state.quotas.consume_local_share(now, name, units, limit, reach)
         }
         Decision::Admitted => {
-            state.quotas.restart_local_share(now, name);
+            state.quotas.discard_local_share_savings(now, name);
             Ok(())
         }
         Decision::Refused { retry_after } => {
-            state.quotas.restart_local_share(now, name);
+            state.quotas.discard_local_share_savings(now, name);
             Err(retry_after)
         }
     })
@@ -78,8 +78,9 @@
 /// Returns the timeout for an owner's decision.
 fn get_wait(node: &Node, owner: SocketAddr) -> Duration {
     let region = node.link.get_remote_region(owner);
-    let wait = region
-        .map(|region| node.with(|state| state.round_trips.get_wait(&region, DECISION_TIMEOUT_MS)));
+    let wait = region.map(|region| {
+        node.with(|state| state.round_trips.get_timeout(&region, DECISION_TIMEOUT_MS))
+    });
     Duration::from_millis(wait.unwrap_or(DECISION_TIMEOUT_MS))
 }
 
@@ -88,10 +89,10 @@
     if !state.members.is_owner(short_id(&account.name)) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     let limit = get_limit(account);
-    match state.members.is_region_alone() {
-        true => state.quotas.decide_alone(now, &account.name, units, limit, reach),
+    match state.members.is_region_isolated() {
+        true => state.quotas.decide_for_isolated_region(now, &account.name, units, limit, reach),
         false => state.quotas.decide(now, &account.name, units, limit, reach),
     }
 }
--- a/crates/gateway/src/node/peers/relay_state.rs
+++ b/crates/gateway/src/node/peers/relay_state.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use keeljunction_core::serving::crossing::Crossing;
+use keeljunction_core::serving::summary_pacer::SummaryPacer;
 
 use super::report_target::Samples;
 
 /// The state of summaries that this node sends to other regions.
 #[derive(Debug)]
 pub(in crate::node) struct RelayState {
-    pub(super) pace: Crossing,
+    pub(super) pace: SummaryPacer,
     /// The number of summaries sent, which rotates the carriers.
     pub(super) sent: usize,
     /// Samples for the next summary to other regions.
@@ -22,7 +22,7 @@
     /// Creates the state for a region that may send `control_kbps` kilobits a second to the others.
     pub(in crate::node) fn new(control_kbps: f64) -> Self {
         Self {
-            pace: Crossing::new(control_kbps),
+            pace: SummaryPacer::new(control_kbps),
             sent: 0,
             samples: Samples::new(),
             lost: BTreeSet::new(),
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -9,9 +9,10 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::handover::Snapshot;
-use keeljunction_core::serving::members::{Heard, Role};
+
+use keeljunction_core::serving::members::{Heartbeat, Role};
 use keeljunction_core::serving::quota::{Limit, Source};
+use keeljunction_core::serving::report_log::Snapshot;
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
 use super::message::{Message, Overview, Report, Sender, Summary, Totals};
@@ -88,11 +89,11 @@
         ReportTarget::OwnAggregator(name) => Some(name.as_str()),
         ReportTarget::AllAggregators => None,
     };
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     event::emit(&Event::AggregatorChanged {
         aggregator,
         nodes_heard: reach.heard,
-        nodes_known: reach.all,
+        nodes_known: reach.known,
     });
 }
 
@@ -100,11 +101,11 @@
 /// receive.
 fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
     let previous = state.handover.get_incarnation().clone();
-    let arrived = state.handover.begin(fastrand::u64(..));
+    let arrived = state.handover.begin_incarnation(fastrand::u64(..));
     let next = state.handover.get_incarnation().clone();
     state.quotas.hand_over(now, &arrived.quota);
     state.usage.hand_over(&previous, &next, &arrived.usage, was_own_sum);
-    state.rollouts.hand_over();
+    state.rollouts.reset_counts();
     state.samples.clear();
 }
 
@@ -114,13 +115,13 @@
         entry: node.get_entry(),
         incarnation: state.handover.get_incarnation().number,
         is_stopping: node.is_stopping(),
-        holder_age: if holds_duties { Some(0) } else { state.members.get_holder_age(now) },
+        holder_age: if holds_duties { Some(0) } else { state.members.get_duty_holder_age(now) },
         rollouts: state.rollouts.list_announcements(now),
     }
 }
 
 fn get_own_usage(state: &State) -> Vec<(WindowNumber, Counts)> {
-    let mut usage = state.usage.of_incarnation(state.handover.get_incarnation());
+    let mut usage = state.usage.list_incarnation_counts(state.handover.get_incarnation());
     usage.split_off(usage.len().saturating_sub(MAX_REPORTED_WINDOWS))
 }
 
@@ -140,7 +141,7 @@
         let usage = get_own_usage(state);
         let snapshot =
             Snapshot { quota: quota.accounts.clone(), usage: usage.iter().cloned().collect() };
-        if let Some(arrived) = state.handover.get_arrived() {
+        if let Some(arrived) = state.handover.get_acknowledged() {
             quota.accounts.retain(|account, units| arrived.quota.get(account) != Some(units));
         }
         state.handover.record(now, snapshot);
@@ -167,31 +168,31 @@
         }
         let own = state.quotas.report(now);
         track_accounts(state, now);
-        let quota = state.quotas.add_group(now, &own);
+        let quota = state.quotas.add_group_usage(now, &own);
         let usage = get_own_usage(state);
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
         state.handover.record(now, snapshot);
         let sums = state.usage.sum_group(state.handover.get_incarnation(), MAX_REPORTED_WINDOWS);
         // Summaries to other regions have their own pace, and carry all windows each time.
-        let usage = match state.members.is_crossing() {
+        let usage = match state.members.is_using_carriers() {
             true => sums,
             false => state.outgoing_usage.select(turn, sums),
         };
         let (group, group_age) = state.members.get_group(now);
-        let joined = state.members.list_joined(now, turn as usize);
+        let joined = state.members.list_gossip_entries(now, turn as usize);
         let throughputs = take_samples(state);
         let overview = Overview {
             sender: sender.clone(),
-            quota: state.quotas.add_others(now, &quota),
+            quota: state.quotas.add_other_usage(now, &quota),
             throughputs: take_forwarded_samples(state, &throughputs),
             reach: state.members.get_overview(),
             silent: state.members.list_silent(),
-            lost_regions: state.members.list_lost_regions(),
+            lost_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
-            aggregators: state.members.list_ranked(),
-            roster: state.members.get_roster(),
-            verdicts: state.quarantine.list_some(now, turn as usize),
-            limits: state.backpressure.list_some(now, turn as usize),
+            aggregators: state.members.list_aggregator_ids(),
+            roster: state.members.get_roster_summary(),
+            verdicts: state.quarantine.get_gossip_batch(now, turn as usize),
+            limits: state.backpressure.get_gossip_batch(now, turn as usize),
             departures: state.directory.list_departures(now, turn as usize),
             versions,
         };
@@ -209,16 +210,16 @@
             group,
             group_age,
             unheard_regions: state.members.list_unheard_regions(now),
-            roster: state.members.get_roster(),
+            roster: state.members.get_roster_summary(),
             joined,
             verdicts: overview.verdicts.clone(),
             limits: overview.limits.clone(),
             departures: overview.departures.clone(),
             versions,
-            frozen_windows: state.frozen_usage.get_names(),
+            frozen_windows: state.frozen_usage.get_windows(),
             frozen: state.frozen_usage.list_due(),
         };
-        let aggregators = state.members.list_exchange(now);
+        let aggregators = state.members.list_exchange_peers(now);
         (summary, overview, aggregators, state.members.get_group_addresses(now))
     });
     let summary = summary_relay::send(node, now, summary).await;
@@ -234,7 +235,7 @@
         return;
     }
     let Some(configuration) = state.configuration.clone() else { return };
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     for account in configuration.accounts.iter().flatten() {
         let limit = Limit { rate_per_second: account.rate_per_second, burst: account.burst };
         state.quotas.track(now, &account.name, limit, reach);
@@ -284,10 +285,10 @@
     }
     node.with(|state| {
         record_heard(state, now, &sender, Role::Aggregator, echoed_at);
-        state.members.take_entries(now, &joined);
+        state.members.merge_entries(now, &joined);
         let name = sender.entry.name.as_str();
-        state.members.take_roster(name, roster);
-        state.members.take_group(now, name, group, group_age);
+        state.members.record_roster_summary(name, roster);
+        state.members.record_group(now, name, group, group_age);
         let from = (name, sender.incarnation);
         state.quotas.merge(now, Source::Peer, from, &totals.quota);
         let incarnation = Incarnation { node: name.to_owned(), number: sender.incarnation };
@@ -296,9 +297,9 @@
         }
         state.demand.merge(now, false, from, &totals.demand);
         state.rollouts.merge(false, from, &totals.rollouts);
-        state.frozen_usage.note_named(frozen_windows);
+        state.frozen_usage.record_announced(frozen_windows);
         for (window, counts) in &frozen {
-            state.frozen_usage.note_heard(*window, counts);
+            state.frozen_usage.record_remote(*window, counts);
         }
         let is_grouped = state.members.is_grouped();
         for (service, samples) in totals.throughputs {
@@ -335,10 +336,10 @@
     node.with(|state| {
         let arrived = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         let name = sender.entry.name.as_str();
-        state.members.take_roster(name, roster);
-        state.members.take_overview(now, name, reach, &silent);
+        state.members.record_roster_summary(name, roster);
+        state.members.apply_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
-        state.members.take_lost_regions(name, lost_regions);
+        state.members.set_unreachable_regions(name, lost_regions);
         let is_own = state.report_target == ReportTarget::OwnAggregator(name.to_owned());
         if is_own && is_region_overdue {
             state.quotas.note_overdue_region(now);
@@ -370,14 +371,14 @@
     for announcement in &sender.rollouts {
         rollouts::merge(state, now, announcement);
     }
-    let heard = Heard {
+    let heard = Heartbeat {
         entry: &sender.entry,
         incarnation: sender.incarnation,
         is_stopping: sender.is_stopping,
         role,
         holder_age: sender.holder_age,
     };
-    if let Some(previous) = state.members.hear(now, &heard) {
+    if let Some(previous) = state.members.record_heartbeat(now, &heard) {
         state.quotas.forget(name, previous);
         state.demand.forget(name, previous);
         state.rollouts.forget(name, previous);
@@ -386,5 +387,5 @@
             begin_incarnation(state, now, false);
         }
     }
-    state.handover.confirm(echoed_at?).cloned()
+    state.handover.acknowledge(echoed_at?).cloned()
 }
--- a/crates/gateway/src/node/peers/summary_relay.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -29,12 +29,12 @@
     }
     let remote_regions = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
-        let others = regions.filter(|region| *region != node.topology.get_own());
+        let others = regions.filter(|region| *region != node.topology.get_own_region());
         let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
         let period = state.summary_relay.pace.get_period();
-        state.members.set_transit(period, farthest.unwrap_or(0) / 2);
+        state.members.set_transit_delay(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
-        turn.is_multiple_of(REGION_REFRESH_TURNS).then(|| state.members.list_far())
+        turn.is_multiple_of(REGION_REFRESH_TURNS).then(|| state.members.list_remote_nodes())
     });
     if let Some(remote_regions) = remote_regions {
         node.link.set_remote_regions(remote_regions);
@@ -42,7 +42,7 @@
 }
 
 fn log_lost(state: &mut State) {
-    let lost: BTreeSet<String> = state.members.list_lost_regions().into_iter().collect();
+    let lost: BTreeSet<String> = state.members.list_unreachable_regions().into_iter().collect();
     for region in lost.symmetric_difference(&state.summary_relay.lost) {
         event::emit(&Event::RegionReached { region, is_reached: !lost.contains(region) });
     }
@@ -54,17 +54,17 @@
     let own = summary.totals.throughputs.clone();
     let cross_region_bytes = node.link.get_cross_region_bytes();
     let carriers: Vec<SocketAddr> = node.with(|state| {
-        if !state.members.is_crossing() {
+        if !state.members.is_using_carriers() {
             return Vec::new();
         }
         for (service, samples) in own.iter().cloned() {
             report_target::buffer_samples(&mut state.summary_relay.samples, service, samples);
         }
-        let senders = state.members.count_near_aggregators();
+        let senders = state.members.count_local_aggregators();
         if !state.summary_relay.pace.is_due(now, cross_region_bytes, senders) {
             return Vec::new();
         }
-        state.summary_relay.pace.note_sent(now);
+        state.summary_relay.pace.record_sent(now);
         state.summary_relay.sent += 1;
         let turn = state.summary_relay.sent;
         summary.totals.throughputs = std::mem::take(&mut state.summary_relay.samples);
@@ -91,12 +91,12 @@
         return;
     }
     let reported = summary.versions;
-    if node.topology.is_near(&summary.sender.entry.data_centre) {
+    if node.topology.is_local(&summary.sender.entry.data_centre) {
         report::handle_summary(node, echoed_at, summary);
         return versions::handle(node, from, echoed_at, &reported);
     }
     if record_summary(node, sent, &summary) {
-        if node.with(|state| state.members.is_crossing()) {
+        if node.with(|state| state.members.is_using_carriers()) {
             runtime::spawn(forward(node.clone(), sent, summary.clone()));
         }
         merge(node, echoed_at, summary);
@@ -130,13 +130,13 @@
         // earlier.
         node.link.record_remote_region(entry.address, region);
     }
-    node.with(|state| state.members.note_crossed(now, entry, boot_id, sent_at))
+    node.with(|state| state.members.record_remote_summary(now, entry, boot_id, sent_at))
 }
 
 /// Relays a summary to the other aggregators of this region.
 async fn forward(node: Arc<Node>, (boot_id, sent_at): (u32, Millis), summary: Summary) {
     let now = node.now();
-    let to = node.with(|state| state.members.list_exchange(now));
+    let to = node.with(|state| state.members.list_exchange_peers(now));
     let message = Message::RelayedSummary { boot_id, sent_at, summary: Box::new(summary) };
     node.link.send_to_all(now, to, &message).await;
 }
@@ -154,5 +154,5 @@
     let Some(echoed_at) = echoed_at.filter(|_| is_answer) else { return };
     let Some(region) = node.link.get_remote_region(from) else { return };
     let round_trip = node.now().saturating_sub(echoed_at);
-    node.with(|state| state.round_trips.note(&region, round_trip));
+    node.with(|state| state.round_trips.record(&region, round_trip));
 }
--- a/crates/gateway/src/node/peers/versions.rs
+++ b/crates/gateway/src/node/peers/versions.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::freshness::{Known, Versions};
+use keeljunction_core::serving::freshness::{KnownVersion, Versions};
 use keeljunction_core::serving::table_version::TableVersion;
 
 use super::calls;
@@ -63,12 +63,12 @@
     node.with(|state| {
         let mut targets = match state.members.get_own_aggregator() {
             Some(aggregator) => vec![aggregator.address],
-            None => state.members.get_readers(),
+            None => state.members.list_table_readers(),
         };
         if is_old {
-            let heard = state.members.get_heard(now);
+            let heard = state.members.list_reachable(now);
             targets.extend(fastrand::choice(heard));
-            targets.extend(fastrand::choice(state.members.get_readers()));
+            targets.extend(fastrand::choice(state.members.list_table_readers()));
         }
         targets
     })
@@ -79,7 +79,7 @@
 fn list_cross_region_targets(node: &Node, now: Millis) -> Vec<SocketAddr> {
     let is_ageing = staleness::is_configuration_older_than(node, CROSS_REGION_AGEING_FRACTION)
         || staleness::is_servers_older_than(node, CROSS_REGION_AGEING_FRACTION);
-    node.with(|state| match is_ageing && state.members.is_reader(now) {
+    node.with(|state| match is_ageing && state.members.is_table_reader(now) {
         true => state.members.list_carriers(now, fastrand::usize(..1_024)).concat(),
         false => Vec::new(),
     })
@@ -135,7 +135,7 @@
     node: Arc<Node>,
     from: SocketAddr,
     echoed_at: Option<Millis>,
-    known: Known<u64>,
+    known: KnownVersion<u64>,
 ) {
     calls::fetch_configuration(node.clone(), from).await;
     confirm_configuration(&node, echoed_at, known);
@@ -146,7 +146,7 @@
     node: Arc<Node>,
     from: SocketAddr,
     echoed_at: Option<Millis>,
-    known: Known<TableVersion>,
+    known: KnownVersion<TableVersion>,
 ) {
     calls::fetch_servers(node.clone(), from).await;
     confirm_servers(&node, echoed_at, known);
@@ -154,7 +154,7 @@
 
 /// Confirms this node's configuration by the version of a peer; a configuration that is older than
 /// that stays unconfirmed.
-fn confirm_configuration(node: &Node, echoed_at: Option<Millis>, known: Known<u64>) {
+fn confirm_configuration(node: &Node, echoed_at: Option<Millis>, known: KnownVersion<u64>) {
     let Some(echoed_at) = echoed_at.filter(|_| has_configuration(node, known.version)) else {
         return;
     };
@@ -163,7 +163,7 @@
 
 /// Confirms the server list by the version of a peer. The fetched list may be newer than the
 /// reported one, but never older. A peer's list of an earlier era proves nothing about this one.
-fn confirm_servers(node: &Node, echoed_at: Option<Millis>, known: Known<TableVersion>) {
+fn confirm_servers(node: &Node, echoed_at: Option<Millis>, known: KnownVersion<TableVersion>) {
     let Some(echoed_at) = echoed_at else { return };
     node.with(|state| {
         let own = state.directory.get_version();
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -12,7 +12,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINED_FOR, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
 use serde::{Deserialize, Serialize};
 
 use super::back_off::BackOff;
@@ -76,7 +76,7 @@
             *clock = Some(load(node).await?);
             let now = node.now();
             node.with(|state| {
-                if state.eras.is_return() {
+                if state.eras.is_restored() {
                     // The rows of earlier decisions may be lost.
                     state.quarantine.save_all(now);
                 }
@@ -108,14 +108,14 @@
 /// Applies the rows that are still valid, and removes the expired ones.
 async fn load(node: &Arc<Node>) -> Result<ClockReading, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_TIMEOUT).await?;
     let mut removals = Vec::new();
     for row in &rows.rows {
         match decode(row) {
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
                 // The clock of a restored copy may be behind the clock that set the time in the
                 // row.
-                let left = (refused.until - rows.table_time).min(QUARANTINED_FOR);
+                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD);
                 peers::quarantine::apply_persisted(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
@@ -144,11 +144,11 @@
     }
     let Verdict { service, servers_crashed, .. } = *verdict;
     let value = serde_json::to_vec(&QuarantineRow { service, until, servers_crashed }).ok();
-    Write { table: TableName::Own(TABLE), key, value }
+    Write { table: TableName::Internal(TABLE), key, value }
 }
 
 fn make_removal(key: String) -> Write {
-    Write { table: TableName::Own(TABLE), key, value: None }
+    Write { table: TableName::Internal(TABLE), key, value: None }
 }
 
 fn make_verdict(fingerprint: Fingerprint, refused: QuarantineRow, left: Millis) -> Verdict {
--- a/crates/gateway/src/node/rollout_controller.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -18,7 +18,7 @@
 use keeljunction_core::serving::duty_lease::TableClock;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Next, Order, Progress, Report, Side, Snapshot, Stage,
+    Action, Announcement, Order, Progress, Report, Snapshot, Stage, VersionFilter,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 use serde::{Deserialize, Serialize};
@@ -112,7 +112,7 @@
             return true;
         }
         let asked_at = node.now();
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_TIMEOUT);
         let Ok(rows) = reading.await else { return false };
         let era = rows.version.era;
         let is_store_restored = era != self.era;
@@ -240,7 +240,7 @@
         let value = serde_json::to_vec(&record).ok();
         let key = table::era_key(service, self.era);
         let writing =
-            table::replace(node, TableName::Own(TABLE), &key, version, value, CALL_TIMEOUT);
+            table::replace(node, TableName::Internal(TABLE), &key, version, value, CALL_TIMEOUT);
         let Ok(rows) = writing.await.inspect_err(emit_failure) else {
             return false;
         };
@@ -266,22 +266,26 @@
 }
 
 /// Returns the next stage and its reason; `None` if the stage stays.
-fn get_next_stage(next: Next) -> Option<(Stage, Reason)> {
+fn get_next_stage(next: Action) -> Option<(Stage, Reason)> {
     let reason = |why| Reason { why, route: None, in_flight: 0 };
     match next {
-        Next::Wait => None,
-        Next::Begin => Some((Stage::Canary, reason("ordered"))),
-        Next::Ramp => Some((Stage::Ramp, reason("on par with the other versions"))),
-        Next::Shift => Some((Stage::Shifting, reason("on par with the other versions under load"))),
-        Next::Complete { cut } => Some((
+        Action::Wait => None,
+        Action::Begin => Some((Stage::Canary, reason("ordered"))),
+        Action::Ramp => Some((Stage::Ramp, reason("on par with the other versions"))),
+        Action::Shift => {
+            Some((Stage::Shifting, reason("on par with the other versions under load")))
+        }
+        Action::Complete { cut } => Some((
             Stage::Completed,
             Reason { in_flight: cut, ..reason("the target version carries the load") },
         )),
-        Next::RollBack(fault) => {
+        Action::RollBack(fault) => {
             let route = fault.series.map(|series| series.route);
             Some((Stage::RolledBack, Reason { route, ..reason(fault.symptom.as_str()) }))
         }
-        Next::GiveUp => Some((Stage::RolledBack, reason("too few responses or servers to decide"))),
+        Action::GiveUp => {
+            Some((Stage::RolledBack, reason("too few responses or servers to decide")))
+        }
     }
 }
 
@@ -317,7 +321,7 @@
         let ready = state.directory.iter_ready(&order.service);
         let (target, others): (Vec<_>, Vec<_>) =
             ready.partition(|server| state.rollouts.is_target(server));
-        let is_usable = |server: &&&_| state.rollouts.is_allowed(Side::Rest, server);
+        let is_usable = |server: &&&_| state.rollouts.is_allowed(VersionFilter::Others, server);
         (target.len(), others.iter().filter(is_usable).count())
     })
 }
--- a/crates/gateway/src/node/rollout_status.rs
+++ b/crates/gateway/src/node/rollout_status.rs
@@ -55,7 +55,7 @@
         if is_written && !is_rewrite_due(node, &status) {
             return true;
         }
-        let row = (node.platform.rollouts.encode_status)(&Status {
+        let row = (node.platform.rollout_codec.encode_status)(&Status {
             service: order.service.clone(),
             target_version: order.target_version.clone(),
             stage,
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -16,7 +16,7 @@
 use super::{Node, connections, leader, listeners, memory, peers, quarantine_rows, stop, watch};
 use crate::event::{self, Event};
 use crate::exchange;
-use crate::http::{Limits, Server, Stop};
+use crate::http::{Limits, Server, StopSignal};
 use crate::port::Platform;
 use crate::runtime::{self, Clock};
 use crate::settings::Settings;
@@ -41,11 +41,11 @@
 /// Returns [`ErrorKind::Unavailable`] if a listener cannot be bound to its address.
 pub async fn serve(settings: Settings, path: PathBuf, platform: Platform) -> Result<(), Error> {
     let mut settings = settings;
-    let listener_stop = Stop::new();
+    let listener_stop = StopSignal::new();
     let (callers, at) =
         bind("listen.callers", settings.listen.callers, &settings, &listener_stop).await?;
     settings.listen.callers = at;
-    let never = Stop::new();
+    let never = StopSignal::new();
     let (readiness, at) =
         bind("listen.readiness", settings.listen.readiness, &settings, &never).await?;
     settings.listen.readiness = at;
@@ -87,11 +87,11 @@
     );
     runtime::spawn(metrics.serve(move |request| listeners::metrics(metrics_node.clone(), request)));
     let timeout_node = node.clone();
-    let callers = callers.with_head_within(Arc::new(move || timeout_node.get_idle_timeout()));
-    let open = callers.get_open();
-    runtime::spawn(callers.serve(move |request| exchange::answer(client_node.clone(), request)));
+    let callers = callers.with_head_timeout(Arc::new(move || timeout_node.get_idle_timeout()));
+    let open = callers.get_connection_count();
+    runtime::spawn(callers.serve(move |request| exchange::handle(client_node.clone(), request)));
     run_until_stopped(&node, path).await?;
-    runtime::within(FLUSH_TIMEOUT, async {
+    runtime::timeout(FLUSH_TIMEOUT, async {
         while open.get() > 0 {
             runtime::sleep(Duration::from_millis(10)).await;
         }
@@ -114,7 +114,7 @@
     key: &'static str,
     address: SocketAddr,
     settings: &Settings,
-    stop: &Stop,
+    stop: &StopSignal,
 ) -> Result<(Server, SocketAddr), Error> {
     let limits = Limits { connections: count_connections(settings), ..Limits::default() };
     let bound = Server::bind(address, limits, stop.clone()).await;
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -10,27 +10,27 @@
 use keeljunction_core::retry::{Allowance, Budget};
 use keeljunction_core::serving::backpressure;
 use keeljunction_core::serving::configuration::Configuration;
-use keeljunction_core::serving::demand::DemandBook;
+use keeljunction_core::serving::demand::DemandTracker;
 use keeljunction_core::serving::directory::{Directory, Server};
-use keeljunction_core::serving::distance::Distances;
 use keeljunction_core::serving::duty_lease::DutyLease;
 use keeljunction_core::serving::era::Eras;
 use keeljunction_core::serving::freshness::Freshness;
-use keeljunction_core::serving::handover::Handover;
 use keeljunction_core::serving::health::Health;
-use keeljunction_core::serving::held;
-use keeljunction_core::serving::load::{LoadBook, short_id};
+use keeljunction_core::serving::in_flight_bytes;
+use keeljunction_core::serving::load::{LoadTracker, short_id};
 use keeljunction_core::serving::members::{Entry, Members};
-use keeljunction_core::serving::memory::Accountant;
+use keeljunction_core::serving::memory::MemoryBudget;
 use keeljunction_core::serving::quarantine::{self, Fingerprint};
 use keeljunction_core::serving::quota::{self, Quotas, Tolerance};
+use keeljunction_core::serving::report_log::ReportLog;
 use keeljunction_core::serving::rollout;
-use keeljunction_core::serving::spill::Links;
+use keeljunction_core::serving::round_trip::RoundTrips;
+use keeljunction_core::serving::spill::LinkBudgets;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{
-    Frozen, Incarnation, Ledger, Outgoing, count_kept, window_at,
+    FrozenWindows, Incarnation, Ledger, ReportFilter, count_retained_windows, window_at,
 };
 
 use super::document::Document;
@@ -43,8 +43,8 @@
 use super::peers::relay_state::RelayState;
 use super::peers::report_target::{ReportTarget, Samples};
 use super::skipped;
-use crate::feeds::Feeds;
-use crate::http::{Client, Stop};
+use crate::active_responses::ActiveResponses;
+use crate::http::{Client, StopSignal};
 use crate::metrics::Metrics;
 use crate::port::Platform;
 use crate::runtime::{self, Clock, lock};
@@ -92,9 +92,9 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Responses in transit to clients.
-    pub feeds: Feeds,
+    pub active_responses: ActiveResponses,
     /// The signal that closes the client listener.
-    pub listener_stop: Stop,
+    pub listener_stop: StopSignal,
     /// The datagram socket for messages between nodes.
     pub(super) link: Link,
     /// The queue of notifications to other nodes.
@@ -154,15 +154,15 @@
     /// Entries of the server list that could not be decoded.
     pub skipped_entries: skipped::Entries,
     /// The load of the servers.
-    pub loads: LoadBook,
+    pub loads: LoadTracker,
     /// The health of the servers, as shown by their responses.
     pub health: Health,
     /// Backpressure that the servers signalled in their responses.
-    pub backpressure: backpressure::Book,
+    pub backpressure: backpressure::Tracker,
     /// Bytes of requests from this node that each server holds.
-    pub server_held_bytes: held::Book,
+    pub server_held_bytes: in_flight_bytes::Limiter,
     /// Requests that crash servers.
-    pub quarantine: quarantine::Book,
+    pub quarantine: quarantine::Tracker,
     /// The usage of quotas by client account.
     pub quotas: Quotas,
     /// The retry budget.
@@ -170,29 +170,29 @@
     /// Requests started, by client account and window.
     pub usage: Ledger,
     /// Windows of usage whose counts are frozen.
-    pub frozen_usage: Frozen,
+    pub frozen_usage: FrozenWindows,
     /// Selects the usage windows of the next summary.
-    pub(super) outgoing_usage: Outgoing,
+    pub(super) outgoing_usage: ReportFilter,
     /// Requested tokens, by service.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// Rollouts of services to other versions.
-    pub rollouts: rollout::Book,
+    pub rollouts: rollout::Registry,
     /// The prompt processing rate of servers, by service.
     pub throughputs: HashMap<String, Throughput>,
     /// The other nodes.
     pub members: Members,
     /// Round-trip times to other regions.
-    pub round_trips: Distances,
+    pub round_trips: RoundTrips,
     /// The bandwidth budgets of the links to other regions.
-    pub region_links: Links,
+    pub region_links: LinkBudgets,
     /// State of the summaries that this node sends to other regions.
     pub(super) summary_relay: RelayState,
     /// Accounting of the memory that buffers data of clients and servers.
-    pub memory: Accountant,
+    pub memory: MemoryBudget,
     /// The nodes that this node reports its counts to.
     pub(super) report_target: ReportTarget,
     /// Which counts the report target has received.
-    pub handover: Handover,
+    pub handover: ReportLog,
     /// Throughput samples to be forwarded to this node's group.
     pub(super) samples: Samples,
     /// The lease of the duties.
@@ -247,19 +247,20 @@
     pub fn new(
         settings: Settings,
         platform: Platform,
-        listener_stop: Stop,
+        listener_stop: StopSignal,
         context: ProcessContext,
     ) -> Arc<Self> {
         let ProcessContext { incarnation, clock, link, topology } = context;
         let topology = Arc::new(topology);
         let bounds = settings.bounds;
         let due = (bounds.usage_late_s * 1_000.0) as Millis;
-        let windows_kept = count_kept(due, (bounds.report_window_s * 1_000.0) as Millis);
+        let windows_kept =
+            count_retained_windows(due, (bounds.report_window_s * 1_000.0) as Millis);
         let allowance = Allowance {
             ratio: bounds.retry_budget_ratio,
-            least: bounds.budget_min_retries,
+            min_retries: bounds.budget_min_retries,
             window: (bounds.budget_window_s * 1_000.0) as Millis,
-            used: RETRY_BUDGET_FRACTION,
+            usable_fraction: RETRY_BUDGET_FRACTION,
         };
         let tolerance = Tolerance {
             window_seconds: bounds.quota_window_s,
@@ -272,31 +273,31 @@
             configuration: None,
             configuration_document: None,
             configuration_row: None,
-            demand: DemandBook::new(topology.get_own()),
-            rollouts: rollout::Book::default(),
+            demand: DemandTracker::new(topology.get_own_region()),
+            rollouts: rollout::Registry::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
             directory: Directory::default(),
             servers_freshness: Freshness::default(),
             skipped_entries: skipped::Entries::default(),
-            loads: LoadBook::default(),
+            loads: LoadTracker::default(),
             health: Health::default(),
-            backpressure: backpressure::Book::new(fastrand::f64()),
-            server_held_bytes: held::Book::default(),
-            quarantine: quarantine::Book::default(),
+            backpressure: backpressure::Tracker::new(fastrand::f64()),
+            server_held_bytes: in_flight_bytes::Limiter::default(),
+            quarantine: quarantine::Tracker::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
-            frozen_usage: Frozen::new(windows_kept),
-            outgoing_usage: Outgoing::default(),
+            frozen_usage: FrozenWindows::new(windows_kept),
+            outgoing_usage: ReportFilter::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
-            round_trips: Distances::default(),
-            region_links: Links::new(settings.regions.spill_mbps),
+            round_trips: RoundTrips::default(),
+            region_links: LinkBudgets::new(settings.regions.spill_mbps),
             summary_relay: RelayState::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             report_target: ReportTarget::default(),
-            handover: Handover::new(incarnation.clone()),
+            handover: ReportLog::new(incarnation.clone()),
             samples: Samples::new(),
             lease: DutyLease::new(
                 incarnation.node.clone(),
@@ -306,7 +307,7 @@
             ),
         };
         let mut metrics = Metrics::default();
-        metrics.register_crossed(link.get_cross_region_bytes_by_region());
+        metrics.register_cross_region_bytes(link.get_cross_region_bytes_by_region());
         Arc::new(Self {
             settings,
             platform,
@@ -315,7 +316,7 @@
             incarnation,
             http_client: Client::new(CONNECT_TIMEOUT),
             metrics,
-            feeds: Feeds::default(),
+            active_responses: ActiveResponses::default(),
             listener_stop,
             link,
             notifications: async_channel::bounded(NOTIFICATION_CAPACITY),
@@ -351,7 +352,7 @@
     /// The configuration says how long clients reuse idle connections. A later configuration may
     /// allow a longer time, and a connection must not be closed while its client may still use it.
     pub fn get_idle_timeout(&self) -> Duration {
-        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle));
+        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle_timeout));
         Duration::from_millis(known.unwrap_or(DEFAULT_CLIENT_IDLE_MS)) * IDLE_TIMEOUT_FACTOR
     }
 
@@ -386,12 +387,12 @@
     /// serving it; `None` if it is not quarantined.
     pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
-        self.with(|state| state.quarantine.get_refused_for(now, fingerprint))
+        self.with(|state| state.quarantine.get_quarantine_left(now, fingerprint))
     }
 
     /// Returns `true` if the node lacks memory and clients should use other nodes.
     pub fn is_short_of_memory(&self) -> bool {
-        self.with(|state| state.memory.is_short())
+        self.with(|state| state.memory.is_under_pressure())
     }
 
     /// Returns `true` if the node is shutting down.
@@ -437,10 +438,10 @@
 
 /// Creates the memory accountant. The memory level at which clients should use other nodes is
 /// randomized for each run of a node.
-fn make_accountant(settings: &Settings, run: u64) -> Accountant {
+fn make_accountant(settings: &Settings, run: u64) -> MemoryBudget {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
-    Accountant::new((bytes * BUFFER_MEMORY_FRACTION) as u64, bytes as u64, draw)
+    MemoryBudget::new((bytes * BUFFER_MEMORY_FRACTION) as u64, bytes as u64, draw)
 }
 
 fn get_entry(settings: &Settings) -> Entry {
--- a/crates/gateway/src/node/stop.rs
+++ b/crates/gateway/src/node/stop.rs
@@ -31,13 +31,13 @@
     let grace = Duration::from_secs_f64(node.settings.bounds.grace_s).saturating_sub(EXIT_MARGIN);
     let detection_period = BALANCER_DETECTION_PERIOD.min(grace / 2);
     runtime::sleep(detection_period).await;
-    node.listener_stop.give();
+    node.listener_stop.send();
     let disconnect_at =
-        runtime::boot_time() + (grace - detection_period).saturating_sub(DISCONNECT_MARGIN);
-    let drained = runtime::within(grace - detection_period, async {
+        runtime::boottime_now() + (grace - detection_period).saturating_sub(DISCONNECT_MARGIN);
+    let drained = runtime::timeout(grace - detection_period, async {
         while node.get_in_flight() > 0 {
-            if runtime::boot_time() >= disconnect_at {
-                exchange::disconnect_resting(node);
+            if runtime::boottime_now() >= disconnect_at {
+                exchange::disconnect_stalled(node);
             }
             runtime::sleep(POLL_INTERVAL).await;
         }
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -16,7 +16,7 @@
 use super::Node;
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, Rows, Selection, TableError, TableName, Transaction, Write, answer_within,
+    Condition, RowRange, Rows, TableError, TableName, Transaction, Write, with_timeout,
 };
 
 /// Separates the key of a row from its era.
@@ -74,10 +74,10 @@
 /// Returns the error of the call.
 pub(super) async fn read_some(
     node: &Node,
-    selection: Selection,
+    selection: RowRange,
     timeout: Duration,
 ) -> Result<Rows, TableError> {
-    check_era(node, answer_within(timeout, (node.platform.table.read_some)(selection)).await)
+    check_era(node, with_timeout(timeout, (node.platform.table.read_range)(selection)).await)
 }
 
 /// Waits for rows that changed after a version. The service holds the call for `hold` if nothing
@@ -98,7 +98,7 @@
         return Err(TableError::HistoryGone);
     }
     let watching = (node.platform.table.watch)(table, after, hold);
-    let rows = check_era(node, answer_within(hold + timeout, watching).await)?;
+    let rows = check_era(node, with_timeout(hold + timeout, watching).await)?;
     if rows.version.era != after.era {
         return Err(TableError::HistoryGone);
     }
@@ -109,7 +109,7 @@
 ///
 /// # Errors
 ///
-/// Returns the error of the call, and [`TableError::Superseded`] if a condition belongs to an
+/// Returns the error of the call, and [`TableError::StaleEra`] if a condition belongs to an
 /// earlier era than the table service. The write is discarded in that case.
 pub(super) async fn commit(
     node: &Node,
@@ -118,16 +118,16 @@
 ) -> Result<Rows, TableError> {
     let era = transaction.conditions.first().map(|condition| condition.version.era);
     if era.is_some_and(|era| node.with(|state| state.eras.is_superseded(era))) {
-        return Err(TableError::Superseded);
+        return Err(TableError::StaleEra);
     }
     let committing = (node.platform.table.commit)(transaction);
-    let answer = check_era(node, answer_within(timeout, committing).await);
+    let answer = check_era(node, with_timeout(timeout, committing).await);
     let answered_in = match &answer {
         Ok(rows) | Err(TableError::Conflict(rows)) => Some(rows.version.era),
         Err(_) => None,
     };
     match era.zip(answered_in) {
-        Some((era, answered_in)) if era != answered_in => Err(TableError::Superseded),
+        Some((era, answered_in)) if era != answered_in => Err(TableError::StaleEra),
         _ => answer,
     }
 }
@@ -161,7 +161,7 @@
                 era: rows.version.era.get_number(),
                 known: known.get_number(),
             });
-            return Err(TableError::Superseded);
+            return Err(TableError::StaleEra);
         }
     }
     answer
@@ -174,7 +174,7 @@
         let new_era = state.eras.note(now, era)?;
         state.lease.begin_era(era);
         if new_era.before.is_some() {
-            state.directory.note_era(now);
+            state.directory.note_table_restored(now);
             state.frozen_usage.repeat();
         }
         Some(new_era)
--- a/crates/gateway/src/node/usage_reporter.rs
+++ b/crates/gateway/src/node/usage_reporter.rs
@@ -18,14 +18,14 @@
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{
-    Counts, WindowNumber, WindowSet, count_kept, get_settle_time, is_settled, window_at,
+    Counts, WindowNumber, WindowSet, count_retained_windows, get_settle_time, is_settled, window_at,
 };
 
 use super::usage_rows::{self, FrozenKey, TABLE};
 use super::{Node, era_origin, peers, table};
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, DutyHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
+    Condition, LeaseHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
 };
 use crate::runtime;
 
@@ -104,7 +104,7 @@
         if fence == self.fence {
             return true;
         }
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_TIMEOUT);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_TIMEOUT);
         let Ok(rows) = reading.await else { return false };
         if let Err(error) = era_origin::find(node).await {
             event::emit(&Event::TableCallFailed { what: "era", error: error.to_string() });
@@ -133,7 +133,7 @@
         // Counts only grow, so merging those of an earlier era only adds missing counts.
         let all_running = rows.earlier_running.iter().copied().chain(rows.running);
         for kept in all_running.filter_map(usage_rows::decode_running) {
-            node.with(|state| state.usage.merge_kept(&kept));
+            node.with(|state| state.usage.merge_snapshot(&kept));
         }
         self.frozen = rows.frozen.into_iter().filter_map(usage_rows::decode).collect();
         for (window, counts) in &self.frozen {
@@ -141,7 +141,7 @@
         }
         self.in_earlier_eras = rows.earlier_frozen.iter().map(|(_, key)| key.window).collect();
         let last = self.in_earlier_eras.iter().chain(self.frozen.keys()).max().copied();
-        let first = last.unwrap_or(0).saturating_sub(count_retained_windows(node));
+        let first = last.unwrap_or(0).saturating_sub(get_retained_window_count(node));
         let outdated = rows.earlier_frozen.iter().filter(|(_, key)| key.window < first);
         let outdated = outdated.map(|(row, _)| *row).chain(rows.earlier_running);
         self.outdated = outdated.map(|row| row.key.clone()).take(MAX_REMOVALS).collect();
@@ -178,11 +178,11 @@
         }
         self.checkpoint.written_at = now;
         let first = self.reported.last().map_or(0, |window| window + 1);
-        let kept = node.with(|state| state.usage.get_since(first));
+        let kept = node.with(|state| state.usage.get_snapshot(first));
         if kept.is_empty() {
             return;
         }
-        let name = TableName::Own(TABLE);
+        let name = TableName::Internal(TABLE);
         let key = usage_rows::make_running_key(self.era);
         let (version, value) = (self.checkpoint.version, usage_rows::encode_running(&kept));
         match table::replace(node, name, &key, version, value, CALL_TIMEOUT).await {
@@ -222,11 +222,11 @@
 
     /// Builds the transaction that freezes a window and removes rows that are no longer needed.
     fn make_transaction(&self, node: &Node, window: WindowNumber, counts: &Counts) -> Transaction {
-        let (table, version) = (TableName::Own(TABLE), TableVersion::absent(self.era));
+        let (table, version) = (TableName::Internal(TABLE), TableVersion::absent(self.era));
         let key = FrozenKey { window, era: self.era }.encode();
         let condition = Condition { table, key: key.clone(), version };
         let write = Write { table, key, value: serde_json::to_vec(counts).ok() };
-        let old = window.saturating_sub(count_retained_windows(node));
+        let old = window.saturating_sub(get_retained_window_count(node));
         let old = FrozenKey { window: old, era: self.era }.encode();
         let removals = self.outdated.iter().cloned().chain([old]);
         let removals = removals.map(|key| Write { table, key, value: None });
@@ -244,17 +244,17 @@
         let Some(fence) = node.with(|state| state.lease.get_fence(node.now())) else {
             return false;
         };
-        let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
+        let holder = LeaseHolder { name: node.incarnation.node.clone(), fence };
         let total: u64 = counts.values().sum();
         let calling = (node.platform.control.report_usage)(holder, UsageReport { window, counts });
-        let status = runtime::within(CALL_TIMEOUT, calling).await.flatten();
+        let status = runtime::timeout(CALL_TIMEOUT, calling).await.flatten();
         event::emit(&Event::UsageReported { window, requests: total, fence, status });
         if !status.is_some_and(|status| (200..300).contains(&status)) {
             return false;
         }
         self.reported.insert(window);
         self.withheld.remove(&window);
-        let first = window.saturating_sub(count_retained_windows(node));
+        let first = window.saturating_sub(get_retained_window_count(node));
         self.reported = self.reported.split_off(&first);
         self.announced = self.announced.split_off(&first);
         self.frozen = self.frozen.split_off(&first);
@@ -272,8 +272,8 @@
     (node.settings.bounds.usage_late_s * 1_000.0) as Millis
 }
 
-fn count_retained_windows(node: &Node) -> u64 {
-    count_kept(get_report_deadline(node), get_window_length(node))
+fn get_retained_window_count(node: &Node) -> u64 {
+    count_retained_windows(get_report_deadline(node), get_window_length(node))
 }
 
 /// Returns the first window whose report is not overdue.
@@ -291,7 +291,7 @@
     let (length, due) = (get_window_length(node), get_report_deadline(node));
     let now = runtime::unix_ms();
     let current = window_at(now, length);
-    let kept = count_retained_windows(node);
+    let kept = get_retained_window_count(node);
     node.with(|state| state.usage.forget_before(current.saturating_sub(kept)));
     (first..current).filter(|window| is_due(node, *window, now, length, due)).collect()
 }
@@ -301,7 +301,7 @@
     let steady = node.now();
     let ended_at = steady.saturating_sub(age);
     let is_node_missing = node.with(|state| {
-        state.members.is_any_unheard_since(steady, ended_at + COUNT_ARRIVAL_MARGIN_MS)
+        state.members.is_any_node_missing_since(steady, ended_at + COUNT_ARRIVAL_MARGIN_MS)
     });
     is_settled(age, due, is_node_missing)
 }
@@ -309,7 +309,7 @@
 /// Remembers a frozen window, because its row may be lost when the table service is restored;
 /// returns `true` if it was not known. A table service without eras never loses rows.
 fn remember_frozen(node: &Node, era: Era, window: WindowNumber, counts: &Counts) -> bool {
-    era != Era::UNNAMED && node.with(|state| state.frozen_usage.note_own(window, counts))
+    era != Era::UNNAMED && node.with(|state| state.frozen_usage.record_own(window, counts))
 }
 
 /// Returns `true` if a window without a row was certainly not reported: either no row was lost
@@ -322,19 +322,21 @@
     let window_started_at =
         now.saturating_sub(runtime::unix_ms().saturating_sub(ended_at) + length);
     node.with(|state| {
-        if state.eras.is_surely_after_return(ended_at + get_settle_time(get_report_deadline(node)))
+        if state
+            .eras
+            .is_certainly_after_restore(ended_at + get_settle_time(get_report_deadline(node)))
         {
             return true;
         }
         let is_too_old_to_be_named =
             window + WindowSet::SPAN <= window_at(runtime::unix_ms(), length);
-        if is_too_old_to_be_named || state.frozen_usage.is_named(window) {
+        if is_too_old_to_be_named || state.frozen_usage.is_announced(window) {
             return false;
         }
         let Some(era_age) = state.eras.get_age(now) else { return false };
         // The holder of the previous era acts until its lease expires.
         let released_at = now.saturating_sub(era_age) + state.lease.get_length();
         node.clock.get_start() < window_started_at
-            && state.members.is_whole(released_at, window_started_at)
+            && state.members.is_every_node_heard(released_at, window_started_at)
     })
 }
--- a/crates/gateway/src/node/usage_rows.rs
+++ b/crates/gateway/src/node/usage_rows.rs
@@ -4,7 +4,7 @@
 //! unreported windows.
 
 use keeljunction_core::serving::era::Era;
-use keeljunction_core::serving::usage::{Counts, Kept, WindowNumber};
+use keeljunction_core::serving::usage::{Counts, LedgerSnapshot, WindowNumber};
 
 use super::{document, table};
 use crate::port::Row;
@@ -70,7 +70,7 @@
 
 /// Encodes running counts as the value of one row. Most counts are small, so compression reduces
 /// them to a fraction of the bytes.
-pub fn encode_running(kept: &Kept) -> Option<Vec<u8>> {
+pub fn encode_running(kept: &LedgerSnapshot) -> Option<Vec<u8>> {
     let encoded = postcard::to_stdvec(kept);
     let encoded = encoded
         .inspect_err(|error| log::error!("failed to encode the running usage counts: {error}"));
@@ -78,7 +78,7 @@
 }
 
 /// Decodes running counts; returns `None` if they are malformed.
-pub(super) fn decode_running(row: &Row) -> Option<Kept> {
+pub(super) fn decode_running(row: &Row) -> Option<LedgerSnapshot> {
     postcard::from_bytes(&document::decompress(row.value.as_deref()?)?).ok()
 }
 
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -72,7 +72,7 @@
 
 /// Returns `true` if a node without a configuration must read it again.
 fn is_read_due(node: &Node, now: Millis, read_at: Option<Millis>) -> bool {
-    let is_alone = node.with(|state| state.members.get_reach(now).heard <= 1);
+    let is_alone = node.with(|state| state.members.get_reachability(now).heard <= 1);
     let pause = if is_alone { ISOLATED_READ_INTERVAL_MS } else { UNCONFIGURED_READ_INTERVAL_MS };
     read_at.is_none_or(|at| now >= at + pause)
 }
@@ -160,7 +160,7 @@
         era_origin::find(node).await?;
     }
     node.with(|state| {
-        if state.configuration.is_some() && state.eras.is_operator_heard(asked_at) {
+        if state.configuration.is_some() && state.eras.is_configuration_current(asked_at) {
             state.freshness.confirm(asked_at);
         }
     });
@@ -177,7 +177,7 @@
         is_written_since && row.key == known.key && read_version(node, row) >= Some(known.version)
     };
     if rows.iter().any(|row| is_rewritten(&row)) {
-        node.with(|state| state.eras.note_rewritten());
+        node.with(|state| state.eras.note_configuration_rewritten());
     }
 }
 
@@ -240,7 +240,7 @@
 }
 
 fn adopt_row(node: &Node, row: &Row) -> Option<u64> {
-    if (node.platform.rollouts.is_order)(&row.key) {
+    if (node.platform.rollout_codec.is_order)(&row.key) {
         rollouts::apply_order(node, row);
         return None;
     }
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -5,7 +5,7 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{
-    Batch, Change, Departed, Departure, Entry, Server, Update,
+    Batch, Change, Departure, DepartureOutcome, Entry, Server, Update,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
@@ -65,7 +65,7 @@
             }
             Err(error) => {
                 emit_failure("servers", &error);
-                node.with(|state| state.directory.note_away());
+                node.with(|state| state.directory.note_table_unavailable());
             }
         }
         back_off.wait().await;
@@ -128,7 +128,7 @@
 pub(in crate::node) fn apply_update(node: &Node, update: Update<'_>) {
     table::record_era(node, update.get_version().era);
     record_list_recovered(node);
-    let changes = node.with(|state| state.directory.take(update));
+    let changes = node.with(|state| state.directory.apply_update(update));
     apply(node, changes.unwrap_or_default());
 }
 
@@ -138,7 +138,7 @@
     if staleness::is_servers_stale(node) {
         node.with(|state| {
             if state.directory.is_known() {
-                state.directory.note_return(now);
+                state.directory.note_table_recovered(now);
             }
         });
     }
@@ -166,7 +166,7 @@
 pub(crate) fn apply_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
-    let Departed { is_news, change } =
+    let DepartureOutcome { is_news, change } =
         node.with(|state| state.directory.note_departure(now, server, *incarnation));
     apply(node, change.into_iter().collect());
     is_news
@@ -180,7 +180,7 @@
         let parts = batch.clone().split(MAX_ENTRIES_PER_DATAGRAM);
         parts.into_iter().for_each(|part| node.notify_peers(Notification::ServersChanged(part)));
     }
-    let changes = node.with(|state| state.directory.update(batch));
+    let changes = node.with(|state| state.directory.apply_batch(batch));
     apply(node, changes.unwrap_or_default());
     node.with(|state| state.servers_freshness.confirm(asked_at));
 }
@@ -227,10 +227,10 @@
     for change in &changes {
         match change {
             Change::Gone(server) => {
-                node.http_client.forget(server.address);
+                node.http_client.close_idle(server.address);
                 node.with(|known| known.forget_server(server));
             }
-            Change::Joined(server) => node.with(|known| known.rollouts.note_joined(now, server)),
+            Change::Joined(server) => node.with(|known| known.rollouts.record_joined(now, server)),
             Change::Leaving(_) => {}
         }
     }
--- a/crates/gateway/src/port/dialect.rs
+++ b/crates/gateway/src/port/dialect.rs
@@ -7,13 +7,13 @@
 
 /// Translates heads between the callers' and servers' protocol and the product's own terms.
 #[derive(Clone, Copy)]
-pub struct Dialect {
+pub struct HeaderCodec {
     /// Reads a caller's request.
-    pub read_request: fn(&request::Parts) -> RequestHead,
+    pub decode_request: fn(&request::Parts) -> RequestHead,
     /// Turns a caller's headers into those that a server gets.
-    pub write_request: fn(&mut HeaderMap, &Dispatch<'_>),
+    pub encode_request: fn(&mut HeaderMap, &ForwardContext<'_>),
     /// Reads a server's answer.
-    pub read_answer: fn(&response::Parts) -> AnswerHead,
+    pub decode_response: fn(&response::Parts) -> ResponseHead,
 }
 
 /// What a caller's head says.
@@ -24,11 +24,11 @@
     /// How long the caller will wait, in milliseconds.
     pub deadline: Option<Millis>,
     /// The key that the caller presents.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// The size and parts of the prompt, for model servers.
     pub prompt: Option<Prompt>,
     /// The last event that the caller has got already.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The size and parts of a prompt.
@@ -53,9 +53,9 @@
 
 /// What the node says to a server beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct Dispatch<'a> {
+pub struct ForwardContext<'a> {
     /// Milliseconds that are left.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The server that is meant, so that another at its address does not run the request.
     pub server_id: &'a str,
     /// The client account that holds the caller's key.
@@ -63,12 +63,12 @@
     /// The request's priority, for model servers; 0 is the most urgent.
     pub urgency: Option<u32>,
     /// The last event that the caller has got, where a stream goes on.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What a server's head says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that the answer belongs to.
     pub request_id: Option<String>,
     /// Whether the server signed the answer.
@@ -76,11 +76,11 @@
     /// Whether the server says that it did not run the request.
     pub is_not_executed: bool,
     /// Whether another server than the one that was meant stands at the address.
-    pub is_other_server: bool,
+    pub is_wrong_server: bool,
     /// Whether the body is encoded, and so not what the server made.
     pub is_encoded: bool,
     /// Requests that wait at the server, where it reports them.
-    pub waiting: Option<u32>,
+    pub queued_requests: Option<u32>,
     /// What the server says about the requests that follow.
     pub signal: Signal,
     /// Headers of the signal that cannot be read, or are read as less than they say.
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -9,20 +9,20 @@
 use keeljunction_core::serving::configuration::Configuration;
 use keeljunction_core::serving::directory::Server;
 
-pub use control::{CapacityOrder, Control, ControlFuture, DutyHolder, UsageReport};
+pub use control::{CapacityOrder, Control, ControlFuture, LeaseHolder, UsageReport};
 pub use dialect::{
-    AnswerHead, Dialect, Dispatch, Prompt, PromptPart, RequestHead, UnreadableHeader,
+    ForwardContext, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
 };
-pub use rollouts::{RolloutRow, Rollouts};
+pub use rollouts::{RolloutCodec, RolloutRow};
 pub use table::{
-    Condition, Row, Rows, Selection, Table, TableError, TableFuture, TableName, Transaction, Write,
-    answer_within,
+    Condition, Row, RowRange, Rows, Table, TableError, TableFuture, TableName, Transaction, Write,
+    with_timeout,
 };
 
 /// An adapter to a platform.
 pub struct Platform {
     /// Reads and writes the heads of requests and answers.
-    pub dialect: Dialect,
+    pub header_codec: HeaderCodec,
     /// The platform's table service.
     pub table: Table,
     /// The calls that one node at a time may make.
@@ -32,5 +32,5 @@
     /// Reads a server's own entry, given its key.
     pub decode_server: fn(&str, &[u8]) -> Result<Server, Error>,
     /// Reads orders of roll-outs, and writes their status.
-    pub rollouts: Rollouts,
+    pub rollout_codec: RolloutCodec,
 }
--- a/crates/gateway/tests/blocked_writes.rs
+++ b/crates/gateway/tests/blocked_writes.rs
@@ -118,7 +118,7 @@
     let peer = Peer { request, room: CHUNK_BYTES, blocked_in_a_row, ..Peer::default() };
     let shared = SharedPeer(Rc::new(RefCell::new(peer)));
     let socket = Socket::new(shared.clone());
-    let writes = socket.get_writes();
+    let writes = socket.get_write_state();
     let service = service_fn(|_: Request<_>| async {
         let chunk = || Ok::<_, Infallible>(Frame::data(Bytes::from(vec![b'x'; CHUNK_BYTES])));
         let body = StreamBody::new(stream::iter((0..CHUNKS).map(move |_| chunk())));
--- a/crates/gateway/tests/client.rs
+++ b/crates/gateway/tests/client.rs
@@ -4,14 +4,15 @@
 use std::time::Duration;
 
 use hyper::{Request, Response};
-use keeljunction_gateway::http::{Body, Client, Limits, Server, Stop, read};
+use keeljunction_gateway::http::{Body, Client, Limits, Server, StopSignal, read_body};
 use keeljunction_gateway::runtime;
 
 /// Starts a server that responds to every request.
 async fn serve() -> SocketAddr {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server =
-        Server::bind(any, Limits::default(), Stop::new()).await.expect("a listener on a free port");
+    let server = Server::bind(any, Limits::default(), StopSignal::new())
+        .await
+        .expect("a listener on a free port");
     let address = server.get_address().expect("an address");
     runtime::spawn(server.serve(|_| async { Response::new(Body::from("ok")) }));
     address
@@ -20,9 +21,9 @@
 async fn send_request(client: &Client, to: SocketAddr) {
     let request = Request::get("/").header("host", "x").body(Body::empty()).expect("a request");
     let response = client.send(to, request).await.expect("a response");
-    assert_eq!(read(response.into_body(), 100).await.as_deref(), Some(&b"ok"[..]));
+    assert_eq!(read_body(response.into_body(), 100).await.as_deref(), Some(&b"ok"[..]));
     // The connection becomes idle once it is ready again.
-    while client.get_idle(to) == 0 {
+    while client.get_idle_count(to) == 0 {
         runtime::sleep(Duration::from_millis(1)).await;
     }
 }
@@ -31,11 +32,11 @@
 fn recently_used_connection_is_reused() {
     runtime::run(1, async {
         let to = serve().await;
-        let client = Client::new(Duration::from_secs(5)).with_rest(Duration::from_secs(60));
+        let client = Client::new(Duration::from_secs(5)).with_idle_timeout(Duration::from_secs(60));
         for _ in 0..3 {
             send_request(&client, to).await;
         }
-        assert_eq!(client.get_opened(), 1);
+        assert_eq!(client.get_opened_count(), 1);
     });
 }
 
@@ -43,11 +44,11 @@
 fn connection_idle_for_too_long_is_not_reused() {
     runtime::run(1, async {
         let to = serve().await;
-        let client = Client::new(Duration::from_secs(5)).with_rest(Duration::ZERO);
+        let client = Client::new(Duration::from_secs(5)).with_idle_timeout(Duration::ZERO);
         for _ in 0..3 {
             send_request(&client, to).await;
         }
-        assert_eq!((client.get_opened(), client.get_idle(to)), (3, 1));
+        assert_eq!((client.get_opened_count(), client.get_idle_count(to)), (3, 1));
     });
 }
 
@@ -56,16 +57,16 @@
     runtime::run(1, async {
         let to = serve().await;
         let client = Client::new(Duration::from_secs(5));
-        client.set_idle_per_address(2);
+        client.set_max_idle_per_address(2);
         let requests: Vec<_> = (0..5)
             .map(|_| {
                 let client = client.clone();
-                runtime::task(async move { send_request(&client, to).await })
+                runtime::spawn_with_handle(async move { send_request(&client, to).await })
             })
             .collect();
         for request in requests {
             request.await;
         }
-        assert!(client.get_idle(to) <= 2, "{} idle connections", client.get_idle(to));
+        assert!(client.get_idle_count(to) <= 2, "{} idle connections", client.get_idle_count(to));
     });
 }
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::Stream;
 use keeljunction_core::record::Tokens;
-use keeljunction_core::shard::Ask;
+use keeljunction_core::shard::GrantRequest;
 use tonic::{Request, Response, Status};
 
 use super::grant::{self, ShardKey};
@@ -209,7 +209,7 @@
         return not_owner;
     }
     let Some(shard) = grant::owned_shard(node, &key) else { return not_owner };
-    let ask = Ask {
+    let ask = GrantRequest {
         id: message.grant,
         group: message.group,
         priority: message.priority,
@@ -240,7 +240,7 @@
     let key: ShardKey = (message.service, message.shard);
     let Some(shard) = grant::owned_shard(node, &key) else { return false };
     for id in &message.read {
-        shard.with(|queue, _| queue.first_token(id));
+        shard.with(|queue, _| queue.record_first_token(id));
     }
     for released in &message.released {
         grant::note_end(&shard, &released.server, released.failed);
