--- a/crates/gateway/src/exchange/relay.rs
+++ b/crates/gateway/src/exchange/relay.rs
@@ -48,7 +48,7 @@
 /// show that, since a server may say it of a request that it has not begun.
 pub(super) fn note_success(node: &Arc<Node>, exchange: &Exchange, status: u16) {
     if (200..300).contains(&status) {
-        node::note_request_completed(node, exchange.fingerprint);
+        node::record_request_completed(node, exchange.fingerprint);
     }
 }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -54,6 +54,6 @@
 pub(crate) use peers::message::Notification;
 pub(crate) use peers::notifications::notify_request_started;
 pub(crate) use peers::permits::{self, Permit};
-pub(crate) use peers::quarantine::note_request_completed;
+pub(crate) use peers::quarantine::record_request_completed;
 pub(crate) use peers::quota::consume as consume_units;
 pub use state::Node;
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -44,7 +44,7 @@
 
 /// Records that a server completed the response to a request, and notifies the owner if the request
 /// is suspected.
-pub(crate) fn note_request_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
+pub(crate) fn record_request_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     let now = node.now();
     let service = node.with(|state| state.quarantine.record_completion(now, fingerprint));
     if let Some(service) = service {
