--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -209,7 +209,7 @@
                     state.health.record_connect_failure(node.now(), &order.server.id)
                 });
             }
-            crashes::note_interrupted_attempt(
+            crashes::record_interrupted_attempt(
                 node,
                 order.server,
                 exchange.cut_run(node.now(), sent_at, None),
@@ -226,7 +226,7 @@
     let mut held = Reservation::new(node, Kind::ReadAhead);
     let Some(body) = read_first(exchange, reply, &mut held).await else {
         note_end(node, order.server);
-        crashes::note_interrupted_attempt(
+        crashes::record_interrupted_attempt(
             node,
             order.server,
             exchange.cut_run(node.now(), sent_at, None),
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -274,7 +274,7 @@
         if let Some(load) = &self.load {
             let since = Some(self.pace.began_at);
             let run = self.exchange.cut_run(self.node.now(), load.get_begin(), since);
-            crashes::note_interrupted_attempt(&self.node, &self.pace.server, run);
+            crashes::record_interrupted_attempt(&self.node, &self.pace.server, run);
         }
         self.reply = None;
         self.load = None;
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -27,7 +27,7 @@
 /// Records that the connection of an attempt broke, and schedules a probe of the server.
 ///
 /// A server that is leaving or gone closes connections for another reason.
-pub(crate) fn note_interrupted_attempt(
+pub(crate) fn record_interrupted_attempt(
     node: &Arc<Node>,
     server: &Server,
     attempt: InterruptedAttempt,
