--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -76,7 +76,7 @@
             let on_the_way = node.get_round_trip(&server.data_centre);
             let latency = (node.now() - sent_at).saturating_sub(on_the_way);
             let route = &exchange.route.name;
-            rollouts::note_success(node, server, route, Phase::FirstToken, latency);
+            rollouts::record_success(node, server, route, Phase::FirstToken, latency);
             Ok(answer)
         }
         Err((failed, answer)) => {
@@ -86,7 +86,7 @@
             note_failure(node, exchange, record, server, failed);
             if failed.may_have_run() {
                 let route = &exchange.route.name;
-                rollouts::note_failure(node, server, route, Phase::FirstToken);
+                rollouts::record_failure(node, server, route, Phase::FirstToken);
             }
             progress.note(failed);
             Err(answer)
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -219,9 +219,9 @@
         match is_whole {
             true => {
                 let Some(mean) = self.pace.get_mean() else { return };
-                rollouts::note_success(&self.node, server, route, Phase::Stream, mean);
+                rollouts::record_success(&self.node, server, route, Phase::Stream, mean);
             }
-            false => rollouts::note_failure(&self.node, server, route, Phase::Stream),
+            false => rollouts::record_failure(&self.node, server, route, Phase::Stream),
         }
     }
 
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -98,7 +98,7 @@
 }
 
 /// Records the success of a response, or of a phase of it.
-pub(crate) fn note_success(
+pub(crate) fn record_success(
     node: &Node,
     server: &Server,
     route: &str,
@@ -110,6 +110,6 @@
 }
 
 /// Records the failure of a response.
-pub(crate) fn note_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
+pub(crate) fn record_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
     node.with(|state| state.rollouts.record_failure(server, route, phase));
 }
