--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -17,7 +17,7 @@
 use super::signals::{self, Answered};
 use crate::event::{self, Event};
 use crate::http::{Body, ResponseBody};
-use crate::node::{Node, Reservation, crashes, note_load_change, watch};
+use crate::node::{Node, Reservation, crashes, record_load_change, watch};
 use crate::port::{ForwardContext, ResponseHead};
 use crate::runtime;
 
@@ -125,7 +125,7 @@
             state.loads.begin(&server.id, &work);
             state.demand.begin_request(&server.service);
         });
-        note_load_change(node, &server.id, true);
+        record_load_change(node, &server.id, true);
         let (service, server) = (server.service.clone(), server.id.clone());
         let began_at = node.now();
         let node = node.clone();
@@ -142,7 +142,7 @@
         if !self.had_first_token {
             self.had_first_token = true;
             self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
-            note_load_change(&self.node, &self.server, false);
+            record_load_change(&self.node, &self.server, false);
         }
     }
 }
@@ -155,7 +155,7 @@
             state.loads.end(&self.server, &self.work, had_first_token);
             state.demand.end_request(&self.service);
         });
-        note_load_change(&self.node, &self.server, false);
+        record_load_change(&self.node, &self.server, false);
     }
 }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -50,7 +50,7 @@
 pub mod watch;
 
 pub use memory::Reservation;
-pub(crate) use peers::loads::{note_change as note_load_change, query as query_loads};
+pub(crate) use peers::loads::{query as query_loads, record_change as record_load_change};
 pub(crate) use peers::message::Notification;
 pub(crate) use peers::notifications::notify_request_started;
 pub(crate) use peers::permits::{self, Permit};
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -159,7 +159,7 @@
 }
 
 /// Records that this node's load at a server has changed.
-pub(crate) fn note_change(node: &Node, server: &str, is_urgent: bool) {
+pub(crate) fn record_change(node: &Node, server: &str, is_urgent: bool) {
     if node.with(|state| state.members.is_grouped()) {
         let data_centre = get_data_centre(node, server);
         node.pending_loads.change(Change { server: short_id(server), data_centre, is_urgent });
