--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -116,7 +116,7 @@
                     make_room(&mut reservation, &mut content, needed, self.bounds.bytes).await?;
                     content.extend_from_slice(&data);
                     if self.length != Some(needed) {
-                        reservation.note_received(data.len() as u64);
+                        reservation.record_received(data.len() as u64);
                     }
                 }
                 Next::End if self.length.is_none() => break,
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records the arrival of bytes of a body.
-    pub(crate) fn note_received(&self, bytes: u64) {
+    pub(crate) fn record_received(&self, bytes: u64) {
         let now = self.node.now();
         self.node.with(|state| state.memory.record_received(now, self.id, bytes));
     }
