--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -127,7 +127,7 @@
                 Next::Evicted => return Err(self.evict(received, NO_MEMORY)),
             }
         }
-        reservation.note_complete();
+        reservation.complete_upload();
         Ok(Bytes::from_owner(Held { content, _reservation: reservation }))
     }
 
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records that a body is complete, which exempts it from eviction.
-    pub(crate) fn note_complete(&self) {
+    pub(crate) fn complete_upload(&self) {
         self.node.with(|state| state.memory.complete_upload(self.id));
     }
 
