--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -17,7 +17,7 @@
 use super::signals::{self, Answered};
 use crate::event::{self, Event};
 use crate::http::{Body, ResponseBody};
-use crate::node::{Node, Reservation, crashes, record_load_change, watch};
+use crate::node::{Node, ReservationGuard, crashes, record_load_change, watch};
 use crate::port::{ForwardContext, ResponseHead};
 use crate::runtime;
 
@@ -35,7 +35,7 @@
     /// Counts the request at the server until it is dropped.
     pub load: LoadGuard,
     /// The memory that is reserved for what was read of the body.
-    pub held: Reservation,
+    pub held: ReservationGuard,
 }
 
 /// The body of an answer.
@@ -223,7 +223,7 @@
     if let Some(fault) = fault.filter(|fault| *fault != Failed::ServerError) {
         return Err((fault, None));
     }
-    let mut held = Reservation::new(node, Kind::ReadAhead);
+    let mut held = ReservationGuard::new(node, Kind::ReadAhead);
     let Some(body) = read_first(exchange, reply, &mut held).await else {
         note_end(node, order.server);
         crashes::record_interrupted_attempt(
@@ -283,7 +283,7 @@
 async fn read_first(
     exchange: &Exchange,
     mut reply: ResponseBody,
-    held: &mut Reservation,
+    held: &mut ReservationGuard,
 ) -> Option<AnswerBody> {
     let is_streaming = exchange.route.kind.is_streaming();
     let mut content = BytesMut::new();
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -26,7 +26,7 @@
 use crate::event::{self, Event};
 
 use crate::http::{Body, ConnectionHandle};
-use crate::node::{Node, Reservation};
+use crate::node::{Node, ReservationGuard};
 use crate::runtime::{self, lock};
 
 /// The most bytes that are passed to a caller's connection at a time. What the connection holds is
@@ -61,14 +61,19 @@
 
 /// Returns the body that passes on what a server sends until `due`.
 pub(super) fn open(node: &Arc<Node>, recipient: Recipient, source: Source, due: Millis) -> Body {
-    let held = Reservation::new(node, Kind::ReadAhead);
+    let held = ReservationGuard::new(node, Kind::ReadAhead);
     let feed = Feed::new(node, recipient, held, due);
     lock(&feed.flow).source = Some(source);
     Body::from_stream(FeedBody(feed), None)
 }
 
 /// Returns the body that passes on an answer that was read whole. `held` is its reservation.
-pub(super) fn whole(node: &Arc<Node>, bytes: Bytes, held: Reservation, record: Record) -> Body {
+pub(super) fn whole(
+    node: &Arc<Node>,
+    bytes: Bytes,
+    held: ReservationGuard,
+    record: Record,
+) -> Body {
     let length = bytes.len() as u64;
     if bytes.len() <= PIECE_BYTES {
         return Body::from(bytes);
@@ -83,7 +88,12 @@
 }
 
 impl Feed {
-    fn new(node: &Arc<Node>, recipient: Recipient, held: Reservation, due: Millis) -> Arc<Self> {
+    fn new(
+        node: &Arc<Node>,
+        recipient: Recipient,
+        held: ReservationGuard,
+        due: Millis,
+    ) -> Arc<Self> {
         let Recipient { request, passage, peer } = recipient;
         passage.open();
         let bound = get_limit(node.with(|state| state.memory.get_capacity()));
--- a/crates/gateway/src/exchange/flow.rs
+++ b/crates/gateway/src/exchange/flow.rs
@@ -10,7 +10,7 @@
 use super::respond::Record;
 use super::source::{Source, Step};
 use crate::http::ConnectionHandle;
-use crate::node::Reservation;
+use crate::node::ReservationGuard;
 
 /// The state of an answer, which the caller's connection and the task that reads ahead share.
 pub(super) struct Flow {
@@ -23,7 +23,7 @@
     /// What was read and the caller has not taken.
     pub buffer: Buffer,
     /// The memory that is reserved for the buffer.
-    pub held: Reservation,
+    pub held: ReservationGuard,
     /// Why the answer is cut, until the caller's connection gets the error.
     pub error: Option<io::Error>,
     /// Whether the caller's connection has polled for more and waits for the server.
@@ -56,7 +56,7 @@
     /// Makes the state of an answer of which nothing was read.
     pub fn new(
         buffer: Buffer,
-        held: Reservation,
+        held: ReservationGuard,
         peer: Option<ConnectionHandle>,
         now: Millis,
     ) -> Self {
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -24,7 +24,7 @@
 use crate::http::StopSignal;
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
-use crate::node::memory::Reservation;
+use crate::node::memory::ReservationGuard;
 use crate::runtime;
 
 /// The least step by which a body without a length grows, in bytes: the size of one read.
@@ -63,7 +63,7 @@
     bounds: Bounds,
     length: Option<u64>,
     /// `None` where there is no body.
-    reservation: Option<Reservation>,
+    reservation: Option<ReservationGuard>,
 }
 
 impl<'a> Upload<'a> {
@@ -86,7 +86,7 @@
             Some(length) if length > bounds.bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
                 let claim = Requester { kind: Kind::RequestBody, account, urgency };
-                let mut reservation = Reservation::for_claim(node, &claim);
+                let mut reservation = ReservationGuard::for_claim(node, &claim);
                 grow(&mut reservation, length.unwrap_or(LEAST_STEP.min(bounds.bytes))).await?;
                 Some(reservation)
             }
@@ -131,7 +131,7 @@
         Ok(Bytes::from_owner(Held { content, _reservation: reservation }))
     }
 
-    fn begin_wait(&self, reservation: &mut Reservation) -> Wait {
+    fn begin_wait(&self, reservation: &mut ReservationGuard) -> Wait {
         let pace = RateMonitor::new(self.bounds.window, self.length);
         let within = Duration::from_millis(self.bounds.within);
         Wait {
@@ -158,7 +158,7 @@
 /// A body with the memory that is reserved for it.
 struct Held {
     content: Vec<u8>,
-    _reservation: Reservation,
+    _reservation: ReservationGuard,
 }
 
 impl AsRef<[u8]> for Held {
@@ -249,14 +249,14 @@
     }
 }
 
-async fn grow(reservation: &mut Reservation, bytes: u64) -> Result<(), Rejection> {
+async fn grow(reservation: &mut ReservationGuard, bytes: u64) -> Result<(), Rejection> {
     let grown = reservation.grow_or_wait(bytes).await;
     grown.map_err(|retry_after| Rejection { reason: Refusal::NoMemory, retry_after })
 }
 
 /// Reserves memory and makes room for `needed` bytes, and at most `most`.
 async fn make_room(
-    reservation: &mut Reservation,
+    reservation: &mut ReservationGuard,
     content: &mut Vec<u8>,
     needed: u64,
     most: u64,
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -22,7 +22,7 @@
 const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
 /// Reserved bytes that are released on drop.
-pub struct Reservation {
+pub struct ReservationGuard {
     node: Arc<Node>,
     id: ReservationId,
     bytes: u64,
@@ -30,7 +30,7 @@
     has_eviction_signal: bool,
 }
 
-impl Reservation {
+impl ReservationGuard {
     /// Creates an empty reservation that belongs to no client account.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
         Self::for_claim(node, &Requester { kind, account: "", urgency: 0 })
@@ -123,7 +123,7 @@
     }
 }
 
-impl Drop for Reservation {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         if self.has_eviction_signal {
             lock(&self.node.eviction_signals.0).remove(&self.id);
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -49,7 +49,7 @@
 pub mod usage_rows;
 pub mod watch;
 
-pub use memory::Reservation;
+pub use memory::ReservationGuard;
 pub(crate) use peers::loads::{query as query_loads, record_change as record_load_change};
 pub(crate) use peers::message::Notification;
 pub(crate) use peers::notifications::notify_request_started;
