--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -86,7 +86,7 @@
             Some(length) if length > bounds.bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
                 let claim = Requester { kind: Kind::RequestBody, account, urgency };
-                let mut reservation = ReservationGuard::for_claim(node, &claim);
+                let mut reservation = ReservationGuard::for_requester(node, &claim);
                 grow(&mut reservation, length.unwrap_or(LEAST_STEP.min(bounds.bytes))).await?;
                 Some(reservation)
             }
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -33,11 +33,11 @@
 impl ReservationGuard {
     /// Creates an empty reservation that belongs to no client account.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
-        Self::for_claim(node, &Requester { kind, account: "", urgency: 0 })
+        Self::for_requester(node, &Requester { kind, account: "", urgency: 0 })
     }
 
     /// Creates an empty reservation for a claim.
-    pub fn for_claim(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
+    pub fn for_requester(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
         Self { node: node.clone(), id, bytes: 0, has_eviction_signal: false }
