--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -67,7 +67,7 @@
 
 /// Picks the server of the next attempt, or says why there is none.
 async fn pick(node: &Node, exchange: &Exchange, attempts: Attempts<'_>) -> Result<Pick, Rejection> {
-    let side = rollouts::pick_side(node, &exchange.service, attempts.tried.is_empty());
+    let side = rollouts::pick_filter(node, &exchange.service, attempts.tried.is_empty());
     let (is_load_requested, criteria) =
         node.with(|state| (state.members.is_grouped(), get_criteria(state, exchange)));
     let near = Place { far: None, criteria, is_load_requested, is_version_fixed: false };
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -69,7 +69,7 @@
 }
 
 /// Picks the side of a rollout whose servers may receive a request.
-pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> VersionFilter {
+pub(crate) fn pick_filter(node: &Node, service: &str, is_first: bool) -> VersionFilter {
     let now = node.now();
     node.with(|state| {
         if !is_first {
