--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -121,7 +121,7 @@
     fn begin(node: &Arc<Node>, server: &Server, exchange: &Exchange) -> Self {
         let (work, body_bytes) = (exchange.work, exchange.body_bytes as u64);
         node.with(|state| {
-            state.server_held_bytes.begin(&server.id, body_bytes);
+            state.in_flight_bytes.begin(&server.id, body_bytes);
             state.loads.begin(&server.id, &work);
             state.demand.begin_request(&server.service);
         });
@@ -151,7 +151,7 @@
     fn drop(&mut self) {
         let had_first_token = self.had_first_token;
         self.node.with(|state| {
-            state.server_held_bytes.end(&self.server, self.body_bytes);
+            state.in_flight_bytes.end(&self.server, self.body_bytes);
             state.loads.end(&self.server, &self.work, had_first_token);
             state.demand.end_request(&self.service);
         });
@@ -265,11 +265,11 @@
 pub(super) fn note_end(node: &Node, server: &Server) -> bool {
     let (now, id) = (node.now(), &server.id);
     let (held_bytes, bound) = node.with(|state| {
-        let held_bytes = state.server_held_bytes.get(id);
+        let held_bytes = state.in_flight_bytes.get(id);
         if state.directory.get(id).is_none_or(|known| known.is_leaving) {
             return (held_bytes, None);
         }
-        (held_bytes, state.server_held_bytes.record_disconnect(now, &server.service, id))
+        (held_bytes, state.in_flight_bytes.record_disconnect(now, &server.service, id))
     });
     let Some(bound_bytes) = bound else { return false };
     let service = &server.service;
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -255,7 +255,7 @@
     let (id, service) = (&server.id, &server.service);
     state.health.is_ejected(now, id)
         || state.health.is_ramping(now, id, ramp_draw)
-        || state.server_held_bytes.is_full(now, service, id, exchange.body_bytes as u64)
+        || state.in_flight_bytes.is_full(now, service, id, exchange.body_bytes as u64)
 }
 
 /// Returns what the node knows of a server.
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -162,7 +162,7 @@
         self.descriptors.set(std::fs::read_dir("/proc/self/fd").map_or(0, |d| d.count() as i64));
         node.with(|state| {
             self.read_ahead.set(state.memory.get_held(Kind::ReadAhead) as i64);
-            self.held_at_servers.set(state.server_held_bytes.get_total() as i64);
+            self.held_at_servers.set(state.in_flight_bytes.get_total() as i64);
             self.skipped_entries.set(state.skipped_entries.count() as i64);
             self.quarantined.set(state.quarantine.count_quarantined(now) as i64);
             self.in_back_off.set(state.backpressure.count_in_back_off(now) as i64);
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -160,7 +160,7 @@
     /// Backpressure that the servers signalled in their responses.
     pub backpressure: backpressure::Tracker,
     /// Bytes of requests from this node that each server holds.
-    pub server_held_bytes: in_flight_bytes::Limiter,
+    pub in_flight_bytes: in_flight_bytes::Limiter,
     /// Requests that crash servers.
     pub quarantine: quarantine::Tracker,
     /// The usage of quotas by client account.
@@ -283,7 +283,7 @@
             loads: LoadTracker::default(),
             health: Health::default(),
             backpressure: backpressure::Tracker::new(fastrand::f64()),
-            server_held_bytes: in_flight_bytes::Limiter::default(),
+            in_flight_bytes: in_flight_bytes::Limiter::default(),
             quarantine: quarantine::Tracker::default(),
             quotas: Quotas::new(clock.now(), tolerance),
             retry_budget: Budget::new(allowance),
