--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -98,7 +98,7 @@
             let is_there = |server: &Server| {
                 let is_tried = self.attempts.tried.contains(&server.id);
                 !is_tried
-                    && !state.is_in_backoff(now, server)
+                    && !state.is_in_back_off(now, server)
                     && get_region(&node.topology, &server.data_centre) == region
             };
             if !ready.any(is_there) {
--- a/crates/gateway/src/exchange/pick/permitted.rs
+++ b/crates/gateway/src/exchange/pick/permitted.rs
@@ -61,7 +61,7 @@
     usual: Millis,
 ) -> Millis {
     let now = node.now();
-    let is_throttled = node.with(|state| state.is_service_in_backoff(now, &exchange.service));
+    let is_throttled = node.with(|state| state.is_service_in_back_off(now, &exchange.service));
     let throttled_for = if is_throttled { get_throttled_for(node, exchange) } else { None };
     throttled_for.unwrap_or(usual)
 }
@@ -70,7 +70,7 @@
 /// `None` where there are none of them.
 fn get_throttled_for(node: &Node, exchange: &Exchange) -> Option<Millis> {
     let now = node.now();
-    let wait = node.with(|state| state.get_min_backoff(now, &exchange.service))?;
+    let wait = node.with(|state| state.get_min_back_off(now, &exchange.service))?;
     Some(spread(wait, get_max_wait(exchange.get_left(now)), fastrand::f64()))
 }
 
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -112,7 +112,7 @@
     /// Returns `true` if a server takes no request now, or is left out because of its limit.
     fn is_barred(&self, state: &State, server: &Server) -> bool {
         let is_limited = || state.backpressure.get_limit(self.now, server).is_some();
-        state.is_in_backoff(self.now, server) || (self.attempts.skips_limited && is_limited())
+        state.is_in_back_off(self.now, server) || (self.attempts.skips_limited && is_limited())
     }
 }
 
@@ -213,7 +213,7 @@
         let now = node.now();
         let servers = listed.iter().filter_map(|id| state.directory.get_ready(id));
         // A server may have said something while the loads were waited for.
-        let servers = servers.filter(|server| !state.is_in_backoff(now, server));
+        let servers = servers.filter(|server| !state.is_in_back_off(now, server));
         pick_one(node, state, exchange, criteria, ramp_draw, servers)
     })
 }
