--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
 use keeljunction_core::serving::load::{Load, RequestCost};
-use keeljunction_core::serving::members::{Entry, Overview as Reach, RosterSummary};
+use keeljunction_core::serving::members::{Entry, Overview as Reachability, RosterSummary};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
 use keeljunction_core::serving::rollout::{self, Announcement};
@@ -206,11 +206,11 @@
     /// Samples of the prompt processing rate of servers, by service.
     pub throughputs: Vec<(String, Vec<Sample>)>,
     /// The number of nodes known and heard.
-    pub reach: Reach,
+    pub reach: Reachability,
     /// Nodes that should be aggregators but are not heard, by short name.
     pub silent: Vec<u64>,
     /// Regions of which no node is heard.
-    pub lost_regions: Vec<String>,
+    pub unreachable_regions: Vec<String>,
     /// `true` if nothing arrived from a whole region for some time.
     pub is_region_overdue: bool,
     /// The aggregators in the sender's ranking, by short name.
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -187,7 +187,7 @@
             throughputs: take_forwarded_samples(state, &throughputs),
             reach: state.members.get_overview(),
             silent: state.members.list_silent(),
-            lost_regions: state.members.list_unreachable_regions(),
+            unreachable_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
             aggregators: state.members.list_aggregator_ids(),
             roster: state.members.get_roster_summary(),
@@ -331,7 +331,8 @@
     let Overview { sender, quota, throughputs, reach, silent, versions, .. } = overview;
     let (verdicts, limits) = (overview.verdicts, overview.limits);
     let departures = overview.departures;
-    let (lost_regions, is_region_overdue) = (overview.lost_regions, overview.is_region_overdue);
+    let (unreachable_regions, is_region_overdue) =
+        (overview.unreachable_regions, overview.is_region_overdue);
     let (aggregators, roster) = (overview.aggregators, overview.roster);
     node.with(|state| {
         let arrived = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
@@ -339,7 +340,7 @@
         state.members.record_roster_summary(name, roster);
         state.members.apply_overview(now, name, reach, &silent);
         state.members.follow_aggregators(name, aggregators);
-        state.members.set_unreachable_regions(name, lost_regions);
+        state.members.set_unreachable_regions(name, unreachable_regions);
         let is_own = state.report_target == ReportTarget::OwnAggregator(name.to_owned());
         if is_own && is_region_overdue {
             state.quotas.note_overdue_region(now);
