--- a/crates/gateway/src/node/capacity_controller.rs
+++ b/crates/gateway/src/node/capacity_controller.rs
@@ -45,11 +45,11 @@
     ordered: BTreeMap<OrderKey, Order>,
     back_off_until: BTreeMap<OrderKey, Millis>,
     /// The recent maximum of the needs, by service.
-    needs: BTreeMap<String, PeakNeeds>,
+    peak_needs: BTreeMap<String, PeakNeeds>,
     /// When this holder first knew the demand, by service.
     demand_known_since: BTreeMap<String, Millis>,
     /// On-demand servers found in the server list, by service and region.
-    found: BTreeMap<(String, String), InitialCount>,
+    initial_counts: BTreeMap<(String, String), InitialCount>,
     /// When spot servers may be ordered next while the server list is still growing.
     next_growing_list_order_at: BTreeMap<String, Millis>,
 }
@@ -82,7 +82,8 @@
     ) {
         let now = node.now();
         let mut inventories = self.count_inventories(node, name, scaling);
-        let (found, is_complete) = self.track_found_servers(node, name, &inventories, now);
+        let (initial_counts, is_complete) =
+            self.track_initial_counts(node, name, &inventories, now);
         let is_mixed = inventories.values().flat_map(BTreeMap::values).any(|held| held.spot > 0);
         let policy = node.settings.capacity.get_policy();
         let demands = get_demands(node, name, service, now);
@@ -92,8 +93,8 @@
             Some(demands) => {
                 let latest = compute_needs(&policy, demands);
                 let unreachable = unreachable.iter().map(String::as_str).collect();
-                let followed = self.needs.entry(name.to_owned()).or_default();
-                (followed.record(now, &latest, &unreachable, SCALE_DOWN_WINDOW_MS), policy)
+                let peak_needs = self.peak_needs.entry(name.to_owned()).or_default();
+                (peak_needs.record(now, &latest, &unreachable, SCALE_DOWN_WINDOW_MS), policy)
             }
             // A holder that does not know the demand yet keeps the mix of an earlier holder.
             None if is_mixed && !self.has_orders(name) => return,
@@ -102,7 +103,7 @@
             // list.
             None if !is_complete && !self.is_growing_list_order_due(node, name, now) => return,
             // No holder has ordered a mix yet: keep the number of servers found, in the usual mix.
-            None => (found, Policy { spot_part: policy.spot_part.min(1.0), ..policy }),
+            None => (initial_counts, Policy { spot_part: policy.spot_part.min(1.0), ..policy }),
         };
         // Requests may arrive in a region without a data centre of the service, or at nodes that
         // know other regions.
@@ -121,8 +122,9 @@
             // On-demand servers that have not registered yet must not be released, unless they are
             // known to be surplus.
             let snapshot = snapshots.get(get_region(node, &order.data_centre));
-            let is_carried = snapshot.is_some_and(|snapshot| snapshot.is_spot_sufficient(scaling));
-            let is_surplus = is_demand_settled && is_carried;
+            let is_spot_sufficient =
+                snapshot.is_some_and(|snapshot| snapshot.is_spot_sufficient(scaling));
+            let is_surplus = is_demand_settled && is_spot_sufficient;
             if !is_complete && !order.is_spot && !is_surplus {
                 continue;
             }
@@ -172,12 +174,12 @@
 
     /// Returns `true` if spot servers may be ordered while the server list is still growing.
     fn is_growing_list_order_due(&mut self, node: &Node, name: &str, now: Millis) -> bool {
-        let is_untouched = node.with(|state| state.demand.is_never_requested(name));
+        let is_never_requested = node.with(|state| state.demand.is_never_requested(name));
         let next = self
             .next_growing_list_order_at
             .entry(name.to_owned())
             .or_insert(now + GROWING_LIST_ORDER_INTERVAL_MS);
-        let is_due = is_untouched && now >= *next;
+        let is_due = is_never_requested && now >= *next;
         if is_due {
             *next = now + GROWING_LIST_ORDER_INTERVAL_MS;
         }
@@ -200,7 +202,7 @@
 
     /// Returns the number of on-demand servers found in each region, and `true` if all of them have
     /// registered.
-    fn track_found_servers(
+    fn track_initial_counts(
         &mut self,
         node: &Node,
         name: &str,
@@ -212,14 +214,14 @@
         });
         let known_at = age.map(|age| now.saturating_sub(age));
         let mut is_complete = true;
-        let follow = |(region, inventory): (&String, &BTreeMap<String, Inventory>)| {
+        let record = |(region, inventory): (&String, &BTreeMap<String, Inventory>)| {
             let listed = inventory.values().map(|held| held.on_demand).sum();
-            let found = self.found.entry((name.to_owned(), region.clone())).or_default();
-            let count = found.record(now, listed, is_idle, known_at);
-            is_complete &= found.is_complete(known_at);
+            let initial = self.initial_counts.entry((name.to_owned(), region.clone())).or_default();
+            let count = initial.record(now, listed, is_idle, known_at);
+            is_complete &= initial.is_complete(known_at);
             (region.clone(), count)
         };
-        (inventories.iter().map(follow).collect(), is_complete)
+        (inventories.iter().map(record).collect(), is_complete)
     }
 
     /// Counts the servers of each data centre, by region.
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -36,10 +36,10 @@
         Self::for_requester(node, &Requester { kind, account: "", urgency: 0 })
     }
 
-    /// Creates an empty reservation for a claim.
-    pub fn for_requester(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
+    /// Creates an empty reservation for a requester.
+    pub fn for_requester(node: &Arc<Node>, requester: &Requester<'_>) -> Self {
         let now = node.now();
-        let id = node.with(|state| state.memory.open(now, claim));
+        let id = node.with(|state| state.memory.open(now, requester));
         Self { node: node.clone(), id, bytes: 0, has_eviction_signal: false }
     }
 
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -1,5 +1,5 @@
 //! HTTP calls between nodes for content that does not fit a datagram: the configuration, and the
-//! missing parts of the server list and the member list.
+//! missing parts of the server list and the roster.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -37,7 +37,7 @@
             let document = node.with(|state| state.configuration_document.clone());
             document.map(|document| document.get_compressed())
         }
-        NODES_PATH => encode_additions(&node, read_after(request.uri().query())),
+        NODES_PATH => encode_roster_delta(&node, read_after(request.uri().query())),
         SERVERS_PATH => encode_update(&node, read_after(request.uri().query())),
         _ => None,
     };
@@ -69,25 +69,25 @@
     }
 }
 
-/// Encodes the part of the member list that a peer lacks.
-fn encode_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
+/// Encodes the part of the roster that a peer lacks.
+fn encode_roster_delta(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
-    let additions = node.with(|state| state.members.get_roster_delta(now, after.unwrap_or(0)));
-    let encoded = postcard::to_stdvec(&additions);
+    let delta = node.with(|state| state.members.get_roster_delta(now, after.unwrap_or(0)));
+    let encoded = postcard::to_stdvec(&delta);
     encoded
-        .inspect_err(|error| log::error!("failed to encode the member list: {error}"))
+        .inspect_err(|error| log::error!("failed to encode the roster: {error}"))
         .ok()
         .map(Bytes::from)
 }
 
-/// Fetches the additions to a peer's member list.
-pub(super) async fn fetch_additions(node: Arc<Node>, from: SocketAddr, after: u64) {
+/// Fetches what was added to a peer's roster.
+pub(super) async fn fetch_roster_delta(node: Arc<Node>, from: SocketAddr, after: u64) {
     let path = format!("{NODES_PATH}?{AFTER_PARAMETER}{after}");
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
-        Ok(additions) => node.with(|state| state.members.apply_roster_delta(now, from, &additions)),
-        Err(error) => log::warn!("malformed member list from {from}: {error}"),
+        Ok(delta) => node.with(|state| state.members.apply_roster_delta(now, from, &delta)),
+        Err(error) => log::warn!("malformed roster from {from}: {error}"),
     }
 }
 
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -45,7 +45,7 @@
 struct OwnedServers {
     servers: Vec<u64>,
     /// The region of the owner; `None` if it is this node's region.
-    far_region: Option<String>,
+    remote_region: Option<String>,
 }
 
 /// Queries the loads of servers and waits until they are known or the timeout expires; returns
@@ -77,10 +77,11 @@
 
 /// Returns the timeout for answers, some of which may come from other regions.
 fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, OwnedServers>) -> Duration {
-    let near = QUERY_TIMEOUT.as_millis() as Millis;
-    let far = by_owner.values().filter_map(|owned| owned.far_region.as_deref());
-    let longest =
-        node.with(|state| far.map(|region| state.round_trips.get_timeout(region, near)).max());
+    let local_timeout = QUERY_TIMEOUT.as_millis() as Millis;
+    let remote_regions = by_owner.values().filter_map(|owned| owned.remote_region.as_deref());
+    let longest = node.with(|state| {
+        remote_regions.map(|region| state.round_trips.get_timeout(region, local_timeout)).max()
+    });
     longest.map_or(QUERY_TIMEOUT, Duration::from_millis)
 }
 
@@ -95,7 +96,7 @@
         let Some(owner) = members.find_load_owner(server, data_centre) else { continue };
         let owned = by_owner.entry(owner.address).or_default();
         owned.servers.push(server);
-        owned.far_region = owner.remote_region.map(str::to_owned);
+        owned.remote_region = owner.remote_region.map(str::to_owned);
     }
     by_owner
 }
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -86,7 +86,7 @@
         /// Identifies the request at its sender.
         query_id: u32,
         /// The server's limit as known to the sender.
-        sighting: Observation,
+        observation: Observation,
         /// The server's data centre; empty with a single region.
         data_centre: String,
     },
@@ -127,7 +127,7 @@
 /// The sender of a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// The sender's entry in the member list.
+    /// The sender's entry in the roster.
     pub entry: Entry,
     /// The incarnation under which the sender counts.
     pub incarnation: u64,
@@ -178,7 +178,7 @@
     pub group_age: Millis,
     /// Regions from which the sender receives nothing.
     pub unheard_regions: Vec<String>,
-    /// The sender's member list.
+    /// The sender's roster.
     pub roster: RosterSummary,
     /// Nodes that are new to the sender.
     pub joined: Vec<Entry>,
@@ -206,7 +206,7 @@
     /// Samples of the prompt processing rate of servers, by service.
     pub throughputs: Vec<(String, Vec<Sample>)>,
     /// The number of nodes known and heard.
-    pub reach: Reachability,
+    pub reachability: Reachability,
     /// Nodes that should be aggregators but are not heard, by short name.
     pub silent: Vec<u64>,
     /// Regions of which no node is heard.
@@ -215,7 +215,7 @@
     pub is_region_overdue: bool,
     /// The aggregators in the sender's ranking, by short name.
     pub aggregators: Vec<u64>,
-    /// The sender's member list.
+    /// The sender's roster.
     pub roster: RosterSummary,
     /// Some of the sender's verdicts on requests that may crash servers.
     pub verdicts: Vec<Verdict>,
--- a/crates/gateway/src/node/peers/mod.rs
+++ b/crates/gateway/src/node/peers/mod.rs
@@ -90,8 +90,8 @@
             Message::Quota { query_id, account, units, decision } => {
                 quota::handle_decision(&node, query_id, &account, units, decision);
             }
-            Message::RequestPermit { query_id, sighting, data_centre } => {
-                permits::answer_request(&node, from, query_id, &sighting, &data_centre).await;
+            Message::RequestPermit { query_id, observation, data_centre } => {
+                permits::answer_request(&node, from, query_id, &observation, &data_centre).await;
             }
             Message::Permit { query_id, key, decision } => {
                 permits::handle_decision(&node, from, query_id, key, decision).await;
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -91,8 +91,8 @@
                 forward(node, from, notification).await;
             }
         }
-        Notification::LimitSeen(sighting) => {
-            if permits::apply_sighting(node, &sighting) {
+        Notification::LimitSeen(observation) => {
+            if permits::apply_observation(node, &observation) {
                 forward(node, from, notification).await;
             }
         }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -36,17 +36,17 @@
 struct Owner {
     address: SocketAddr,
     /// Its region; `None` if it is this node's region.
-    far_region: Option<String>,
+    remote_region: Option<String>,
 }
 
 /// Acquires a permit to send a request to a server; returns `None` if the server does not accept
 /// one now.
 pub(crate) async fn acquire(node: &Node, server: &Server) -> Option<Permit> {
     let now = node.now();
-    let sighting = node.with(|state| state.backpressure.get_limit(now, server));
-    let permit = match sighting {
+    let observation = node.with(|state| state.backpressure.get_limit(now, server));
+    let permit = match observation {
         None => Permit::Unlimited,
-        Some(sighting) => acquire_counted(node, server, sighting).await?,
+        Some(observation) => acquire_counted(node, server, observation).await?,
     };
     // The server may have requested a backoff while the decision was pending.
     let now = node.now();
@@ -58,20 +58,20 @@
 }
 
 /// Acquires a permit from the owner of a limited server.
-async fn acquire_counted(node: &Node, server: &Server, sighting: Observation) -> Option<Permit> {
+async fn acquire_counted(node: &Node, server: &Server, observation: Observation) -> Option<Permit> {
     let owner = node.with(|state| {
-        let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.remote_region.map(str::to_owned);
-        Some(Owner { address: found.address, far_region })
+        let found = state.members.find_load_owner(observation.key.server, &server.data_centre)?;
+        let remote_region = found.remote_region.map(str::to_owned);
+        Some(Owner { address: found.address, remote_region })
     });
     let now = node.now();
     let decision = match &owner {
-        Some(owner) => request_from_owner(node, owner, server, sighting).await,
-        None => node.with(|state| decide(state, now, &server.data_centre, &sighting)),
+        Some(owner) => request_from_owner(node, owner, server, observation).await,
+        None => node.with(|state| decide(state, now, &server.data_centre, &observation)),
     };
     let now = node.now();
     let is_granted = node.with(|state| {
-        state.backpressure.apply_decision(now, sighting.key, decision, UNDECIDED_BACK_OFF_MS)
+        state.backpressure.apply_decision(now, observation.key, decision, UNDECIDED_BACK_OFF_MS)
     });
     if !is_granted {
         node.metrics.permits_denied.inc();
@@ -88,16 +88,16 @@
     node: &Node,
     owner: &Owner,
     server: &Server,
-    sighting: Observation,
+    observation: Observation,
 ) -> Decision {
     let query = node.pending_permits.begin();
     let data_centre = match node.topology.is_multi_region() {
         true => server.data_centre.clone(),
         false => String::new(),
     };
-    let message = Message::RequestPermit { query_id: query.id, sighting, data_centre };
+    let message = Message::RequestPermit { query_id: query.id, observation, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
-    let wait = owner.far_region.as_deref().map_or(DECISION_TIMEOUT_MS, |region| {
+    let wait = owner.remote_region.as_deref().map_or(DECISION_TIMEOUT_MS, |region| {
         node.with(|state| state.round_trips.get_timeout(region, DECISION_TIMEOUT_MS))
     });
     let decision = query.wait(Duration::from_millis(wait)).await;
@@ -120,12 +120,17 @@
 }
 
 /// Decides as the owner; undecided if this node is not the owner.
-fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Observation) -> Decision {
-    if !state.members.is_load_owner(sighting.key.server, data_centre) {
+fn decide(
+    state: &mut State,
+    now: Millis,
+    data_centre: &str,
+    observation: &Observation,
+) -> Decision {
+    if !state.members.is_load_owner(observation.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reachability(now);
-    state.backpressure.decide(now, sighting, reach)
+    let reachability = state.members.get_reachability(now);
+    state.backpressure.decide(now, observation, reachability)
 }
 
 /// Answers the permit request of another node.
@@ -133,12 +138,12 @@
     node: &Node,
     from: SocketAddr,
     query_id: u32,
-    sighting: &Observation,
+    observation: &Observation,
     data_centre: &str,
 ) {
     let now = node.now();
-    let key = sighting.key;
-    let decision = node.with(|state| decide(state, now, data_centre, sighting));
+    let key = observation.key;
+    let decision = node.with(|state| decide(state, now, data_centre, observation));
     node.link.send(now, from, &Message::Permit { query_id, key, decision }).await;
 }
 
@@ -162,14 +167,14 @@
 }
 
 /// Applies a server limit observed by another node; returns `true` if it is new.
-pub(super) fn apply_sighting(node: &Node, sighting: &Observation) -> bool {
+pub(super) fn apply_observation(node: &Node, observation: &Observation) -> bool {
     let now = node.now();
-    node.with(|state| state.backpressure.merge(now, sighting))
+    node.with(|state| state.backpressure.merge(now, observation))
 }
 
 /// Applies the server limits in a report.
-pub(super) fn apply_sightings(node: &Node, sightings: &[Observation]) {
-    for sighting in sightings {
-        apply_sighting(node, sighting);
+pub(super) fn apply_observations(node: &Node, observations: &[Observation]) {
+    for observation in observations {
+        apply_observation(node, observation);
     }
 }
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -32,8 +32,8 @@
     let name = &account.name;
     let limit = get_limit(account);
     let is_admitted_locally = node.with(|state| {
-        let reach = state.members.get_reachability(now);
-        state.quotas.consume_above_low_water(now, name, units, limit, reach)
+        let reachability = state.members.get_reachability(now);
+        state.quotas.consume_above_low_water(now, name, units, limit, reachability)
     });
     if is_admitted_locally {
         return Ok(());
@@ -45,8 +45,8 @@
     let now = node.now();
     node.with(|state| match decision {
         Decision::Undecided => {
-            let reach = state.members.get_reachability(now);
-            state.quotas.consume_local_share(now, name, units, limit, reach)
+            let reachability = state.members.get_reachability(now);
+            state.quotas.consume_local_share(now, name, units, limit, reachability)
         }
         Decision::Admitted => {
             state.quotas.discard_local_share_savings(now, name);
@@ -89,11 +89,13 @@
     if !state.members.is_owner(short_id(&account.name)) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reachability(now);
+    let reachability = state.members.get_reachability(now);
     let limit = get_limit(account);
     match state.members.is_region_isolated() {
-        true => state.quotas.decide_for_isolated_region(now, &account.name, units, limit, reach),
-        false => state.quotas.decide(now, &account.name, units, limit, reach),
+        true => {
+            state.quotas.decide_for_isolated_region(now, &account.name, units, limit, reachability)
+        }
+        false => state.quotas.decide(now, &account.name, units, limit, reachability),
     }
 }
 
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -46,7 +46,7 @@
         }
         if is_grouped {
             loads::repeat(&node, turn);
-            fetch_additions(&node, now);
+            fetch_roster_delta(&node, now);
         }
         quarantine::step(&node).await;
         turn += 1;
@@ -56,10 +56,10 @@
     }
 }
 
-/// Fetches missing entries of the member list from another node.
-fn fetch_additions(node: &Arc<Node>, now: Millis) {
+/// Fetches missing entries of the roster from another node.
+fn fetch_roster_delta(node: &Arc<Node>, now: Millis) {
     if let Some((from, after)) = node.with(|state| state.members.pick_roster_source(now)) {
-        runtime::spawn(calls::fetch_additions(node.clone(), from, after));
+        runtime::spawn(calls::fetch_roster_delta(node.clone(), from, after));
     }
 }
 
@@ -89,11 +89,11 @@
         ReportTarget::OwnAggregator(name) => Some(name.as_str()),
         ReportTarget::AllAggregators => None,
     };
-    let reach = state.members.get_reachability(now);
+    let reachability = state.members.get_reachability(now);
     event::emit(&Event::AggregatorChanged {
         aggregator,
-        nodes_heard: reach.heard,
-        nodes_known: reach.known,
+        nodes_heard: reachability.heard,
+        nodes_known: reachability.known,
     });
 }
 
@@ -185,7 +185,7 @@
             sender: sender.clone(),
             quota: state.quotas.add_other_usage(now, &quota),
             throughputs: take_forwarded_samples(state, &throughputs),
-            reach: state.members.get_overview(),
+            reachability: state.members.get_overview(),
             silent: state.members.list_silent(),
             unreachable_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
@@ -235,10 +235,10 @@
         return;
     }
     let Some(configuration) = state.configuration.clone() else { return };
-    let reach = state.members.get_reachability(now);
+    let reachability = state.members.get_reachability(now);
     for account in configuration.accounts.iter().flatten() {
         let limit = Limit { rate_per_second: account.rate_per_second, burst: account.burst };
-        state.quotas.track(now, &account.name, limit, reach);
+        state.quotas.track(now, &account.name, limit, reachability);
     }
 }
 
@@ -316,7 +316,7 @@
         }
     });
     quarantine::apply_verdicts(node, verdicts);
-    permits::apply_sightings(node, &limits);
+    permits::apply_observations(node, &limits);
     watch::apply_departures(node, &departures);
 }
 
@@ -328,7 +328,7 @@
     overview: Overview,
 ) {
     let now = node.now();
-    let Overview { sender, quota, throughputs, reach, silent, versions, .. } = overview;
+    let Overview { sender, quota, throughputs, reachability, silent, versions, .. } = overview;
     let (verdicts, limits) = (overview.verdicts, overview.limits);
     let departures = overview.departures;
     let (unreachable_regions, is_region_overdue) =
@@ -338,7 +338,7 @@
         let arrived = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
-        state.members.apply_overview(now, name, reach, &silent);
+        state.members.apply_overview(now, name, reachability, &silent);
         state.members.follow_aggregators(name, aggregators);
         state.members.set_unreachable_regions(name, unreachable_regions);
         let is_own = state.report_target == ReportTarget::OwnAggregator(name.to_owned());
@@ -354,7 +354,7 @@
         }
     });
     quarantine::apply_verdicts(node, verdicts);
-    permits::apply_sightings(node, &limits);
+    permits::apply_observations(node, &limits);
     watch::apply_departures(node, &departures);
     versions::handle(node, from, echoed_at, &versions);
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -372,7 +372,7 @@
         }
     }
 
-    /// Returns this node's entry in the member list.
+    /// Returns this node's entry in the roster.
     pub(super) fn get_entry(&self) -> Entry {
         get_entry(&self.settings)
     }
