--- a/crates/gateway/src/node/eviction_signals.rs
+++ b/crates/gateway/src/node/eviction_signals.rs
@@ -8,7 +8,7 @@
 use crate::http::StopSignal;
 use crate::runtime::lock;
 
-/// The eviction signals of uploads, by memory holder.
+/// The eviction signals of uploads, by reservation.
 #[derive(Default)]
 pub(crate) struct EvictionSignals(pub(super) Mutex<HashMap<ReservationId, StopSignal>>);
 
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -2,7 +2,7 @@
 //!
 //! [`keeljunction_core::serving::memory`] decides. This module ties reservations to the lifetime of
 //! their holders, wakes evicted uploads, and passes samples of the process's resident memory to the
-//! accountant.
+//! memory budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -149,7 +149,7 @@
     }
 }
 
-/// Passes one sample to the accountant, evicts uploads, and logs the start and end of memory
+/// Passes one sample to the memory budget, evicts uploads, and logs the start and end of memory
 /// pressure.
 fn observe(node: &Node) {
     let (now, resident) = (node.now(), read_resident_bytes());
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -100,11 +100,11 @@
 /// Starts a new incarnation of the counts with those that the previous report target did not
 /// receive.
 fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
-    let previous = state.handover.get_incarnation().clone();
-    let arrived = state.handover.begin_incarnation(fastrand::u64(..));
-    let next = state.handover.get_incarnation().clone();
-    state.quotas.hand_over(now, &arrived.quota);
-    state.usage.hand_over(&previous, &next, &arrived.usage, was_own_sum);
+    let previous = state.report_log.get_incarnation().clone();
+    let acknowledged = state.report_log.begin_incarnation(fastrand::u64(..));
+    let next = state.report_log.get_incarnation().clone();
+    state.quotas.hand_over(now, &acknowledged.quota);
+    state.usage.hand_over(&previous, &next, &acknowledged.usage, was_own_sum);
     state.rollouts.reset_counts();
     state.samples.clear();
 }
@@ -113,7 +113,7 @@
     let holds_duties = state.lease.get_fence(now).is_some();
     Sender {
         entry: node.get_entry(),
-        incarnation: state.handover.get_incarnation().number,
+        incarnation: state.report_log.get_incarnation().number,
         is_stopping: node.is_stopping(),
         holder_age: if holds_duties { Some(0) } else { state.members.get_duty_holder_age(now) },
         rollouts: state.rollouts.list_announcements(now),
@@ -121,7 +121,7 @@
 }
 
 fn get_own_usage(state: &State) -> Vec<(WindowNumber, Counts)> {
-    let mut usage = state.usage.list_incarnation_counts(state.handover.get_incarnation());
+    let mut usage = state.usage.list_incarnation_counts(state.report_log.get_incarnation());
     usage.split_off(usage.len().saturating_sub(MAX_REPORTED_WINDOWS))
 }
 
@@ -141,10 +141,10 @@
         let usage = get_own_usage(state);
         let snapshot =
             Snapshot { quota: quota.accounts.clone(), usage: usage.iter().cloned().collect() };
-        if let Some(arrived) = state.handover.get_acknowledged() {
-            quota.accounts.retain(|account, units| arrived.quota.get(account) != Some(units));
+        if let Some(acknowledged) = state.report_log.get_acknowledged() {
+            quota.accounts.retain(|account, units| acknowledged.quota.get(account) != Some(units));
         }
-        state.handover.record(now, snapshot);
+        state.report_log.record(now, snapshot);
         let totals = Totals {
             quota,
             usage,
@@ -171,8 +171,8 @@
         let quota = state.quotas.add_group_usage(now, &own);
         let usage = get_own_usage(state);
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
-        state.handover.record(now, snapshot);
-        let sums = state.usage.sum_group(state.handover.get_incarnation(), MAX_REPORTED_WINDOWS);
+        state.report_log.record(now, snapshot);
+        let sums = state.usage.sum_group(state.report_log.get_incarnation(), MAX_REPORTED_WINDOWS);
         // Summaries to other regions have their own pace, and carry all windows each time.
         let usage = match state.members.is_using_carriers() {
             true => sums,
@@ -335,7 +335,7 @@
         (overview.unreachable_regions, overview.is_region_overdue);
     let (aggregators, roster) = (overview.aggregators, overview.roster);
     node.with(|state| {
-        let arrived = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
+        let acknowledged = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
         state.members.apply_overview(now, name, reachability, &silent);
@@ -345,8 +345,8 @@
         if is_own && is_region_overdue {
             state.quotas.note_overdue_region(now);
         }
-        if let Some(arrived) = arrived.filter(|_| is_own) {
-            state.quotas.merge_total(now, (name, sender.incarnation), &quota, &arrived.quota);
+        if let Some(acknowledged) = acknowledged.filter(|_| is_own) {
+            state.quotas.merge_total(now, (name, sender.incarnation), &quota, &acknowledged.quota);
         }
         for (service, samples) in throughputs {
             let throughput = state.throughputs.entry(service).or_default();
@@ -388,5 +388,5 @@
             begin_incarnation(state, now, false);
         }
     }
-    state.handover.acknowledge(echoed_at?).cloned()
+    state.report_log.acknowledge(echoed_at?).cloned()
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -187,12 +187,12 @@
     pub region_links: LinkBudgets,
     /// State of the summaries that this node sends to other regions.
     pub(super) summary_relay: RelayState,
-    /// Accounting of the memory that buffers data of clients and servers.
+    /// The budget of the memory that buffers data of clients and servers.
     pub memory: MemoryBudget,
     /// The nodes that this node reports its counts to.
     pub(super) report_target: ReportTarget,
-    /// Which counts the report target has received.
-    pub handover: ReportLog,
+    /// The sent reports, and which of them the report target has acknowledged.
+    pub report_log: ReportLog,
     /// Throughput samples to be forwarded to this node's group.
     pub(super) samples: Samples,
     /// The lease of the duties.
@@ -295,9 +295,9 @@
             round_trips: RoundTrips::default(),
             region_links: LinkBudgets::new(settings.regions.spill_mbps),
             summary_relay: RelayState::new(settings.regions.control_kbps),
-            memory: make_accountant(&settings, incarnation.number),
+            memory: make_memory_budget(&settings, incarnation.number),
             report_target: ReportTarget::default(),
-            handover: ReportLog::new(incarnation.clone()),
+            report_log: ReportLog::new(incarnation.clone()),
             samples: Samples::new(),
             lease: DutyLease::new(
                 incarnation.node.clone(),
@@ -420,7 +420,7 @@
     pub fn count_usage(&self, account: &str) {
         let length = (self.settings.bounds.report_window_s * 1_000.0) as u64;
         let window = window_at(runtime::unix_ms(), length);
-        self.with(|state| state.usage.count(window, state.handover.get_incarnation(), account));
+        self.with(|state| state.usage.count(window, state.report_log.get_incarnation(), account));
     }
 }
 
@@ -436,9 +436,9 @@
     pub topology: Topology,
 }
 
-/// Creates the memory accountant. The memory level at which clients should use other nodes is
+/// Creates the memory budget. The memory level at which clients should use other nodes is
 /// randomized for each run of a node.
-fn make_accountant(settings: &Settings, run: u64) -> MemoryBudget {
+fn make_memory_budget(settings: &Settings, run: u64) -> MemoryBudget {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
     MemoryBudget::new((bytes * BUFFER_MEMORY_FRACTION) as u64, bytes as u64, draw)
