--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -254,7 +254,7 @@
         /// The server's short name.
         server: u64,
         /// The size of the request.
-        work: RequestCost,
+        cost: RequestCost,
         /// The expected prefill time of its prompt.
         prefill_ms: Millis,
     },
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -66,7 +66,7 @@
 pub(crate) fn notify_request_started(
     node: &Node,
     server: &str,
-    work: &RequestCost,
+    cost: &RequestCost,
     prefill_ms: Millis,
 ) {
     let (is_grouped, period) =
@@ -76,15 +76,15 @@
         return;
     }
     let (name, server) = (node.incarnation.node.clone(), short_id(server));
-    node.notify_peers(Notification::RequestStarted { node: name, server, work: *work, prefill_ms });
+    node.notify_peers(Notification::RequestStarted { node: name, server, cost: *cost, prefill_ms });
 }
 
 /// Handles a notification of another node.
 pub(super) async fn handle(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
     match notification {
-        Notification::RequestStarted { node: peer, server, work, prefill_ms } => {
+        Notification::RequestStarted { node: peer, server, cost, prefill_ms } => {
             let until = node.now() + prefill_ms;
-            node.with(|state| state.loads.merge_started(until, &peer, server, &work));
+            node.with(|state| state.loads.merge_started(until, &peer, server, &cost));
         }
         Notification::RequestJudged(verdict) => {
             if quarantine::apply_verdict(node, verdict) {
--- a/crates/gateway/src/node/peers/relay_state.rs
+++ b/crates/gateway/src/node/peers/relay_state.rs
@@ -15,7 +15,7 @@
     /// Samples for the next summary to other regions.
     pub(super) samples: Samples,
     /// Unreachable regions, as last logged.
-    pub(super) lost: BTreeSet<String>,
+    pub(super) unreachable_regions: BTreeSet<String>,
 }
 
 impl RelayState {
@@ -25,7 +25,7 @@
             pace: SummaryPacer::new(control_kbps),
             sent: 0,
             samples: Samples::new(),
-            lost: BTreeSet::new(),
+            unreachable_regions: BTreeSet::new(),
         }
     }
 }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -77,9 +77,9 @@
         None => ReportTarget::AllAggregators,
     };
     if report_target != state.report_target {
-        let was_own_sum = state.report_target == ReportTarget::AllAggregators;
+        let was_aggregator = state.report_target == ReportTarget::AllAggregators;
         state.report_target = report_target;
-        begin_incarnation(state, now, was_own_sum);
+        begin_incarnation(state, now, was_aggregator);
         emit_target_change(state, now);
     }
 }
@@ -99,12 +99,12 @@
 
 /// Starts a new incarnation of the counts with those that the previous report target did not
 /// receive.
-fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
+fn begin_incarnation(state: &mut State, now: Millis, was_aggregator: bool) {
     let previous = state.report_log.get_incarnation().clone();
     let acknowledged = state.report_log.begin_incarnation(fastrand::u64(..));
     let next = state.report_log.get_incarnation().clone();
     state.quotas.hand_over(now, &acknowledged.quota);
-    state.usage.hand_over(&previous, &next, &acknowledged.usage, was_own_sum);
+    state.usage.hand_over(&previous, &next, &acknowledged.usage, was_aggregator);
     state.rollouts.reset_counts();
     state.samples.clear();
 }
--- a/crates/gateway/src/node/peers/summary_relay.rs
+++ b/crates/gateway/src/node/peers/summary_relay.rs
@@ -27,26 +27,27 @@
     if !node.topology.is_multi_region() {
         return;
     }
-    let remote_regions = node.with(|state| {
+    let remote_nodes = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
         let others = regions.filter(|region| *region != node.topology.get_own_region());
         let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
         let period = state.summary_relay.pace.get_period();
         state.members.set_transit_delay(period, farthest.unwrap_or(0) / 2);
-        log_lost(state);
+        log_unreachable_regions(state);
         turn.is_multiple_of(REGION_REFRESH_TURNS).then(|| state.members.list_remote_nodes())
     });
-    if let Some(remote_regions) = remote_regions {
-        node.link.set_remote_regions(remote_regions);
+    if let Some(remote_nodes) = remote_nodes {
+        node.link.set_remote_regions(remote_nodes);
     }
 }
 
-fn log_lost(state: &mut State) {
-    let lost: BTreeSet<String> = state.members.list_unreachable_regions().into_iter().collect();
-    for region in lost.symmetric_difference(&state.summary_relay.lost) {
-        event::emit(&Event::RegionReached { region, is_reached: !lost.contains(region) });
+fn log_unreachable_regions(state: &mut State) {
+    let unreachable: BTreeSet<String> =
+        state.members.list_unreachable_regions().into_iter().collect();
+    for region in unreachable.symmetric_difference(&state.summary_relay.unreachable_regions) {
+        event::emit(&Event::RegionReached { region, is_reached: !unreachable.contains(region) });
     }
-    state.summary_relay.lost = lost;
+    state.summary_relay.unreachable_regions = unreachable;
 }
 
 /// Sends a summary to a carrier of each other region if it is due, and returns it.
@@ -121,7 +122,7 @@
     }
 }
 
-/// Returns `true` if a summary of another region is newer than all earlier ones.
+/// Records a summary of another region; returns `true` if it is newer than all earlier ones.
 fn record_summary(node: &Node, (boot_id, sent_at): (u32, Millis), summary: &Summary) -> bool {
     let now = node.now();
     let entry = &summary.sender.entry;
--- a/crates/gateway/src/node/rollout_controller.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -1,6 +1,6 @@
 //! Decides the stages of rollouts while this node holds the duty lease.
 //!
-//! Each decision is first written to the node's own table, conditional on the version of the row so
+//! Each decision is first written to an internal table, conditional on the version of the row so
 //! that a concurrent holder's write is not overwritten, and then published to the operator and to
 //! all nodes. If a holder stops halfway, the next one continues from the row: it counts responses
 //! anew from the nodes' reports, and never revokes a verdict. Only a rollback is announced to the
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -438,10 +438,10 @@
 
 /// Creates the memory budget. The memory level at which clients should use other nodes is
 /// randomized for each run of a node.
-fn make_memory_budget(settings: &Settings, run: u64) -> MemoryBudget {
+fn make_memory_budget(settings: &Settings, seed: u64) -> MemoryBudget {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
-    let draw = fastrand::Rng::with_seed(run).f64();
-    MemoryBudget::new((bytes * BUFFER_MEMORY_FRACTION) as u64, bytes as u64, draw)
+    let random = fastrand::Rng::with_seed(seed).f64();
+    MemoryBudget::new((bytes * BUFFER_MEMORY_FRACTION) as u64, bytes as u64, random)
 }
 
 fn get_entry(settings: &Settings) -> Entry {
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -73,8 +73,8 @@
 /// Returns `true` if a node without a configuration must read it again.
 fn is_read_due(node: &Node, now: Millis, read_at: Option<Millis>) -> bool {
     let is_alone = node.with(|state| state.members.get_reachability(now).heard <= 1);
-    let pause = if is_alone { ISOLATED_READ_INTERVAL_MS } else { UNCONFIGURED_READ_INTERVAL_MS };
-    read_at.is_none_or(|at| now >= at + pause)
+    let interval = if is_alone { ISOLATED_READ_INTERVAL_MS } else { UNCONFIGURED_READ_INTERVAL_MS };
+    read_at.is_none_or(|at| now >= at + interval)
 }
 
 /// Follows the configuration while this node is a reader.
@@ -113,12 +113,12 @@
             Ok(()) => {
                 back_off.reset();
                 let is_grouped = node.with(|state| state.members.is_grouped());
-                let part = if is_grouped {
+                let fraction = if is_grouped {
                     GROUPED_CONFIRM_INTERVAL_FRACTION
                 } else {
                     CONFIRM_INTERVAL_FRACTION
                 };
-                let period = fraction_of(node.settings.bounds.config_apply_ms, part);
+                let period = fraction_of(node.settings.bounds.config_apply_ms, fraction);
                 runtime::sleep(jitter(period.min(bound))).await;
             }
             Err(error) => {
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -58,8 +58,8 @@
     is_wanted: fn(&Node) -> bool,
 }
 
-fn fraction_of(bound: Millis, part: f64) -> Duration {
-    Duration::from_millis(bound).mul_f64(part)
+fn fraction_of(bound: Millis, fraction: f64) -> Duration {
+    Duration::from_millis(bound).mul_f64(fraction)
 }
 
 /// Follows a table's changes while the watch is wanted, until a call fails. `take` receives the
