--- a/crates/gateway/src/exchange/pick/crossing.rs
+++ b/crates/gateway/src/exchange/pick/crossing.rs
@@ -104,12 +104,12 @@
             if !ready.any(is_there) {
                 return Gate::Closed;
             }
-            let is_silent = state.region_links.is_unresponsive(now, region);
+            let is_silent = state.link_budgets.is_unresponsive(now, region);
             let way = RemotePath {
                 waited: now - self.attempts.began,
                 left: self.exchange.get_left(now),
                 round_trip: state.round_trips.get_round_trip(region),
-                transfer: state.region_links.get_transfer_time(self.exchange.body_bytes),
+                transfer: state.link_budgets.get_transfer_time(self.exchange.body_bytes),
                 is_load_requested: self.near.is_load_requested && !is_silent,
             };
             let is_lost = is_silent && self.cause == Cause::Full;
@@ -117,7 +117,7 @@
                 return Gate::Closed;
             }
             let nodes = state.members.count_own_region();
-            match state.region_links.check(now, region, nodes) {
+            match state.link_budgets.check(now, region, nodes) {
                 Ok(()) => Gate::Open(way),
                 Err(wait) => Gate::LinkFull(wait),
             }
--- a/crates/gateway/src/node/cross_region.rs
+++ b/crates/gateway/src/node/cross_region.rs
@@ -28,7 +28,7 @@
             return;
         }
         let region = get_region(&self.topology, data_centre);
-        self.with(|state| state.region_links.count(self.now(), region, sent + received));
+        self.with(|state| state.link_budgets.count(self.now(), region, sent + received));
         let labels = RegionLabels::new(region);
         self.metrics.region_bytes_sent.get_or_create(&labels).inc_by(sent as u64);
         self.metrics.region_bytes_received.get_or_create(&labels).inc_by(received as u64);
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -184,7 +184,7 @@
     /// Round-trip times to other regions.
     pub round_trips: RoundTrips,
     /// The bandwidth budgets of the links to other regions.
-    pub region_links: LinkBudgets,
+    pub link_budgets: LinkBudgets,
     /// State of the summaries that this node sends to other regions.
     pub(super) summary_relay: RelayState,
     /// The budget of the memory that buffers data of clients and servers.
@@ -293,7 +293,7 @@
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
             round_trips: RoundTrips::default(),
-            region_links: LinkBudgets::new(settings.regions.spill_mbps),
+            link_budgets: LinkBudgets::new(settings.regions.spill_mbps),
             summary_relay: RelayState::new(settings.regions.control_kbps),
             memory: make_memory_budget(&settings, incarnation.number),
             report_target: ReportTarget::default(),
