--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -52,7 +52,7 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.notify_peers(Notification::LimitSeen(sighting));
+        node.notify_peers(Notification::LimitObserved(sighting));
     }
     if departs {
         node.notify_peers(Notification::ServerLeaving(departure));
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -240,7 +240,7 @@
     /// The owner of a service has decided whether a request crashes servers.
     RequestJudged(Verdict),
     /// A server has set or lifted its limit.
-    LimitSeen(Observation),
+    LimitObserved(Observation),
     /// A server announced in a response that it leaves.
     ServerLeaving(Departure),
     /// A usage window was frozen and is about to be reported.
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -91,7 +91,7 @@
                 forward(node, from, notification).await;
             }
         }
-        Notification::LimitSeen(observation) => {
+        Notification::LimitObserved(observation) => {
             if permits::apply_observation(node, &observation) {
                 forward(node, from, notification).await;
             }
