--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -1,53 +1,53 @@
-//! What a node admits by itself where no owner of the client account decides.
+//! What a node admits by itself if no owner of the client account decides.
 //!
-//! Each node gets a share of the account's rate, in proportion to what the account requests of it; the shares
-//! sum up to the whole.
+//! Each node gets a share of the account's rate in proportion to the units that the account
+//! requests from it. The shares add up to the whole rate.
 
 use super::decision::get_wait;
 use super::limit::{Limit, Reachability};
 use super::report::Source;
-use super::{LEAST_LEFT, NEW_FOR, Quotas, get_raised_part};
+use super::{MIN_AVAILABLE, NEW_NODE_PERIOD, Quotas, get_raised_fraction};
 use crate::Millis;
 use crate::bucket::Bucket;
 
-/// The part of the local share that is admitted, less what pays back what was admitted beyond the
-/// limit.
-const SHARE_ADMITTED: f64 = 1.0;
-/// How much less of the share is admitted for each burst that was admitted beyond the limit.
-const PAY_BACK_PART: f64 = 0.15;
-/// The least part of the local share that is admitted while paying back.
-const LEAST_SHARE_ADMITTED: f64 = 0.5;
-/// The part of the tolerated slack that nodes may admit in advance at the start of their local
-/// shares, over all nodes.
-const ADVANCE_PART: f64 = 0.3;
-/// What a node may admit of a client account by itself, at one moment.
-struct Share {
-    /// Units a second.
+/// The fraction of the local share that is admitted, before the reduction that pays back units
+/// admitted over the limit.
+const ADMITTED_FRACTION: f64 = 1.0;
+/// The reduction of that fraction for each burst that was admitted over the limit.
+const PAY_BACK_FRACTION: f64 = 0.15;
+/// The smallest fraction of the local share that is admitted during pay-back.
+const MIN_ADMITTED_FRACTION: f64 = 0.5;
+/// The fraction of the tolerated slack that all nodes together may admit in advance when their
+/// local shares start.
+const ADVANCE_FRACTION: f64 = 0.3;
+/// What a node may admit for a client account by itself at a moment.
+struct LocalShare {
+    /// Units per second.
     rate: f64,
     /// Units that the node may admit in advance.
     advance: f64,
-    /// The largest request that the whole account bears: the units that are left of its bucket, and those by
-    /// which it may fall below zero.
-    room: f64,
-    /// Units a second of the whole account that stand for the nodes that are heard.
+    /// The largest request that the bucket of the whole account can absorb: its available units
+    /// plus the units by which it may fall below zero.
+    max_request: f64,
+    /// Units per second of the whole account that belong to the nodes that are heard.
     whole_rate: f64,
 }
 
 impl Quotas {
-    /// Takes note that the owner of a client account decides about its requests: nothing of the
-    /// local share is saved up meanwhile.
+    /// Discards the units saved up in the local share, because the owner of the client account
+    /// decides about its requests.
     pub fn discard_local_share_savings(&mut self, now: Millis, account: &str) {
         if let Some(bucket) = self.local_share.get_mut(account) {
-            // What was admitted in advance is paid back as before.
+            // Units admitted in advance are still paid back.
             bucket.stop_saving(now);
         }
     }
 
-    /// Consumes units of this node's local share, where no owner decided.
+    /// Consumes units of this node's local share if no owner decided.
     ///
     /// # Errors
     ///
-    /// Returns the milliseconds after which there is something left of the share.
+    /// Returns the time in milliseconds after which units of the share are available.
     pub fn consume_local_share(
         &mut self,
         now: Millis,
@@ -56,26 +56,26 @@
         limit: Limit,
         reach: Reachability,
     ) -> Result<(), Millis> {
-        let limit = self.tolerance.raise(limit, get_raised_part(reach));
+        let limit = self.tolerance.raise(limit, get_raised_fraction(reach));
         let rate = limit.rate_per_second * reach.get_fraction();
         let left = self.refill_whole(now, account, limit, reach);
         if reach.known == 1 {
-            return Err(get_wait(LEAST_LEFT - left, rate));
+            return Err(get_wait(MIN_AVAILABLE - left, rate));
         }
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
-        let low = self.get_low(now, account, limit.get_capacity(), reach);
-        if !is_overdue && left >= units as f64 + low {
-            // A large request that the bucket holds, and whose owner was not reached.
+        let low_water = self.get_low_water(now, account, limit.get_capacity(), reach);
+        if !is_overdue && left >= units as f64 + low_water {
+            // The bucket holds this large request, but the owner could not be reached.
             self.admit(account, units);
             return Ok(());
         }
         let share = self.compute_share(now, account, left, limit, reach);
-        self.take_from_share(now, account, units, &share)?;
+        self.consume_share(now, account, units, &share)?;
         self.admit(account, units);
         Ok(())
     }
 
-    /// Computes the share of a client account of whose bucket `left` units are left.
+    /// Computes this node's share of a client account whose bucket holds `left` units.
     fn compute_share(
         &self,
         now: Millis,
@@ -83,69 +83,73 @@
         left: f64,
         limit: Limit,
         reach: Reachability,
-    ) -> Share {
+    ) -> LocalShare {
         let whole_rate = limit.rate_per_second * reach.get_fraction();
-        let beyond = (-left / limit.get_capacity()).max(0.0);
-        let admitted = (SHARE_ADMITTED - PAY_BACK_PART * beyond).max(LEAST_SHARE_ADMITTED);
-        Share {
+        let excess_bursts = (-left / limit.get_capacity()).max(0.0);
+        let admitted =
+            (ADMITTED_FRACTION - PAY_BACK_FRACTION * excess_bursts).max(MIN_ADMITTED_FRACTION);
+        LocalShare {
             rate: admitted * whole_rate * self.get_share(now, account, reach),
-            advance: self.tolerance.slack * ADVANCE_PART / reach.known as f64,
-            room: left + self.get_headroom(now, limit, reach),
+            advance: self.tolerance.slack * ADVANCE_FRACTION / reach.known as f64,
+            max_request: left + self.get_headroom(now, limit, reach),
             whole_rate,
         }
     }
 
     /// Takes units from the bucket of the share.
-    fn take_from_share(
+    fn consume_share(
         &mut self,
         now: Millis,
         account: &str,
         units: u64,
-        share: &Share,
+        share: &LocalShare,
     ) -> Result<(), Millis> {
         let units = units as f64;
-        // The first request pays in advance: of many nodes, each would admit one too many
-        // otherwise.
+        // The first request is paid for in advance; otherwise each of many nodes would admit one
+        // request too many.
         let debt = (units - share.advance).max(0.0);
         let bucket = self.local_share.entry(account.to_owned());
         let bucket = bucket.or_insert(Bucket::new(now, -debt));
-        bucket.set(now, share.rate, share.rate.max(LEAST_LEFT));
-        if bucket.available < LEAST_LEFT {
-            return Err(get_wait(LEAST_LEFT - bucket.available, share.rate));
+        bucket.set(now, share.rate, share.rate.max(MIN_AVAILABLE));
+        if bucket.available < MIN_AVAILABLE {
+            return Err(get_wait(MIN_AVAILABLE - bucket.available, share.rate));
         }
-        // Each of many nodes would admit one large request in advance otherwise, and pay it back long
-        // after the window: 42 nodes of an account of 36,000 units a second admitted 530,800 units in
-        // eight seconds, of 496,400 tolerated.
+        // Otherwise each of many nodes would admit one large request in advance and pay it back
+        // long after the window: 42 nodes with an account of 36,000 units per second admitted
+        // 530,800 units in eight seconds, of 496,400 tolerated.
         let is_saved_up = units <= bucket.available + share.advance;
-        if !is_saved_up && units > share.room {
-            return Err(get_wait(units - share.room, share.whole_rate));
+        if !is_saved_up && units > share.max_request {
+            return Err(get_wait(units - share.max_request, share.whole_rate));
         }
         bucket.available -= units;
         Ok(())
     }
 
-    /// Returns this node's share of what the client account requests of all nodes that are heard.
+    /// Returns this node's share of the units that the client account requests from all heard
+    /// nodes.
     ///
-    /// While this node is new its peers may be too, and may not have reported yet what is requested
-    /// of them: an even share is no node's loss then.
+    /// While this node is new, its peers may be new too and may not have reported requests yet.
+    /// Equal shares put no node at a disadvantage then.
     fn get_share(&self, now: Millis, account: &str, reach: Reachability) -> f64 {
         let own = self.get_own_requested(now, account);
-        let is_new = now < self.started_at + NEW_FOR;
+        let is_new = now < self.started_at + NEW_NODE_PERIOD;
         if own <= 0.0 || is_new {
             return 1.0 / reach.heard.max(1) as f64;
         }
-        own / (own + self.get_others_requested(now, account))
+        own / (own + self.get_other_requested(now, account))
     }
 
-    /// Returns what the client account requests of this node, in units a millisecond, as of the time of
-    /// what is known of the others.
+    /// Returns the units per millisecond that the client account requests from this node, as of the
+    /// time of the data about the other nodes.
     ///
-    /// An aggregator's report is some hundred milliseconds old, and older once the aggregator falls silent.
-    /// Where an account begins to send much, the newest figure of this node beside an old one of the
-    /// others is a share many times too large: 7 nodes of 42 took 0.13 to 0.57 of the rate each.
+    /// A report from an aggregator is some hundred milliseconds old, and older once the aggregator
+    /// falls silent. When an account starts to send a lot, a current figure for this node next to
+    /// an old one for the others gives a share that is many times too large: 7 nodes of 42 took
+    /// 0.13 to 0.57 of the rate each.
     fn get_own_requested(&self, now: Millis, account: &str) -> f64 {
-        let has_aggregator = self.peers.keys().any(|(source, _, _)| *source == Source::Aggregator);
-        match has_aggregator {
+        let is_reporting_to_aggregator =
+            self.peers.keys().any(|(source, _, _)| *source == Source::Aggregator);
+        match is_reporting_to_aggregator {
             true => self.own_at_aggregator.get(account).copied().unwrap_or(0.0),
             false => self.own_rates.get_requested(now, account, Source::Peer),
         }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -1,23 +1,22 @@
-//! Whether a client account is within its limit over all nodes.
+//! Distributed rate limiting: whether a client account is within its limit over all nodes.
 //!
-//! Each node keeps the bucket of the whole client account. It subtracts what it admits at once, and
-//! what its peers admit when they report it, some times a second; between two reports a peer is
-//! assumed to go on at its last rate. While the bucket is well filled, every node admits by itself.
-//! Once it is low, reports are too old to decide by: one node, the account's owner, then decides for
-//! all others (see [`Decision`]). A node that gets no decision from it admits its local share of
-//! the rate, in proportion to what the client account requests of it; the shares sum up to the
-//! whole.
+//! Each node keeps a bucket for the whole client account. It subtracts the units that it admits at
+//! once, and the units that its peers admit when they report them, several times per second.
+//! Between two reports, a peer is assumed to continue at its last rate. While the bucket is above
+//! its low-water mark, every node admits requests by itself. Below the mark, reports are too old
+//! for that, and one node, the owner of the account, decides for all others (see [`Decision`]). A
+//! node that gets no decision from the owner admits its local share of the rate, in proportion to
+//! the units that the client account requests from it. The shares add up to the whole rate.
 //!
-//! A fraction of the rate is reserved for each node that was not heard lately, which may be cut off
-//! and serving: the nodes together never exceed the whole.
+//! A fraction of the rate is reserved for each node that was not heard recently, because it may be
+//! partitioned and still serve. All nodes together never exceed the whole rate.
 //!
-//! In groups (see [`super::members`]) an aggregator adds up the units of its group, exchanges the
-//! sums with other aggregators, and reports to each node of its group what all others use.
+//! In groups (see [`super::members`]), an aggregator sums the usage of its group, exchanges the
+//! sums with other aggregators, and reports the usage of all other nodes to each node of its group.
 //!
-//! A node that starts does not know what was admitted before. It takes the level from a peer that
-//! has run for longer. Where no peer has, all nodes may have started again, and the burst may be
-//! spent: they then begin with a part of what the operator tolerates beyond the limit, once over all
-//! nodes.
+//! A node that starts does not know what was admitted before. It takes over the level from a peer
+//! that has run for longer. If no such peer exists, all nodes may have restarted and the burst may
+//! be spent. They then start with a part of the tolerated excess, shared by all nodes.
 
 mod decision;
 mod limit;
@@ -34,65 +33,78 @@
 use crate::Millis;
 use crate::bucket::Bucket;
 
-/// What must be left for a request to be admitted, in units.
-const LEAST_LEFT: f64 = 1.0;
-/// Periods between reports in which use is unreported: a report may be lost, and takes its time.
+/// The units that must be available for a request to be admitted.
+const MIN_AVAILABLE: f64 = 1.0;
+/// Report periods for which usage is assumed to be unreported: a report takes time and may be lost.
 const UNREPORTED_PERIODS: f64 = 1.5;
-/// The largest fraction of the burst that counts as low: below, each node admits its local share of
-/// the rate only.
-const LOW_FRACTION: f64 = 0.4;
-/// A node that started less than this ago did not see what others admitted before: the burst may be
-/// spent, also where all nodes started again.
-const NEW_FOR: Millis = 3_000;
-/// The part of the tolerance by which the limit is raised: nodes that share a limit do not admit
-/// just the requests that one bucket would, and none of those that are within it should be refused.
-const RAISED_PART: f64 = 0.5;
-/// The same where nodes report in groups: all of the tolerance is for what nodes admit before reports
-/// arrive, and while aggregators are away (property test `groups`: 0.25 exceeded it by 1.3 in 100
-/// where two of three aggregators ended within a second).
-const RAISED_PART_GROUPED: f64 = 0.0;
-/// The age of the last report of a group at which it is overdue: after some periods, until it has
-/// been charged for and is counted as out of reach for long.
-const OVERDUE: std::ops::Range<Millis> = 700..5_000;
-/// The age at which it is overdue where reports take longer, in sixths of the time that they take to
-/// reach all nodes. Groups of one region take 600 ms: that is the same 700 ms.
-const OVERDUE_SIXTHS: u64 = 7;
-/// How long a node admits only its share after a report that a region is overdue, in milliseconds.
-/// Each report repeats that, and some reports get lost.
-const REGION_OVERDUE_FOR: Millis = 700;
-/// The parts of the tolerated overshoot and slack with which nodes begin that all started again. The
-/// rest covers what they admit before their reports arrive, and further starts of all within a
-/// window: the slack of a small client account is several seconds of its rate.
-const FRESH_OVERSHOOT_PART: f64 = 0.7;
-const FRESH_SLACK_PART: f64 = 0.35;
-
-/// The use of all client accounts, as one node knows it.
+/// The highest low-water mark, as a fraction of the burst. Below the mark, a node admits only its
+/// local share of the rate.
+const MAX_LOW_WATER_FRACTION: f64 = 0.4;
+/// How long a node counts as new.
+///
+/// A new node has not seen what others admitted before, so the burst may be spent, also if all
+/// nodes restarted.
+const NEW_NODE_PERIOD: Millis = 3_000;
+/// The fraction of the tolerated excess by which the limit is raised.
+///
+/// Nodes that share a limit do not admit exactly the requests that a single bucket would, and no
+/// request within the limit should be refused.
+const RAISED_FRACTION: f64 = 0.5;
+/// The same fraction if nodes report in groups.
+///
+/// The whole tolerated excess is needed for what nodes admit before reports arrive and while
+/// aggregators are missing: with 0.25, the property test `groups` exceeded it in 1.3 of 100 cases,
+/// where two of three aggregators stopped within a second.
+const RAISED_FRACTION_GROUPED: f64 = 0.0;
+/// The age range in which the last report of a group is overdue.
+///
+/// It starts after some report periods, and ends when the group has been charged for and has long
+/// counted as out of reach.
+const OVERDUE_AGES: std::ops::Range<Millis> = 700..5_000;
+/// The age from which a report is overdue, in sixths of the report delay, if that is longer.
+///
+/// Groups of one region have a report delay of 600 ms, which gives the same 700 ms.
+const OVERDUE_DELAY_SIXTHS: u64 = 7;
+/// How long a node admits only its share after a report that a region is overdue.
+///
+/// Each report repeats the notice, and some reports get lost.
+const REGION_OVERDUE_PERIOD: Millis = 700;
+/// The fractions of the tolerated overshoot and slack that nodes start with if all of them
+/// restarted.
+///
+/// The rest covers what they admit before their reports arrive, and further restarts of all nodes
+/// within a window: the slack of a small client account is several seconds of its rate.
+const RESTART_OVERSHOOT_FRACTION: f64 = 0.7;
+const RESTART_SLACK_FRACTION: f64 = 0.35;
+
+/// The usage of all client accounts, as one node knows it.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     started_at: Millis,
     tolerance: Tolerance,
     whole: BTreeMap<String, Bucket>,
     local_share: BTreeMap<String, Bucket>,
-    /// Until when units are booked for refused callers, by client account.
+    /// The time up to which units are booked for refused callers, by client account.
     booked_until: BTreeMap<String, f64>,
     own: Report,
-    /// When this node began to count its own units from none.
+    /// When this node last reset its own counters.
     counted_since: Millis,
     own_rates: Rates,
-    /// Units that this node was requested for a millisecond as of its aggregator's last report, by client
-    /// account.
+    /// Units per millisecond requested from this node, as of the last report of its aggregator, by
+    /// client account.
     own_at_aggregator: BTreeMap<String, f64>,
     peers: BTreeMap<(Source, String, u64), Rates>,
-    /// Units that the nodes of this node's group were heard to admit, by client account.
+    /// Units that the nodes of this node's group reported as admitted, by client account.
     group: BTreeMap<String, i64>,
-    /// Units that other nodes were heard to admit, for themselves and their groups.
+    /// Units that other nodes reported as admitted, for themselves and their groups, by client
+    /// account.
     others: BTreeMap<String, i64>,
-    /// Until when nothing is known of what a whole region uses.
+    /// The time up to which the usage of a whole region is unknown.
     region_overdue_until: Millis,
 }
 
 impl Quotas {
-    /// Makes the quotas of a node that starts now, and does not know what others admitted before.
+    /// Creates the quotas of a node that starts now and does not know what others admitted before.
     pub fn new(now: Millis, tolerance: Tolerance) -> Self {
         Self {
             started_at: now,
@@ -111,14 +123,14 @@
         }
     }
 
-    /// Notes that nothing came from a whole region for some periods, as this node or its aggregator
-    /// finds.
+    /// Notes that this node or its aggregator has received nothing from a whole region for several
+    /// report periods.
     ///
-    /// The nodes there then use units that no report names. Until all nodes count them as out of
-    /// reach, a node admits only its share of the rate, and takes over the level that its aggregator
-    /// estimates.
+    /// The nodes of that region then use units that no report contains. Until all nodes count them
+    /// as out of reach, this node admits only its share of the rate, and takes over the level that
+    /// its aggregator estimates.
     pub fn note_overdue_region(&mut self, now: Millis) {
-        self.region_overdue_until = now + REGION_OVERDUE_FOR;
+        self.region_overdue_until = now + REGION_OVERDUE_PERIOD;
     }
 
     /// Refunds the units of a request that did not run.
@@ -131,16 +143,16 @@
         }
     }
 
-    /// Keeps the bucket of a client account also where none of its requests came to this node, so
-    /// that its level can be reported to others.
+    /// Creates the bucket of a client account even if this node received none of its requests, so
+    /// that the node can report the level to others.
     pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reachability) {
         if limit.rate_per_second > 0.0 && !self.whole.contains_key(account) {
-            let limit = self.tolerance.raise(limit, get_raised_part(reach));
+            let limit = self.tolerance.raise(limit, get_raised_fraction(reach));
             self.refill_whole(now, account, limit, reach);
         }
     }
 
-    /// Returns this node's own report, and notes how fast its figures grew.
+    /// Returns this node's own report and updates its rates.
     pub fn report(&mut self, now: Millis) -> Report {
         self.own.age = now.saturating_sub(self.started_at);
         self.own.counted_for = now.saturating_sub(self.counted_since);
@@ -155,7 +167,7 @@
         self.own.clone()
     }
 
-    /// Adds what this node's group uses to its own report.
+    /// Adds the usage of this node's group to its own report.
     pub fn add_group_usage(&mut self, now: Millis, own: &Report) -> Report {
         let group = std::mem::take(&mut self.group);
         let report = self.add_sums(now, own, Source::Member, &group);
@@ -163,7 +175,7 @@
         report
     }
 
-    /// Adds what all others use to the report of this node's group.
+    /// Adds the usage of all other nodes to the report of this node's group.
     pub fn add_other_usage(&mut self, now: Millis, group: &Report) -> Report {
         let others = std::mem::take(&mut self.others);
         let report = self.add_sums(now, group, Source::Peer, &others);
@@ -198,12 +210,12 @@
         sum
     }
 
-    /// Stops to report units that have arrived where this node reported until now.
+    /// Stops reporting units that have arrived at the former recipient of this node's reports.
     pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, AccountUsage>) {
         self.counted_since = now;
-        // What the group used has been reported too; its nodes count anew.
+        // The usage of the group has been reported too; its nodes count from zero.
         self.group.clear();
-        self.own_rates.take_off(arrived);
+        self.own_rates.subtract(arrived);
         for (account, arrived) in arrived {
             if let Some(own) = self.own.accounts.get_mut(account) {
                 own.requested = own.requested.saturating_sub(arrived.requested);
@@ -212,8 +224,9 @@
         }
     }
 
-    /// Merges what this node's aggregator reports of all nodes, this one included, as of the time
-    /// at which `arrived` were this node's own units there.
+    /// Merges the report of this node's aggregator on all nodes, this one included.
+    ///
+    /// `arrived` holds this node's own units at the aggregator at the time of the report.
     pub fn merge_total(
         &mut self,
         now: Millis,
@@ -241,7 +254,7 @@
         }
     }
 
-    /// Takes over what this node's aggregator knows to be left, where that is less.
+    /// Lowers the levels of the buckets to those that this node's aggregator reports.
     fn lower_levels(&mut self, now: Millis, total: &Report) {
         for (account, units) in &total.accounts {
             let (Some(bucket), Some(level)) = (self.whole.get_mut(account), units.level) else {
@@ -268,18 +281,18 @@
             rates.is_older = report.age > own_age;
             rates.started_at = now.saturating_sub(report.age);
         }
-        // What was admitted long ago must not look like use of now.
+        // Units admitted long ago must not look like current usage.
         let is_counted_elsewhere = match source {
             Source::Aggregator => true,
-            _ if own_age < NEW_FOR => rates.is_older,
-            _ => report.counted_for > NEW_FOR,
+            _ if own_age < NEW_NODE_PERIOD => rates.is_older,
+            _ => report.counted_for > NEW_NODE_PERIOD,
         };
         let takes_level = is_first && is_counted_elsewhere;
         let newly_admitted = rates.update(now, report);
         refund_all(&mut self.whole, charged);
         for (account, admitted) in newly_admitted {
             if takes_level {
-                self.take_level(now, source, &account, report);
+                self.lower_level(now, source, &account, report);
                 continue;
             }
             let sums = match source {
@@ -297,8 +310,10 @@
         }
     }
 
-    /// Forgets the aggregators that this node reported to before. What others used since their last
-    /// reports is charged by estimate: the next aggregator may know less, where it has just started.
+    /// Forgets the aggregators that this node reported to before.
+    ///
+    /// The usage of others since their last reports is charged by estimate, because the next
+    /// aggregator may know less if it has just started.
     fn forget_aggregators(&mut self, now: Millis) {
         let whole = &mut self.whole;
         self.peers.retain(|(source, _, _), rates| {
@@ -312,29 +327,30 @@
         });
     }
 
-    /// Takes over what a peer knows to be left of a client account's bucket, where that is less
-    /// than this node knows.
-    fn take_level(&mut self, now: Millis, source: Source, account: &str, report: &Report) {
+    /// Lowers the level of a client account's bucket to the one that a peer reports.
+    fn lower_level(&mut self, now: Millis, source: Source, account: &str, report: &Report) {
         let level = report.accounts.get(account).and_then(|units| units.level);
         let (Some(bucket), Some(level)) = (self.whole.get_mut(account), level) else { return };
         bucket.refill(now);
-        // A peer that this node has just met has not counted yet what this node admitted.
-        let is_new = now.saturating_sub(self.started_at) < NEW_FOR;
+        // A peer that this node has just met has not counted this node's admitted units yet.
+        let is_new = now.saturating_sub(self.started_at) < NEW_NODE_PERIOD;
         let own = self.own.accounts.get(account).map_or(0, |own| own.admitted);
         let uncounted = if is_new && source != Source::Aggregator { own } else { 0 };
         let level = level as f64 - uncounted as f64 - bucket.reserved;
         bucket.available = bucket.available.min(level);
     }
 
-    /// Returns what is left of a client account's bucket, as this node knows it: below 0 where more
-    /// was admitted than the limit allows; `None` before its first request.
+    /// Returns the units available in a client account's bucket, as this node knows it.
+    ///
+    /// The value is negative if more was admitted than the limit allows. Returns `None` before the
+    /// first request of the account.
     pub fn get_left(&self, now: Millis, account: &str) -> Option<f64> {
         let mut bucket = *self.whole.get(account)?;
         bucket.refill(now);
         Some(bucket.available)
     }
 
-    /// Forgets an incarnation of a peer that is gone.
+    /// Forgets an incarnation of a peer that has left.
     pub fn forget(&mut self, peer: &str, incarnation: u64) {
         for source in [Source::Peer, Source::Member, Source::Aggregator] {
             self.peers.remove(&(source, peer.to_owned(), incarnation));
@@ -348,7 +364,7 @@
         self.own.accounts.entry(account.to_owned()).or_default().admitted += units as i64;
     }
 
-    /// Refills the whole client account's bucket and returns what is left of it by now.
+    /// Refills the bucket of the whole client account and returns the units available now.
     fn refill_whole(
         &mut self,
         now: Millis,
@@ -366,12 +382,12 @@
                 unreported += peer.estimate_unreported(now, account);
                 continue;
             }
-            // An aggregator that falls silent reported for many nodes. What they go on to use must
-            // not look like units that are left.
+            // A silent aggregator reported for many nodes. Their continuing usage must not look
+            // like available units.
             unreported += peer.estimate_unreported_of_group(now, account);
             charged += peer.charge_unreported(now, account);
         }
-        let reserved = self.get_fresh(limit) * (1.0 - fraction);
+        let reserved = self.get_restart_units(limit) * (1.0 - fraction);
         if !self.whole.contains_key(account) {
             let bucket = self.make_bucket(now, account, limit, reserved);
             self.whole.insert(account.to_owned(), bucket);
@@ -386,67 +402,69 @@
         bucket.available - unreported
     }
 
-    /// Returns the units with which all nodes together begin where all of them started again.
-    fn get_fresh(&self, limit: Limit) -> f64 {
+    /// Returns the units that all nodes together start with if all of them restarted.
+    fn get_restart_units(&self, limit: Limit) -> f64 {
         let overshoot = self.tolerance.get_excess(limit) - self.tolerance.slack;
-        let fresh = overshoot * FRESH_OVERSHOOT_PART + self.tolerance.slack * FRESH_SLACK_PART;
-        fresh.min(limit.get_capacity())
+        let restart_units =
+            overshoot * RESTART_OVERSHOOT_FRACTION + self.tolerance.slack * RESTART_SLACK_FRACTION;
+        restart_units.min(limit.get_capacity())
     }
 
-    /// Makes the bucket of a client account that was not requested of this node before.
+    /// Creates the bucket of a client account that has not sent a request to this node before.
     fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> Bucket {
-        if now >= self.started_at + NEW_FOR {
+        if now >= self.started_at + NEW_NODE_PERIOD {
             return Bucket::new(now, limit.get_capacity());
         }
-        let fresh = self.get_fresh(limit);
+        let restart_units = self.get_restart_units(limit);
         let reports = |is_older: bool| {
             let peers = self.peers.values().filter(move |peer| peer.is_older == is_older);
             peers.filter_map(|peer| peer.get_last(account))
         };
         let level = match reports(true).filter_map(|last| last.level).min() {
-            Some(level) => fresh.min(level as f64),
-            None => fresh - reports(false).map(|last| last.admitted as f64).sum::<f64>(),
+            Some(level) => restart_units.min(level as f64),
+            None => restart_units - reports(false).map(|last| last.admitted as f64).sum::<f64>(),
         };
         Bucket::new(now, level - reserved).reserve(reserved)
     }
 
-    /// Returns `true` if a report for many nodes did not come in time: what is left is then known too
-    /// badly to admit more than a share of the rate.
+    /// Returns `true` if a report for many nodes is overdue: the available units are then too
+    /// uncertain to admit more than a share of the rate.
     ///
-    /// Reports that cross between regions may come less often.
+    /// Reports between regions may be less frequent.
     fn is_any_overdue(&self, now: Millis, reach: Reachability) -> bool {
-        let overdue = OVERDUE.start.max(reach.report_delay * OVERDUE_SIXTHS / 6)..OVERDUE.end;
+        let overdue =
+            OVERDUE_AGES.start.max(reach.report_delay * OVERDUE_DELAY_SIXTHS / 6)..OVERDUE_AGES.end;
         let groups = self.peers.iter().filter(|((source, _, _), _)| *source != Source::Member);
         let mut ages = groups.map(|(_, rates)| now.saturating_sub(rates.reported_at));
         now < self.region_overdue_until || ages.any(|age| overdue.contains(&age))
     }
 
-    /// Returns the level that counts as low: what the client account may use before peers report
-    /// it.
-    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reachability) -> f64 {
+    /// Returns the low-water mark: the units that the client account may use before peers report
+    /// them.
+    fn get_low_water(&self, now: Millis, account: &str, capacity: f64, reach: Reachability) -> f64 {
         if reach.known == 1 {
-            return LEAST_LEFT;
+            return MIN_AVAILABLE;
         }
         let unreported =
             self.get_all_requested(now, account) * reach.report_delay as f64 * UNREPORTED_PERIODS;
-        unreported.clamp(LEAST_LEFT, (capacity * LOW_FRACTION).max(LEAST_LEFT))
+        unreported.clamp(MIN_AVAILABLE, (capacity * MAX_LOW_WATER_FRACTION).max(MIN_AVAILABLE))
     }
 
-    /// Returns what the client account requests of all nodes that are heard, in units a
-    /// millisecond.
+    /// Returns the units per millisecond that the client account requests from all heard nodes.
     fn get_all_requested(&self, now: Millis, account: &str) -> f64 {
         let own = self.own_rates.get_requested(now, account, Source::Peer);
-        own + self.get_others_requested(now, account)
+        own + self.get_other_requested(now, account)
     }
 
-    /// Returns what the client account requests of all other nodes that are heard, in units a millisecond.
-    fn get_others_requested(&self, now: Millis, account: &str) -> f64 {
+    /// Returns the units per millisecond that the client account requests from all other heard
+    /// nodes.
+    fn get_other_requested(&self, now: Millis, account: &str) -> f64 {
         let peers = self.peers.iter();
         peers.map(|((source, _, _), rates)| rates.get_requested(now, account, *source)).sum()
     }
 
-    /// Returns `true` if this node, or one that it hears, has run for a whole window: some node then
-    /// knows what all of them used in it.
+    /// Returns `true` if this node or one that it hears has run for a whole window: that node knows
+    /// the usage of all nodes in the window.
     fn is_window_known(&self, now: Millis) -> bool {
         let length = self.tolerance.get_window();
         let started = self.peers.values().map(|peer| peer.started_at).min();
@@ -454,15 +472,15 @@
     }
 }
 
-fn get_raised_part(reach: Reachability) -> f64 {
-    if reach.is_grouped { RAISED_PART_GROUPED } else { RAISED_PART }
+fn get_raised_fraction(reach: Reachability) -> f64 {
+    if reach.is_grouped { RAISED_FRACTION_GROUPED } else { RAISED_FRACTION }
 }
 
-/// Charges what others admitted.
+/// Charges units that others admitted.
 ///
-/// Nodes that were out of reach used a part of the rate that did not refill this bucket meanwhile.
-/// What they report of a long time may be many times the burst. The debt is therefore bounded by the
-/// burst and the tolerated excess.
+/// Nodes that were out of reach used a fraction of the rate with which this bucket was not
+/// refilled. Their report for a long time may be many times the burst, so the debt is limited to
+/// the burst and the tolerated excess.
 fn charge(tolerance: Tolerance, bucket: &mut Bucket, admitted: i64) {
     let admitted = admitted as f64;
     let Some((rate, capacity)) = bucket.get_limits() else {
