--- a/crates/core/src/serving/members/entry.rs
+++ b/crates/core/src/serving/members/entry.rs
@@ -1,18 +1,18 @@
-//! What a node says of itself to the others.
+//! The description of a node.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// What a node says of itself, in the table of nodes and in messages.
+/// The description of a node, as stored in the table of nodes and sent in messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The node's name, the same at each start.
+    /// The name of the node, which stays the same across restarts.
     pub name: String,
-    /// Where it listens for other nodes.
+    /// The address at which it listens for other nodes.
     pub address: SocketAddr,
-    /// The data centre that it stands in.
+    /// Its data centre.
     pub data_centre: String,
-    /// Bandwidth of its link, in megabits a second.
+    /// The bandwidth of its link, in megabits per second.
     pub link_mbps: u32,
 }
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -1,32 +1,33 @@
-//! Which nodes there are, which of them are heard, and who aggregates whose reports.
+//! Cluster membership: which nodes exist, which of them are heard, and which aggregate reports.
 //!
-//! Few nodes report to each other directly. Many report in groups, so that what a node sends and
-//! receives grows only slowly with their number: each node reports to an aggregator of its data
-//! centre, aggregators exchange the sums of their groups, and give each node of their group an
-//! overview of the whole. Any node may be an aggregator and any may vanish: a node whose aggregator
-//! falls silent picks another one by itself.
+//! In a small cluster all nodes report to each other directly. In a large one they report in
+//! groups, so that the traffic of a node grows only slowly with the number of nodes. Each node
+//! reports to an aggregator of its data centre. Aggregators exchange the sums of their groups, and
+//! send an overview of the cluster to each node of their group. Any node may be an aggregator, and
+//! any may fail: a node whose aggregator falls silent picks another one by itself.
 //!
-//! Where the groups stand in several regions, aggregators exchange sums within their region. To each
-//! other region an aggregator sends its summary to one of two carriers by turns, which are two of the
-//! aggregators there, and these pass it on in their region as it came. A region of which nobody is
-//! heard is out of reach: its nodes aggregate and own nothing meanwhile, and count as serving for as
-//! long as that lasts. Where only one way between two regions is cut, the region whose summaries still
-//! arrive says so in them, and they are not taken over: either both regions hear each other or neither
-//! does, and never do both admit what the other one's nodes use.
+//! If the groups span several regions, aggregators exchange sums only within their region. To each
+//! other region, an aggregator sends its summary to one of two carriers in turn. The carriers are
+//! two aggregators of that region, and forward the summary there unchanged. A region of which no
+//! node is heard is unreachable. Meanwhile its nodes aggregate nothing and own nothing, but still
+//! count as serving. If the connection between two regions fails in one direction only, the region
+//! that misses summaries says so in its own summaries, and the other region ignores those. Thus
+//! either both regions hear each other or neither does, and they never both admit what the other
+//! one's nodes use.
 //!
-//! Nothing that has to hold depends on the list being right. A node that hears few others takes
-//! part of the limits only (see [`super::quota`]).
+//! No guarantee depends on a correct membership list. A node that hears few others takes only a
+//! part of the limits (see [`super::quota`]).
 //!
-//! | module | does |
+//! | module | responsibility |
 //! |---|---|
-//! | this one | takes over what is heard |
-//! | `ranking` | orders nodes, and says which of them aggregate |
-//! | `view` | computes once in each period who is in reach and who aggregates |
-//! | `query` | answers those who send and decide |
-//! | `owner` | says which aggregator keeps the load of a server |
-//! | `regions` | says which regions are out of reach and who carries what crosses between them |
-//! | `roster` | spreads the list of all nodes |
-//! | `sample` | finds some nodes and their number at a start |
+//! | this one | records what other nodes send |
+//! | `ranking` | orders nodes and selects the aggregators |
+//! | `view` | computes once per period which nodes are reachable and which aggregate |
+//! | `query` | answers queries of senders and deciders |
+//! | `owner` | finds the aggregator that tracks the load of a server |
+//! | `regions` | detects unreachable regions and selects the carriers between regions |
+//! | `roster` | synchronises the list of all nodes |
+//! | `sample` | finds some nodes, and estimates their number, at startup |
 
 mod entry;
 mod owner;
@@ -51,46 +52,46 @@
 pub use self::owner::LoadOwner;
 pub use self::roster::{RosterDelta, RosterEntry, RosterSummary};
 
-use self::roster::Copied;
+use self::roster::CopyProgress;
 use self::view::View;
 
-/// A node that was not heard for this long, and of which no other node heard, is gone for good.
-const GONE_AFTER: Millis = 60_000;
+/// A node that neither this node nor any other heard for this long has left for good.
+const GONE_TIMEOUT: Millis = 60_000;
 
-/// How a node takes part in the reports.
+/// The role of a node in the exchange of reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It exchanges sums with the other aggregators.
+    /// The node exchanges sums with the other aggregators.
     Aggregator,
-    /// It reports to an aggregator.
+    /// The node reports to an aggregator.
     Member,
 }
 
-/// What a node says of itself in a message.
+/// The state that a node sends with each message.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat<'a> {
-    /// What it says of itself.
+    /// The description of the node.
     pub entry: &'a Entry,
-    /// Its incarnation: another one counts anew.
+    /// The incarnation of the node; a new one counts from zero.
     pub incarnation: u64,
-    /// Whether it is about to end.
+    /// Whether the node is shutting down.
     pub is_stopping: bool,
-    /// How it takes part.
+    /// Its role in the exchange of reports.
     pub role: Role,
-    /// Milliseconds since the holder of the duties was heard of, if lately.
+    /// Milliseconds since the duty holder was heard of, if that was recent.
     pub holder_age: Option<Millis>,
 }
 
-/// What an aggregator says of the whole to the nodes of its group.
+/// The overview of the cluster that an aggregator sends to the nodes of its group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Overview {
-    /// Nodes that the aggregators hear, themselves included.
+    /// Nodes that the aggregators hear, including themselves.
     pub heard: usize,
     /// Nodes that may be serving.
     pub known: usize,
 }
 
-/// Other nodes, as this node knows them.
+/// The other nodes of the cluster, as this node knows them.
 #[derive(Debug)]
 pub struct Members {
     own: Entry,
@@ -100,31 +101,31 @@
     names: BTreeMap<u64, String>,
     seeds: Vec<SocketAddr>,
     is_listed: bool,
-    /// How many nodes a sample of the list showed, and when.
+    /// The number of nodes estimated from a sample of the list, and the time of the estimate.
     estimated: Option<(Millis, usize)>,
-    /// Whether the list that was read is not one that nodes still add themselves to.
+    /// Whether a list was read that all nodes had time to join.
     is_list_whole: bool,
     holder_heard_at: Option<Millis>,
-    /// When a node was last found to have started again.
-    replaced_at: Option<Millis>,
-    /// What this node's aggregator said last, and when.
+    /// When a node was last found to have restarted.
+    restarted_at: Option<Millis>,
+    /// The last overview of this node's aggregator, and when it arrived.
     overview: Option<(Millis, Overview)>,
-    /// Nodes that this node's aggregator says are silent.
+    /// Nodes that this node's aggregator reports as silent, by short name.
     silent_elsewhere: BTreeSet<u64>,
-    /// Since when this node has reported to its aggregator.
+    /// When this node began to report to its current aggregator.
     member_since: Millis,
-    /// Regions of which nobody is heard.
-    lost_regions: BTreeSet<String>,
-    /// Since when this node has aggregated, and so hears of the other regions.
+    /// Regions of which no node is heard.
+    unreachable_regions: BTreeSet<String>,
+    /// When this node became an aggregator, which hears the other regions.
     aggregating_since: Option<Millis>,
-    /// How long messages of other regions take.
+    /// How long summaries of other regions take.
     transit: Transit,
-    /// How many entries were added or have changed.
-    additions: u64,
-    /// When this node last asked another one for its list.
-    roster_asked_at: Option<Millis>,
-    /// The aggregators by the count of this node's own aggregator, by short name.
-    followed: Option<Vec<u64>>,
+    /// The version of this node's list: how many entries were added or changed.
+    version: u64,
+    /// When this node last requested the list of another node.
+    roster_requested_at: Option<Millis>,
+    /// The aggregators according to this node's own aggregator, by short name.
+    adopted: Option<Vec<u64>>,
     view: View,
 }
 
@@ -133,8 +134,8 @@
 struct Transit {
     /// The time between two summaries of an aggregator.
     period: Millis,
-    /// The way from the farthest region, one way.
-    way: Millis,
+    /// The one-way delay from the farthest region.
+    one_way: Millis,
 }
 
 #[derive(Debug)]
@@ -144,37 +145,36 @@
     short: u64,
     incarnation: Option<u64>,
     role: Role,
-    /// When it was last heard directly.
+    /// When this node last heard it directly.
     heard_at: Option<Millis>,
-    /// When an aggregator last said that it hears it.
-    heard_of_at: Option<Millis>,
-    /// When it was last listed, heard, or heard of.
+    /// When another aggregator last reported that it hears it.
+    reported_heard_at: Option<Millis>,
+    /// When it was last listed, heard, or reported as heard.
     known_at: Millis,
-    /// When this node first knew of this entry.
+    /// When this node learned of this entry.
     entered_at: Millis,
-    /// The count of this node's additions with this entry.
-    added_in: u64,
-    /// Its list of nodes, and what this node has got of it.
-    copied: Copied,
+    /// The version of this node's list that added this entry.
+    added_in_version: u64,
+    /// How much of its list this node has copied.
+    copied: CopyProgress,
     is_stopping: bool,
-    passed_over_until: Millis,
-    /// Since when it has been expected to exchange sums with this node.
+    avoided_until: Millis,
+    /// When it became an aggregator that is expected to exchange sums with this node.
     ranked_since: Option<Millis>,
     /// Whether it was expected to be heard and was not.
     is_silent: bool,
-    /// Nodes of its group, by short name, where it is an aggregator.
+    /// The nodes of its group, by short name, if it is an aggregator.
     group: Vec<u64>,
-    /// Milliseconds since the node of its group was heard that has been silent for longest.
+    /// Milliseconds since it last heard the node of its group that has been silent for longest.
     group_age: Millis,
-    /// The run of its process and the time there of its newest summary, where it stands in another
-    /// region.
+    /// The run of its process and the send time of its newest summary, if it is in another region.
     newest: Option<(u32, Millis)>,
-    /// When its newest summary crossed from another region, whether it was taken over or not.
+    /// When its newest summary arrived from another region, even if the summary was ignored.
     crossed_at: Option<Millis>,
 }
 
 impl Members {
-    /// Makes a list that holds this node only.
+    /// Creates a list that contains only this node.
     pub fn new(now: Millis, own: Entry, seeds: &[SocketAddr]) -> Self {
         let mut members = Self {
             own,
@@ -187,16 +187,16 @@
             estimated: None,
             is_list_whole: false,
             holder_heard_at: None,
-            replaced_at: None,
+            restarted_at: None,
             overview: None,
             silent_elsewhere: BTreeSet::new(),
             member_since: now,
-            lost_regions: BTreeSet::new(),
+            unreachable_regions: BTreeSet::new(),
             aggregating_since: None,
             transit: Transit::default(),
-            additions: 0,
-            roster_asked_at: None,
-            followed: None,
+            version: 0,
+            roster_requested_at: None,
+            adopted: None,
             view: View::default(),
         };
         members.add_seeds(seeds);
@@ -204,20 +204,20 @@
         members
     }
 
-    /// Sets the regions that the nodes stand in; without this, all stand in one.
+    /// Sets the regions of the nodes. Without this call, all nodes are in one region.
     pub fn with_topology(self, topology: Arc<Topology>) -> Self {
         let mut members = Self { topology, ..self };
-        // Ranked anew at the next refresh, by the regions.
+        // Forces a new ranking, by region, at the next refresh.
         members.view.ranking.fingerprint = None;
         members
     }
 
-    /// Returns the regions that the nodes stand in.
+    /// Returns the regions of the nodes.
     pub fn get_topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// Adds addresses at which a node may listen.
+    /// Adds addresses at which nodes may listen.
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if *seed != self.own.address && !self.seeds.contains(seed) {
@@ -226,8 +226,10 @@
         }
     }
 
-    /// Takes over the list of all nodes; `is_whole` where those that started together with this one
-    /// had the time to add themselves.
+    /// Merges the list of all nodes.
+    ///
+    /// `is_whole` is `true` if nodes that started together with this one had time to add themselves
+    /// to the list.
     pub fn merge_list(&mut self, now: Millis, entries: Vec<Entry>, is_whole: bool) {
         self.is_listed = true;
         self.is_list_whole |= is_whole;
@@ -237,45 +239,47 @@
         self.refresh(now);
     }
 
-    /// Takes over entries that another node passed on.
+    /// Merges entries that another node passed on.
     pub fn merge_entries(&mut self, now: Millis, entries: &[Entry]) {
         for entry in entries {
             self.add(now, entry);
         }
     }
 
-    /// Adds a node, or notes that it is still listed. An entry at another address replaces an
-    /// earlier one only where that node is not heard.
+    /// Adds a node, or notes that it is still listed.
+    ///
+    /// An entry with another address replaces the known one only if that node is not heard.
     fn add(&mut self, now: Millis, entry: &Entry) {
         if entry.name == self.own.name {
             return;
         }
-        let within = self.get_heard_within();
+        let timeout = self.get_heard_timeout();
         let known = self.known.get_mut(&entry.name);
         if let Some(known) = known {
             known.known_at = now;
-            let is_heard = known.heard_at.is_some_and(|at| now < at + within);
+            let is_heard = known.heard_at.is_some_and(|at| now < at + timeout);
             if known.entry != *entry && !is_heard {
                 known.entry = entry.clone();
                 known.entered_at = now;
-                self.additions += 1;
-                known.added_in = self.additions;
+                self.version += 1;
+                known.added_in_version = self.version;
             }
             return;
         }
-        self.additions += 1;
-        let member = Member { added_in: self.additions, ..Member::new(now, entry.clone()) };
+        self.version += 1;
+        let member = Member { added_in_version: self.version, ..Member::new(now, entry.clone()) };
         self.names.insert(member.short, entry.name.clone());
         self.known.insert(entry.name.clone(), member);
     }
 
-    /// Takes over what a node says of itself; returns its former incarnation where it has changed.
+    /// Records the heartbeat of a node and returns its former incarnation if the node has
+    /// restarted.
     pub fn record_heartbeat(&mut self, now: Millis, heard: &Heartbeat<'_>) -> Option<u64> {
         let name = &heard.entry.name;
         if *name == self.own.name {
             return None;
         }
-        self.hear_holder(now, heard.holder_age);
+        self.record_duty_holder(now, heard.holder_age);
         if !self.known.contains_key(name) {
             self.add(now, heard.entry);
         }
@@ -283,8 +287,8 @@
         if member.entry != *heard.entry {
             member.entry = heard.entry.clone();
             member.entered_at = now;
-            self.additions += 1;
-            member.added_in = self.additions;
+            self.version += 1;
+            member.added_in_version = self.version;
         }
         let former = member.incarnation.replace(heard.incarnation);
         member.heard_at = Some(now);
@@ -292,41 +296,42 @@
         member.is_stopping = heard.is_stopping;
         member.role = heard.role;
         member.is_silent = false;
-        let replaced = former.filter(|former| *former != heard.incarnation);
-        if replaced.is_some() {
-            self.replaced_at = Some(now);
+        let restarted = former.filter(|former| *former != heard.incarnation);
+        if restarted.is_some() {
+            self.restarted_at = Some(now);
         }
-        replaced
+        restarted
     }
 
-    /// Notes how long ago the holder of the duties was heard of, by another node.
-    fn hear_holder(&mut self, now: Millis, age: Option<Millis>) {
+    /// Records how long ago another node heard of the duty holder.
+    fn record_duty_holder(&mut self, now: Millis, age: Option<Millis>) {
         let heard_at = age.and_then(|age| now.checked_sub(age));
         self.holder_heard_at = self.holder_heard_at.max(heard_at);
     }
 
-    /// Takes over which nodes another aggregator hears of its group, and how long ago it heard the
-    /// one that has been silent for longest.
+    /// Records which nodes of its group another aggregator hears, and how long ago it heard the one
+    /// that has been silent for longest.
     pub fn record_group(&mut self, now: Millis, name: &str, group: Vec<u64>, group_age: Millis) {
         for short in &group {
             let known = self.names.get(short).and_then(|name| self.known.get_mut(name));
             if let Some(known) = known {
                 known.known_at = now;
-                known.heard_of_at = Some(now);
+                known.reported_heard_at = Some(now);
             }
         }
         if let Some(member) = self.known.get_mut(name) {
-            // What crossed is older than its sender says, by the time on the way.
+            // A summary from another region is older than its sender states, by the transit time.
             let is_near = self.topology.is_near(&member.entry.data_centre);
-            let way = if is_near { 0 } else { 2 * self.transit.way };
+            let transit = if is_near { 0 } else { 2 * self.transit.one_way };
             member.group = group;
-            member.group_age = group_age + way;
+            member.group_age = group_age + transit;
         }
     }
 
-    /// Takes over what this node's aggregator says of the whole, and which nodes are silent.
+    /// Applies the overview of this node's aggregator, and the list of silent nodes.
     ///
-    /// Overviews of other nodes are ignored: this node may have picked another one since.
+    /// Overviews from other nodes are ignored, because this node may have picked another aggregator
+    /// since.
     pub fn apply_overview(&mut self, now: Millis, from: &str, overview: Overview, silent: &[u64]) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
             self.overview = Some((now, overview));
@@ -336,25 +341,25 @@
 }
 
 impl Members {
-    /// Takes over which nodes this node's aggregator ranks as aggregators.
+    /// Adopts the aggregators that this node's aggregator ranks.
     ///
-    /// A node of a group hears of no other node by itself. With the same aggregators as the one that it
+    /// A node of a group hears no other node directly. With the same aggregators as the one that it
     /// reports to, it finds the same owners.
     pub fn follow_aggregators(&mut self, from: &str, aggregators: Vec<u64>) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
-            self.followed = Some(aggregators);
+            self.adopted = Some(aggregators);
         }
     }
 
-    /// Lists the aggregators that this one ranks, itself included, by short name.
+    /// Lists the aggregators, including this node if it is one, by short name.
     pub fn list_aggregator_ids(&self) -> Vec<u64> {
         self.view.ranking.ranked.clone()
     }
 }
 
 impl Member {
-    fn is_heard_within(&self, now: Millis, within: Millis) -> bool {
-        self.heard_at.is_some_and(|at| now < at + within)
+    fn is_heard_within(&self, now: Millis, timeout: Millis) -> bool {
+        self.heard_at.is_some_and(|at| now < at + timeout)
     }
 
     fn new(now: Millis, entry: Entry) -> Self {
@@ -364,13 +369,13 @@
             incarnation: None,
             role: Role::Aggregator,
             heard_at: None,
-            heard_of_at: None,
+            reported_heard_at: None,
             known_at: now,
             entered_at: now,
-            added_in: 0,
-            copied: Copied::default(),
+            added_in_version: 0,
+            copied: CopyProgress::default(),
             is_stopping: false,
-            passed_over_until: 0,
+            avoided_until: 0,
             ranked_since: None,
             is_silent: false,
             group: Vec::new(),
--- a/crates/core/src/serving/members/owner.rs
+++ b/crates/core/src/serving/members/owner.rs
@@ -1,28 +1,29 @@
-//! Which aggregator keeps the load of a server.
+//! Which aggregator tracks the load of a server.
 //!
-//! A server's load is kept in the server's own region, where most of its requests come from. All
-//! nodes find the same aggregator from the same list, wherever they stand themselves.
+//! The load of a server is tracked in the server's own region, where most of its requests come
+//! from. All nodes find the same aggregator from the same list, whatever their own region is.
 
 use std::net::SocketAddr;
 
 use super::Members;
 use crate::succession;
 
-/// The aggregator that keeps a server's load.
+/// The aggregator that tracks the load of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadOwner<'a> {
-    /// Where it listens for other nodes.
+    /// The address at which it listens for other nodes.
     pub address: SocketAddr,
-    /// Its region, where that is not the asking node's own.
+    /// Its region, if that differs from the region of the asking node.
     pub remote_region: Option<&'a str>,
 }
 
 impl Members {
-    /// Finds the aggregator that keeps the load of a server, by the server's short name and data
-    /// centre; `None` where this node does itself.
+    /// Finds the aggregator that tracks the load of a server, given by its short name and data
+    /// centre.
     ///
-    /// Where no aggregator of the server's region is known, and where the region itself is not, one
-    /// of this node's own region keeps it: nodes of one region still agree.
+    /// Returns `None` if this node tracks it. If no aggregator of the server's region is known, or
+    /// the region itself is unknown, an aggregator of this node's region is used: the nodes of one
+    /// region still agree.
     pub fn find_load_owner(&self, server: u64, data_centre: &str) -> Option<LoadOwner<'_>> {
         if !self.topology.is_multi_region() {
             let address = self.find_owner(server)?;
@@ -32,10 +33,10 @@
         let region = self.topology.get_region(data_centre).unwrap_or(own);
         let owner = self.find_owner_in(server, region).or_else(|| self.find_owner_in(server, own));
         let entry = &self.known.get(owner?)?.entry;
-        Some(LoadOwner { address: entry.address, remote_region: self.get_far_region(entry) })
+        Some(LoadOwner { address: entry.address, remote_region: self.get_remote_region(entry) })
     }
 
-    /// Returns `true` if this node keeps the load of a server.
+    /// Returns `true` if this node tracks the load of a server.
     pub fn is_load_owner(&self, server: u64, data_centre: &str) -> bool {
         match self.topology.is_multi_region() {
             true => {
@@ -46,17 +47,17 @@
         }
     }
 
-    /// Finds the name of the aggregator of a region that owns a key, which may be this node.
+    /// Finds the name of the aggregator of a region that owns a key; this may be this node.
     ///
-    /// Each request looks up some servers, so that the aggregators are kept by region.
-    /// `benches/serving.rs` measures it: 0.17 us among 83 nodes, 0.28 us among 1,000.
+    /// Each request looks up several servers, so aggregators are indexed by region.
+    /// `benches/serving.rs` measures the lookup: 0.17 us among 83 nodes, 0.28 us among 1,000.
     fn find_owner_in(&self, key: u64, region: &str) -> Option<&str> {
         let names = self.view.ranking.by_region.get(region)?;
         succession::owner_of_number(key, names.iter().map(String::as_str))
     }
 
-    /// Returns how many nodes of this node's own region may be serving, this one included.
+    /// Returns how many nodes of this node's region may be serving, this one included.
     pub fn count_own_region(&self) -> usize {
-        self.view.near_nodes
+        self.view.local_nodes
     }
 }
--- a/crates/core/src/serving/members/ranking.rs
+++ b/crates/core/src/serving/members/ranking.rs
@@ -1,8 +1,9 @@
 //! Which nodes aggregate the reports of others.
 //!
-//! Every node computes the same order from the same list: within each data centre the nodes with
-//! the widest links come first, and those with equal links in rendezvous order. The first few of
-//! each data centre are aggregators; every other node reports to one of those of its data centre.
+//! Every node computes the same order from the same list: within each data centre, nodes are
+//! ordered by link bandwidth, widest first, and nodes with equal bandwidth by rendezvous hashing.
+//! The first few nodes of each data centre are aggregators. Every other node reports to an
+//! aggregator of its data centre.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,24 +12,27 @@
 use crate::serving::topology::Topology;
 use crate::succession;
 
-/// Up to this many nodes, all report to each other and there are no groups: 40 digests in 200 ms
-/// were what a link of 10 Mbit/s bore in the measurements (docs/MEASUREMENTS.md).
-const MOST_UNGROUPED: usize = 40;
+/// The largest number of nodes that report to each other directly, without groups.
+///
+/// A link of 10 Mbit/s carried 40 digests per 200 ms in the measurements (docs/MEASUREMENTS.md).
+const MAX_UNGROUPED_NODES: usize = 40;
 const AGGREGATORS_KEY: &str = "aggregators";
 const CARRIERS_KEY: &str = "carriers";
 
-/// Returns `true` if so many nodes report in groups.
+/// Returns `true` if this number of nodes reports in groups.
 pub(super) fn is_grouped(nodes: usize) -> bool {
-    nodes > MOST_UNGROUPED
+    nodes > MAX_UNGROUPED_NODES
 }
 
-/// Returns how many nodes report to one aggregator: with about as many aggregators as nodes in a
-/// group, an aggregator exchanges the fewest messages.
+/// Returns how many nodes report to one aggregator.
+///
+/// An aggregator exchanges the fewest messages if there are about as many aggregators as nodes in a
+/// group.
 fn get_group_size(nodes: usize) -> usize {
     (nodes as f64).sqrt().ceil() as usize
 }
 
-/// Lists the aggregators of all data centres, each data centre's first ones first.
+/// Lists the aggregators of all data centres, in rank order within each data centre.
 pub(super) fn list_aggregators<'a>(nodes: &[&'a Entry]) -> Vec<&'a Entry> {
     if !is_grouped(nodes.len()) {
         return nodes.to_vec();
@@ -40,31 +44,33 @@
     }
     let first = |members: Vec<&'a Entry>| {
         let count = members.len().div_ceil(size);
-        first_by_link(AGGREGATORS_KEY, members, count)
+        take_first_by_link(AGGREGATORS_KEY, members, count)
     };
     data_centres.into_values().flat_map(first).collect()
 }
 
-/// Orders nodes by their links, the widest first, and in rendezvous order of a key beyond that.
+/// Orders nodes by link bandwidth, widest first, and nodes with equal bandwidth by rendezvous
+/// hashing of a key.
 pub(super) fn order_by_link<'a>(key: &str, nodes: Vec<&'a Entry>) -> Vec<&'a Entry> {
     let count = nodes.len();
-    first_by_link(key, nodes, count)
+    take_first_by_link(key, nodes, count)
 }
 
 /// Returns the first nodes of that order.
 ///
-/// The order is computed again whenever a node joins, so that only the first are sorted, by keys that
-/// are computed once.
-fn first_by_link<'a>(key: &str, nodes: Vec<&'a Entry>, count: usize) -> Vec<&'a Entry> {
-    let weigh = succession::weigher(key);
-    let place = |node: &'a Entry| (Reverse((node.link_mbps, weigh(&node.name), &node.name)), node);
-    let mut placed: Vec<_> = nodes.into_iter().map(place).collect();
-    if count < placed.len() {
-        placed.select_nth_unstable_by(count, |one, other| one.0.cmp(&other.0));
-        placed.truncate(count);
+/// The order is recomputed whenever a node joins, so only the first nodes are sorted, by sort keys
+/// that are computed once.
+fn take_first_by_link<'a>(key: &str, nodes: Vec<&'a Entry>, count: usize) -> Vec<&'a Entry> {
+    let get_weight = succession::weigher(key);
+    let sort_key =
+        |node: &'a Entry| (Reverse((node.link_mbps, get_weight(&node.name), &node.name)), node);
+    let mut keyed: Vec<_> = nodes.into_iter().map(sort_key).collect();
+    if count < keyed.len() {
+        keyed.select_nth_unstable_by(count, |one, other| one.0.cmp(&other.0));
+        keyed.truncate(count);
     }
-    placed.sort_unstable_by(|one, other| one.0.cmp(&other.0));
-    placed.into_iter().map(|(_, node)| node).collect()
+    keyed.sort_unstable_by(|one, other| one.0.cmp(&other.0));
+    keyed.into_iter().map(|(_, node)| node).collect()
 }
 
 /// Lists the names of the aggregators of each region.
@@ -81,8 +87,9 @@
     regions
 }
 
-/// Lists the aggregators of each other region, by name, in the order in which they carry.
-pub(super) fn list_far<'a>(
+/// Lists the aggregators of each other region, by name, in the order in which they serve as
+/// carriers.
+pub(super) fn list_remote_aggregators<'a>(
     topology: &'a Topology,
     aggregators: &[&'a Entry],
 ) -> BTreeMap<String, Vec<String>> {
@@ -98,8 +105,8 @@
     regions.into_iter().map(|(region, entries)| (region.to_owned(), order(entries))).collect()
 }
 
-/// Picks the aggregator that a node reports to: one of its own data centre, where there is one, or
-/// of its own region.
+/// Picks the aggregator that a node reports to: one of its own data centre if possible, else one of
+/// its own region.
 pub(super) fn pick_aggregator<'a>(
     own: &Entry,
     topology: &Topology,
@@ -108,10 +115,11 @@
     let only = |is_near: &dyn Fn(&Entry) -> bool| -> Vec<&'a Entry> {
         aggregators.iter().filter(|entry| is_near(entry)).copied().collect()
     };
-    let beside = only(&|entry| entry.data_centre == own.data_centre);
+    let same_data_centre = only(&|entry| entry.data_centre == own.data_centre);
     let near = only(&|entry| topology.is_near(&entry.data_centre));
     let all = aggregators.to_vec();
-    let among = [beside, near, all].into_iter().find(|entries| !entries.is_empty())?;
-    let owner = succession::owner(&own.name, among.iter().map(|entry| entry.name.as_str()))?;
-    among.into_iter().find(|entry| entry.name == owner)
+    let candidates =
+        [same_data_centre, near, all].into_iter().find(|entries| !entries.is_empty())?;
+    let owner = succession::owner(&own.name, candidates.iter().map(|entry| entry.name.as_str()))?;
+    candidates.into_iter().find(|entry| entry.name == owner)
 }
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -1,88 +1,93 @@
-//! Which regions are out of reach, and who carries what crosses between regions.
+//! Which regions are unreachable, and which nodes carry traffic between regions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::entry::Entry;
-use super::query::PERIOD;
+use super::query::REPORT_INTERVAL;
 use super::{Member, Members, Transit};
 use crate::Millis;
 
-/// Carriers of each region that are heard and sent to by turns: where one ends, every second summary
-/// still arrives until it is replaced.
-const CARRIERS: usize = 2;
+/// Carriers per region, which are used in turn.
+///
+/// If one fails, every second summary still arrives until it is replaced.
+const CARRIERS_PER_REGION: usize = 2;
 
-/// The silence from which a region is overdue, in periods of the summaries that cross. In each period
-/// all its aggregators send, by two carriers in turns.
-const OVERDUE_AFTER_CROSSINGS: f64 = 2.5;
-/// The silence up to which a region is overdue, in milliseconds: by then all nodes count it as out of
-/// reach.
-const OVERDUE_UNTIL: Millis = 5_000;
+/// The silence after which a region is overdue, in periods of its summaries.
+///
+/// In each period, all its aggregators send, through two carriers in turn.
+const OVERDUE_SUMMARY_PERIODS: f64 = 2.5;
+/// The silence up to which a region is overdue. After that, all nodes count it as unreachable.
+const MAX_OVERDUE_AGE: Millis = 5_000;
 
 impl Members {
-    /// Sets how long summaries of other regions take: the time between two of them, and the time on
-    /// the way from the farthest region, in milliseconds.
-    pub fn set_transit_delay(&mut self, period: Millis, way: Millis) {
-        self.transit = Transit { period, way };
+    /// Sets how long summaries of other regions take: the time between two of them, and the one-way
+    /// delay from the farthest region, in milliseconds.
+    pub fn set_transit_delay(&mut self, period: Millis, one_way: Millis) {
+        self.transit = Transit { period, one_way };
     }
 
-    /// Returns `true` if what passes between regions goes through carriers: nodes report in groups,
-    /// and these stand in several regions.
+    /// Returns `true` if traffic between regions goes through carriers: nodes report in groups, and
+    /// the groups span several regions.
     pub fn is_using_carriers(&self) -> bool {
         self.view.is_grouped && self.topology.is_multi_region()
     }
 
-    /// Lists the nodes of each other region to which an aggregator sends what crosses: the first two
-    /// aggregators there that are heard. Where none is heard, any may be back: each turn gives the
-    /// next two.
+    /// Lists, for each other region, the nodes to which an aggregator sends its summaries: the
+    /// first two aggregators that are heard.
+    ///
+    /// If none is heard, any of them may be back, so each turn returns the next two.
     pub fn list_carriers(&self, now: Millis, turn: usize) -> Vec<Vec<SocketAddr>> {
         if !self.is_using_carriers() {
             return Vec::new();
         }
-        let regions = self.view.ranking.far.values();
+        let regions = self.view.ranking.remote.values();
         regions.map(|ranked| self.list_carriers_of(now, turn, ranked)).collect()
     }
 
-    /// Picks the node of each other region to which an aggregator sends its summary with this turn:
-    /// each carrier in turn, and each aggregator there where nobody is heard.
+    /// Picks the node of each other region to which an aggregator sends its summary in this turn.
+    ///
+    /// The carriers of a region take turns. If no aggregator of the region is heard, all of them
+    /// do.
     pub fn pick_carriers(&self, now: Millis, turn: usize) -> Vec<SocketAddr> {
-        let regions = self.list_carriers(now, turn / CARRIERS).into_iter();
+        let regions = self.list_carriers(now, turn / CARRIERS_PER_REGION).into_iter();
         regions.filter_map(|region| region.get(turn % region.len().max(1)).copied()).collect()
     }
 
     fn list_carriers_of(&self, now: Millis, turn: usize, ranked: &[String]) -> Vec<SocketAddr> {
         let members: Vec<&Member> = ranked.iter().filter_map(|name| self.known.get(name)).collect();
         let heard = members.iter().filter(|member| self.is_heard(now, member));
-        let heard: Vec<SocketAddr> = heard.map(|m| m.entry.address).take(CARRIERS).collect();
+        let heard: Vec<SocketAddr> =
+            heard.map(|m| m.entry.address).take(CARRIERS_PER_REGION).collect();
         if !heard.is_empty() {
             return heard;
         }
-        let first = turn * CARRIERS % members.len().max(1);
-        let next = members.iter().cycle().skip(first).take(CARRIERS.min(members.len()));
+        let first = turn * CARRIERS_PER_REGION % members.len().max(1);
+        let next = members.iter().cycle().skip(first).take(CARRIERS_PER_REGION.min(members.len()));
         next.map(|member| member.entry.address).collect()
     }
 
-    /// Returns how many aggregators of this node's region there are, this one included.
+    /// Returns the number of aggregators in this node's region, this one included.
     pub fn count_local_aggregators(&self) -> usize {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
         1 + others.filter(|member| self.topology.is_near(&member.entry.data_centre)).count()
     }
 
-    /// Lists the nodes of other regions, by address, with their regions.
+    /// Lists the nodes of other regions by address, with their regions.
     pub fn list_remote_nodes(&self) -> BTreeMap<SocketAddr, String> {
-        let far = self.known.values().filter_map(|member| {
-            let region = self.get_far_region(&member.entry)?;
+        let remote = self.known.values().filter_map(|member| {
+            let region = self.get_remote_region(&member.entry)?;
             Some((member.entry.address, region.to_owned()))
         });
-        far.collect()
+        remote.collect()
     }
 
-    /// Notes a summary of an aggregator of another region; returns `true` if it is newer than those
-    /// before.
+    /// Records a summary from an aggregator of another region; returns `true` if it is newer than
+    /// the previous ones.
     ///
-    /// A summary may come through several carriers. It is newer if its sender's process has started
-    /// anew, so that `run` differs, or if `sent_at`, on the sender's clock, is later.
+    /// A summary may arrive through several carriers. It is newer if its sender's process has
+    /// restarted, so that `run` differs, or if `sent_at`, on the sender's clock, is later.
     pub fn record_remote_summary(
         &mut self,
         now: Millis,
@@ -100,118 +105,125 @@
         !is_known
     }
 
-    /// Lists the regions from which no summary arrives, also none that is not taken over.
+    /// Lists the regions from which no summary arrives, not even an ignored one.
     ///
-    /// Summaries that cross name these, so that a region learns that only its own way is cut.
+    /// Summaries to other regions contain this list, which tells a region that the connection
+    /// failed in its direction only.
     pub fn list_unheard_regions(&self, now: Millis) -> Vec<String> {
         let Some(since) = self.aggregating_since else { return self.list_unreachable_regions() };
-        let within = self.get_heard_within();
-        let is_arriving = |member: &Member| member.crossed_at.is_some_and(|at| now < at + within);
+        let timeout = self.get_heard_timeout();
+        let is_arriving = |member: &Member| member.crossed_at.is_some_and(|at| now < at + timeout);
         self.find_silent_regions(now, since, is_arriving).into_iter().collect()
     }
 
-    /// Returns `true` if a node that does not hear these regions hears the one of this node.
+    /// Returns `true` if a node that does not hear these regions hears the region of this node.
     pub fn is_own_region_heard(&self, unheard_regions: &[String]) -> bool {
         !unheard_regions.iter().any(|region| region == self.topology.get_own())
     }
 
-    /// Returns `true` if some region is overdue: nothing came from it for some periods, and not all
-    /// nodes count it as out of reach yet.
+    /// Returns `true` if a region is overdue: nothing has arrived from it for several periods, but
+    /// not all nodes count it as unreachable yet.
     pub fn is_region_overdue(&self, now: Millis) -> bool {
         if !self.is_using_carriers() {
             return false;
         }
         let mut heard_at: BTreeMap<&str, Millis> = BTreeMap::new();
         for member in self.known.values() {
-            let region = self.get_far_region(&member.entry);
+            let region = self.get_remote_region(&member.entry);
             let Some((region, at)) = region.zip(member.heard_at) else { continue };
             let newest = heard_at.entry(region).or_default();
             *newest = at.max(*newest);
         }
-        let period = PERIOD.max(Duration::from_millis(self.transit.period));
-        let least = period.mul_f64(OVERDUE_AFTER_CROSSINGS).as_millis() as Millis;
-        heard_at.into_values().any(|at| (least..OVERDUE_UNTIL).contains(&now.saturating_sub(at)))
+        let period = REPORT_INTERVAL.max(Duration::from_millis(self.transit.period));
+        let least = period.mul_f64(OVERDUE_SUMMARY_PERIODS).as_millis() as Millis;
+        heard_at.into_values().any(|at| (least..MAX_OVERDUE_AGE).contains(&now.saturating_sub(at)))
     }
 
-    /// Returns `true` if all other regions are out of reach, and most nodes of this one are heard.
+    /// Returns `true` if all other regions are unreachable, and a majority of the nodes of this
+    /// region is heard.
     pub fn is_region_isolated(&self) -> bool {
-        let is_any_other = !self.view.ranking.far.is_empty();
-        let is_each_lost = self.view.ranking.far.keys().all(|r| self.lost_regions.contains(r));
-        is_any_other && is_each_lost && 2 * self.view.heard > self.view.near_nodes
+        let has_other_regions = !self.view.ranking.remote.is_empty();
+        let is_each_unreachable =
+            self.view.ranking.remote.keys().all(|r| self.unreachable_regions.contains(r));
+        has_other_regions && is_each_unreachable && 2 * self.view.heard > self.view.local_nodes
     }
 
-    /// Lists the regions of which nobody is heard.
+    /// Lists the regions of which no node is heard.
     pub fn list_unreachable_regions(&self) -> Vec<String> {
-        self.lost_regions.iter().cloned().collect()
+        self.unreachable_regions.iter().cloned().collect()
     }
 
-    /// Takes over which regions this node's aggregator does not hear.
+    /// Sets the regions that this node's aggregator does not hear.
     pub fn set_unreachable_regions(&mut self, from: &str, lost: Vec<String>) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
-            self.lost_regions = lost.into_iter().collect();
+            self.unreachable_regions = lost.into_iter().collect();
         }
     }
 
-    /// Notes which regions are out of reach, and keeps their nodes: nothing is known of them
-    /// meanwhile, so that none is taken for silent or gone.
+    /// Updates the unreachable regions and keeps their nodes: nothing is known of those nodes, so
+    /// none of them counts as silent or as gone.
     ///
-    /// A node that does not aggregate hears no other region, and keeps the regions that its aggregator
-    /// reported.
-    pub(super) fn note_lost_regions(&mut self, now: Millis) {
+    /// A node that is not an aggregator hears no other region, and keeps the regions that its
+    /// aggregator reported.
+    pub(super) fn update_unreachable_regions(&mut self, now: Millis) {
         if !self.topology.is_multi_region() {
             return;
         }
         let Some(since) = self.aggregating_since else { return };
-        self.lost_regions =
+        self.unreachable_regions =
             self.find_silent_regions(now, since, |member| self.is_heard(now, member));
         for member in self.known.values_mut() {
-            if self.topology.is_in_any(&self.lost_regions, &member.entry.data_centre) {
+            if self.topology.is_in_any(&self.unreachable_regions, &member.entry.data_centre) {
                 member.known_at = now;
                 member.is_silent = false;
             }
         }
     }
 
-    /// Finds the regions of which `is_heard` holds for no node. A node that began to aggregate at
-    /// `since` finds no further ones until it has had the time to hear them.
+    /// Finds the regions for whose nodes `is_heard` is never `true`.
+    ///
+    /// A node that became an aggregator at `since` finds no additional regions until it has had
+    /// time to hear them.
     fn find_silent_regions(
         &self,
         now: Millis,
         since: Millis,
         is_heard: impl Fn(&Member) -> bool,
     ) -> BTreeSet<String> {
-        let far = self.known.values().filter_map(|member| {
-            let region = self.get_far_region(&member.entry)?;
+        let remote = self.known.values().filter_map(|member| {
+            let region = self.get_remote_region(&member.entry)?;
             Some((region, is_heard(member)))
         });
         let mut is_any_heard: BTreeMap<&str, bool> = BTreeMap::new();
-        for (region, heard) in far {
+        for (region, heard) in remote {
             *is_any_heard.entry(region).or_default() |= heard;
         }
-        let has_listened = now >= since + self.get_heard_within();
+        let has_heard_all = now >= since + self.get_heard_timeout();
         let silent = is_any_heard.into_iter().filter(|(_, is_heard)| !is_heard);
-        let lost = silent.filter(|(region, _)| has_listened || self.lost_regions.contains(*region));
+        let lost = silent
+            .filter(|(region, _)| has_heard_all || self.unreachable_regions.contains(*region));
         lost.map(|(region, _)| region.to_owned()).collect()
     }
 
-    /// Returns `true` if a node stands in a region out of reach.
-    pub(super) fn is_lost(&self, entry: &Entry) -> bool {
-        let region = self.get_far_region(entry);
-        region.is_some_and(|region| self.lost_regions.contains(region))
+    /// Returns `true` if a node is in an unreachable region.
+    pub(super) fn is_unreachable(&self, entry: &Entry) -> bool {
+        let region = self.get_remote_region(entry);
+        region.is_some_and(|region| self.unreachable_regions.contains(region))
     }
 
-    /// Returns the region of a node that stands in another one than this node.
-    pub(super) fn get_far_region(&self, entry: &Entry) -> Option<&str> {
+    /// Returns the region of a node if it differs from the region of this node.
+    pub(super) fn get_remote_region(&self, entry: &Entry) -> Option<&str> {
         let is_near = self.topology.is_near(&entry.data_centre);
         self.topology.get_region(&entry.data_centre).filter(|_| !is_near)
     }
 
-    /// Returns how much longer a report takes from another region than from the node's own.
-    pub(super) fn get_transit_delay(&self) -> Duration {
+    /// Returns how much longer a report takes from another region than from this node's own region.
+    pub(super) fn get_extra_remote_delay(&self) -> Duration {
         if !self.topology.is_multi_region() {
             return Duration::ZERO;
         }
-        let stretched = Duration::from_millis(self.transit.period).saturating_sub(PERIOD);
-        stretched + Duration::from_millis(self.transit.way)
+        let extra_period =
+            Duration::from_millis(self.transit.period).saturating_sub(REPORT_INTERVAL);
+        extra_period + Duration::from_millis(self.transit.one_way)
     }
 }
--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -1,9 +1,9 @@
-//! How the list of all nodes spreads among many.
+//! Anti-entropy for the list of all nodes.
 //!
-//! An aggregator hears of newcomers from all others, a few in each message. What it missed it gets from
-//! another aggregator whose list is another one; a node of a group gets from its aggregator what was
-//! added there since it last did. So a list of any length is complete after a few calls, also where
-//! messages get lost.
+//! An aggregator learns of new nodes from all other aggregators, a few in each message. It requests
+//! what it missed from another aggregator whose list differs. A node of a group requests from its
+//! aggregator the entries added since its last request. A list of any length is therefore complete
+//! after a few calls, even if messages get lost.
 
 use std::net::SocketAddr;
 
@@ -14,113 +14,115 @@
 use super::{Member, Members, Role};
 use crate::Millis;
 
-/// The time between two calls for what other lists hold.
-const ASKED_EACH: Millis = 400;
+/// The minimum time between two requests for entries of other lists.
+const REQUEST_INTERVAL: Millis = 400;
 /// A node that was not heard of for this long is not passed on.
-const LIVE_FOR: Millis = 10_000;
+const LIVE_TIMEOUT: Millis = 10_000;
 
-/// Stands for the list of nodes that a node knows.
+/// The version and digest of a node's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterSummary {
-    /// How many entries were added or have changed, since the start of the process.
-    pub additions: u64,
-    /// The same for equal lists.
+    /// The number of entries added or changed since the process started.
+    pub version: u64,
+    /// A digest that is the same for equal lists.
     pub digest: u64,
 }
 
 /// An entry of another node's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// What the node says of itself.
+    /// The description of the node.
     pub entry: Entry,
-    /// Milliseconds since it was last heard, heard of or listed.
+    /// Milliseconds since the node was last heard, reported as heard, or listed.
     pub age: Millis,
 }
 
-/// What was added to a list.
+/// Entries that were added to a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterDelta {
-    /// The list's count of additions with these.
-    pub additions: u64,
+    /// The version of the list that includes these entries.
+    pub version: u64,
     /// The added entries.
     pub entries: Vec<RosterEntry>,
 }
 
-/// Another node's list, and how much of it this node has got.
+/// How much of another node's list this node has copied.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Copied {
-    /// The list as the node described it last.
-    pub described: RosterSummary,
-    /// The additions that this node has got.
-    pub taken: u64,
-    /// When this node last asked for more.
-    pub asked_at: Option<Millis>,
+pub(super) struct CopyProgress {
+    /// The latest summary of the list.
+    pub summary: RosterSummary,
+    /// The version up to which this node has copied it.
+    pub version: u64,
+    /// When this node last requested entries.
+    pub requested_at: Option<Millis>,
 }
 
 impl Members {
-    /// Describes the list of this node.
+    /// Returns the summary of this node's list.
     pub fn get_roster_summary(&self) -> RosterSummary {
-        RosterSummary { additions: self.additions, digest: self.view.digest }
+        RosterSummary { version: self.version, digest: self.view.digest }
     }
 
-    /// Takes over how another node describes its list.
-    pub fn record_roster_summary(&mut self, from: &str, roster: RosterSummary) {
+    /// Records the summary of another node's list.
+    pub fn record_roster_summary(&mut self, from: &str, summary: RosterSummary) {
         let Some(member) = self.known.get_mut(from) else { return };
-        if roster.additions < member.copied.taken {
-            // The node has started again, and counts anew.
-            member.copied.taken = 0;
+        if summary.version < member.copied.version {
+            // The node has restarted and counts from zero.
+            member.copied.version = 0;
         }
-        member.copied.described = roster;
+        member.copied.summary = summary;
     }
 
-    /// Picks a node whose list holds what this one lacks, with the additions that this node has got of
-    /// it: its aggregator, or one of the other aggregators in turn.
+    /// Picks a node whose list holds entries that this one lacks, and the version up to which this
+    /// node has copied it.
     ///
-    /// Each call returns another one, and none within 0.4 s of the last. Few nodes, which all hear
-    /// each other, need none.
+    /// The source is this node's aggregator or, for an aggregator, one of the others in turn. Each
+    /// call returns another one, at least 400 ms after the previous one. A small cluster, in which
+    /// all nodes hear each other, needs none.
     pub fn pick_roster_source(&mut self, now: Millis) -> Option<(SocketAddr, u64)> {
-        let is_early = self.roster_asked_at.is_some_and(|at| now < at + ASKED_EACH);
+        let is_early = self.roster_requested_at.is_some_and(|at| now < at + REQUEST_INTERVAL);
         if is_early || !self.view.is_grouped {
             return None;
         }
         let own_aggregator = self.get_own_aggregator().map(|entry| entry.name.clone());
-        let (digest, within) = (self.view.digest, self.get_heard_within());
+        let (digest, timeout) = (self.view.digest, self.get_heard_timeout());
         let is_source = |member: &&mut Member| match &own_aggregator {
             Some(name) => member.entry.name == *name,
-            None => member.role == Role::Aggregator && member.is_heard_within(now, within),
+            None => member.role == Role::Aggregator && member.is_heard_within(now, timeout),
         };
         let sources = self.known.values_mut().filter(is_source);
         let lacking = sources.filter(|member| {
             let copied = member.copied;
-            copied.described.additions > copied.taken && copied.described.digest != digest
+            copied.summary.version > copied.version && copied.summary.digest != digest
         });
-        let member = lacking.min_by_key(|member| member.copied.asked_at)?;
-        member.copied.asked_at = Some(now);
-        self.roster_asked_at = Some(now);
-        Some((member.entry.address, member.copied.taken))
+        let member = lacking.min_by_key(|member| member.copied.requested_at)?;
+        member.copied.requested_at = Some(now);
+        self.roster_requested_at = Some(now);
+        Some((member.entry.address, member.copied.version))
     }
 
-    /// Lists what was added to this node's list after a count of additions.
+    /// Returns the entries added to this node's list after a version.
     pub fn get_roster_delta(&self, now: Millis, after: u64) -> RosterDelta {
-        let added = self.known.values().filter(|member| member.added_in > after);
+        let added = self.known.values().filter(|member| member.added_in_version > after);
         let known = added.map(|member| RosterEntry {
             entry: member.entry.clone(),
             age: now.saturating_sub(member.known_at),
         });
-        let live = known.filter(|known| known.age < LIVE_FOR || self.is_lost(&known.entry));
-        RosterDelta { additions: self.additions, entries: live.collect() }
+        let live =
+            known.filter(|known| known.age < LIVE_TIMEOUT || self.is_unreachable(&known.entry));
+        RosterDelta { version: self.version, entries: live.collect() }
     }
 
-    /// Takes over what was added to the list of a node at an address.
+    /// Merges the entries that were added to the list of the node at an address.
     ///
-    /// A node is known since the time at which the other one heard of it: one that is gone is not kept by
-    /// nodes that go on to pass it on to each other.
-    pub fn apply_roster_delta(&mut self, now: Millis, from: SocketAddr, additions: &RosterDelta) {
+    /// Each entry keeps the time at which the other node last heard of it. Otherwise nodes that
+    /// pass entries on to each other would keep a node that has left.
+    pub fn apply_roster_delta(&mut self, now: Millis, from: SocketAddr, delta: &RosterDelta) {
         let source = self.known.values_mut().find(|member| member.entry.address == from);
         if let Some(source) = source {
-            source.copied.taken = additions.additions;
+            source.copied.version = delta.version;
         }
-        for RosterEntry { entry, age } in &additions.entries {
+        for RosterEntry { entry, age } in &delta.entries {
             let known_at = now.saturating_sub(*age);
             let before = self.known.get(&entry.name).map(|member| member.known_at);
             self.add(now, entry);
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Computes what stands for the known nodes and this one.
+    /// Computes the digest of the known nodes and this one.
     pub(super) fn compute_digest(&self) -> u64 {
         let entries = self.known.values().map(|member| (member.short, &member.entry));
         let others = entries.map(|(short, entry)| digest_of(short, entry));
@@ -139,7 +141,7 @@
     }
 }
 
-/// Returns what stands for an entry. Sums of these do not depend on the order.
+/// Returns the digest of an entry. The sum of such digests does not depend on their order.
 fn digest_of(short: u64, entry: &Entry) -> u64 {
     let port = u64::from(entry.address.port());
     xxh3_64_with_seed(&port.to_le_bytes(), short ^ u64::from(entry.link_mbps))
