--- a/crates/core/src/serving/directory/batch.rs
+++ b/crates/core/src/serving/directory/batch.rs
@@ -1,4 +1,4 @@
-//! Changes of the list, as they pass between nodes.
+//! Updates of the list, as nodes exchange them.
 
 use std::borrow::Cow;
 
@@ -7,12 +7,12 @@
 use super::server::Server;
 use crate::serving::table_version::TableVersion;
 
-/// Entries of the list that changed after a version, up to another.
+/// Entries of the list that changed between two versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// All changes after this version are there.
+    /// The base version; the batch contains all later changes.
     pub after: TableVersion,
-    /// The list's version with these changes.
+    /// The version of the list that includes these changes.
     pub version: TableVersion,
     /// The changed entries.
     pub entries: Vec<Entry>,
@@ -21,22 +21,22 @@
 /// A changed entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The server's id.
+    /// The ID of the server.
     pub id: String,
     /// The version at which the entry changed.
     pub version: TableVersion,
-    /// The server as it is now; `None` where it is no longer listed.
+    /// The current state of the server; `None` if it is no longer listed.
     pub server: Option<Server>,
 }
 
-/// What a node that knows the list up to a version gets from one that knows it further.
+/// An update for a node that knows an older version of the list, or none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update<'a> {
-    /// The changes since.
+    /// The changes since the version that the node knows.
     Delta(Batch),
-    /// The whole list.
+    /// The full list.
     Full {
-        /// Its version.
+        /// The version of the list.
         version: TableVersion,
         /// All servers.
         servers: Vec<Cow<'a, Server>>,
@@ -44,7 +44,7 @@
 }
 
 impl Update<'_> {
-    /// Returns the version of the list with what is given.
+    /// Returns the version of the list that includes this update.
     pub fn get_version(&self) -> TableVersion {
         match self {
             Self::Delta(batch) => batch.version,
@@ -54,10 +54,10 @@
 }
 
 impl Batch {
-    /// Splits the batch, so that each part has at most about `most` entries and fits one datagram.
+    /// Splits the batch into parts of about `most` entries, each of which fits one datagram.
     ///
-    /// Each part continues where the one before it ends. Entries that changed at the same version stay
-    /// together.
+    /// Each part continues where the previous one ends. Entries that changed at the same version
+    /// stay together.
     pub fn split(mut self, most: usize) -> Vec<Self> {
         self.entries.sort_by_key(|entry| entry.version);
         let mut parts = Vec::new();
--- a/crates/core/src/serving/directory/departures.rs
+++ b/crates/core/src/serving/directory/departures.rs
@@ -1,4 +1,5 @@
-//! Servers that said that they leave, in their answers or before a return of the table service.
+//! Servers that announced that they are leaving, in their responses or before a restore of the
+//! table service.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +7,29 @@
 
 use crate::Millis;
 
-/// How long a server's word is remembered, in milliseconds. A server that leaves ends within seconds; its
-/// entry may lapse and come back meanwhile.
-const KEPT: Millis = 600_000;
-/// The most servers that are remembered, the latest ones: some 60 bytes each.
-const MOST: usize = 1_024;
+/// How long an announcement is remembered.
+///
+/// A leaving server ends within seconds; its entry may lapse and come back meanwhile.
+const DEPARTURE_TTL: Millis = 600_000;
+/// The largest number of servers that are remembered, newest first, at some 60 bytes each.
+const MAX_DEPARTURES: usize = 1_024;
 
-/// How long departures are repeated to other nodes, in milliseconds: some may have missed the news, or
+/// How long departures are repeated to other nodes, which may have missed the announcement or
 /// started since.
-const REPEATED_FOR: Millis = 30_000;
-/// The most departures in one report.
-const MOST_LISTED: usize = 4;
+const REPEAT_PERIOD: Millis = 30_000;
+/// The largest number of departures in a report.
+const MAX_REPORTED_DEPARTURES: usize = 4;
 
-/// The word of a server that it leaves.
+/// The announcement of a server that it is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
-    /// Its id.
+    /// The ID of the server.
     pub server: String,
-    /// Which of its starts it is.
+    /// The incarnation of the server.
     pub incarnation: u64,
 }
 
-/// Servers that said that they leave, whatever their entries say.
+/// Servers that announced that they are leaving, whatever their entries say.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures {
     by_id: BTreeMap<String, Record>,
@@ -40,13 +42,13 @@
 }
 
 impl Departures {
-    /// Notes that an incarnation of a server leaves; returns `true` if that was not known.
+    /// Records that an incarnation of a server is leaving; returns `true` if that was not known.
     pub fn note(&mut self, now: Millis, id: &str, incarnation: u64) -> bool {
         if self.by_id.get(id).is_some_and(|known| known.incarnation >= incarnation) {
             return false;
         }
         self.by_id.insert(id.to_owned(), Record { incarnation, noted_at: now });
-        if self.by_id.len() > MOST {
+        if self.by_id.len() > MAX_DEPARTURES {
             let oldest = self.by_id.iter().min_by_key(|(_, departure)| departure.noted_at);
             let oldest = oldest.map(|(id, _)| id.clone());
             oldest.map(|id| self.by_id.remove(&id));
@@ -54,7 +56,7 @@
         true
     }
 
-    /// Notes that an incarnation of a server leaves, and lists it for other nodes again.
+    /// Records that an incarnation of a server is leaving, and lists it for other nodes again.
     pub fn repeat(&mut self, now: Millis, id: &str, incarnation: u64) {
         self.note(now, id, incarnation);
         if let Some(record) = self.by_id.get_mut(id) {
@@ -62,18 +64,18 @@
         }
     }
 
-    /// Returns `true` if an incarnation of a server leaves.
-    pub fn holds(&self, id: &str, incarnation: u64) -> bool {
+    /// Returns `true` if an incarnation of a server is leaving.
+    pub fn contains(&self, id: &str, incarnation: u64) -> bool {
         self.by_id.get(id).is_some_and(|known| known.incarnation >= incarnation)
     }
 
-    /// Lists some of the latest departures for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Departure> {
-        let is_recent = |record: &Record| now < record.noted_at + REPEATED_FOR;
+    /// Lists some of the recent departures for other nodes; each turn returns the next ones.
+    pub fn list_recent(&self, now: Millis, turn: usize) -> Vec<Departure> {
+        let is_recent = |record: &Record| now < record.noted_at + REPEAT_PERIOD;
         let recent = || self.by_id.iter().filter(|(_, record)| is_recent(record));
         let count = recent().count();
-        let first = (turn * MOST_LISTED).checked_rem(count).unwrap_or(0);
-        let next = recent().cycle().skip(first).take(count.min(MOST_LISTED));
+        let first = (turn * MAX_REPORTED_DEPARTURES).checked_rem(count).unwrap_or(0);
+        let next = recent().cycle().skip(first).take(count.min(MAX_REPORTED_DEPARTURES));
         let describe = |(id, record): (&String, &Record)| Departure {
             server: id.clone(),
             incarnation: record.incarnation,
@@ -81,8 +83,8 @@
         next.map(describe).collect()
     }
 
-    /// Forgets what was noted long ago.
+    /// Forgets old departures.
     pub fn expire(&mut self, now: Millis) {
-        self.by_id.retain(|_, departure| now < departure.noted_at + KEPT);
+        self.by_id.retain(|_, departure| now < departure.noted_at + DEPARTURE_TTL);
     }
 }
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -1,26 +1,28 @@
-//! Which servers there are and which may get new work.
+//! The directory of servers: which servers exist, and which may get new work.
 //!
-//! Servers keep their entries by writing to the platform's table service. While that is away their
-//! entries may lapse; those of servers that live are back soon after its return. Until then a
-//! server whose entry is missing, and that had not said that it leaves, still gets work.
+//! Servers keep their entries alive by writing to the platform's table service. While that service
+//! is unavailable, entries may lapse; those of running servers are back soon after it recovers.
+//! Until then, a server still gets work if its entry is missing and it has not announced that it is
+//! leaving.
 //!
-//! A server may say in an answer that it leaves, while the table service is away or has not taken that yet.
-//! This outlives what its entry says, until the server starts again.
+//! A server may announce in a response that it is leaving, while the table service is unavailable
+//! or does not show it yet. The announcement overrides the server's entry until the server
+//! restarts.
 //!
-//! The table service may come back from an older copy. Its list then lacks servers, and holds others that
-//! have left or said that they leave. What this node knows of these outlives the copy until their entries are
-//! written again.
+//! The table service may be restored from an older copy. Its list then lacks servers, and contains
+//! others that have left or are leaving. What this node knows of those overrides the copy until
+//! their entries are rewritten.
 //!
-//! Nodes give each other the changes since a version: what that costs grows with the changes, and not
-//! with the length of the list.
+//! Nodes send each other the changes since a version. The cost of an update therefore grows with
+//! the number of changes, and not with the length of the list.
 //!
-//! | module | does |
+//! | module | responsibility |
 //! |---|---|
 //! | this one | keeps the list |
 //! | `server` | describes a server |
-//! | `batch` | holds changes that pass between nodes |
-//! | `departures` | remembers which servers said in their answers that they leave |
-//! | `removals` | remembers which servers have left the list |
+//! | `batch` | defines the updates that nodes exchange |
+//! | `departures` | remembers which servers announced that they are leaving |
+//! | `removals` | remembers which servers were removed from the list |
 
 mod batch;
 mod departures;
@@ -40,30 +42,30 @@
 pub use self::departures::Departure;
 pub use self::server::Server;
 
-/// What a change of the list did to one server.
+/// The effect of a change of the list on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is new and takes work.
+    /// The server is new and gets work.
     Joined(Server),
-    /// It began to leave.
+    /// The server has started to leave.
     Leaving(Server),
-    /// It is no longer listed.
+    /// The server is no longer listed.
     Gone(Server),
 }
 
-/// What the word of a server did that it leaves.
+/// The effect of an announcement that a server is leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DepartureOutcome {
-    /// Whether it was not known, and is to be passed on.
+    /// Whether the announcement is new and must be passed on.
     pub is_news: bool,
-    /// What it did to the list.
+    /// The effect on the list.
     pub change: Option<Change>,
 }
 
-/// The servers of one service by id.
+/// The servers of a service by ID.
 type Servers = BTreeMap<String, Listed>;
 
-/// A server with the version at which its entry changed last, or a later one.
+/// A server and the version at which its entry last changed, or a later one.
 #[derive(Clone, Debug)]
 struct Listed {
     server: Server,
@@ -73,24 +75,25 @@
 /// The servers of all services.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    /// By service: a request goes to those of one service, and the others may be many more.
+    /// Servers by service: a request considers one service only, and all services may have many
+    /// more servers.
     services: BTreeMap<String, Servers>,
     version: TableVersion,
-    /// Whether a whole list was taken over.
+    /// Whether a full list was read.
     is_known: bool,
     removals: Removals,
     departures: Departures,
-    /// Servers whose entries lapsed; this node's own belief, which is not reported to peers.
+    /// Servers whose entries have lapsed. This is local to the node and not reported to peers.
     lapsed: BTreeMap<String, Server>,
     lapsing_until: Option<Millis>,
-    /// When the table service was last known to have come back from an older copy.
-    returned_at: Millis,
+    /// When the table service was last found to be restored from an older copy.
+    restored_at: Millis,
     /// Whether the last call to the table service failed.
-    is_away: bool,
+    is_table_unavailable: bool,
 }
 
-/// Time after the table service's return in which the entries of servers that live are back.
-const LAPSED_FOR: Millis = 2_000;
+/// The time after a recovery of the table service in which the entries of running servers are back.
+const LAPSED_ENTRY_TTL: Millis = 2_000;
 
 impl Directory {
     /// Returns the version of the list that was read last.
@@ -98,27 +101,27 @@
         self.version
     }
 
-    /// Returns `true` if a whole list was taken over.
+    /// Returns `true` if a full list was read.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// Takes over a whole list, read at a version; an older one changes nothing.
+    /// Replaces the list by a full list read at a version; an older list is ignored.
     ///
-    /// The first list of an era may be that of an older copy. A server that has left since gets nothing
-    /// until its entry is written again.
+    /// The first list of an era may be an older copy. A server that has left since gets no work
+    /// until its entry is rewritten.
     pub fn replace(&mut self, version: TableVersion, mut servers: Vec<Server>) -> Vec<Change> {
         if version < self.version {
             return Vec::new();
         }
-        let is_return = self.is_known && version.era > self.version.era;
-        if is_return {
-            self.repeat_departures(&servers);
+        let is_restored = self.is_known && version.era > self.version.era;
+        if is_restored {
+            self.reannounce_departures(&servers);
             // An older copy also lists servers that have left since.
-            servers.retain(|server| !self.removals.holds(server));
+            servers.retain(|server| !self.removals.contains(server));
         }
         self.version = version;
-        if !std::mem::replace(&mut self.is_known, true) || is_return {
+        if !std::mem::replace(&mut self.is_known, true) || is_restored {
             self.removals.restart(version);
         }
         let listed: HashSet<&str> = servers.iter().map(|server| server.id.as_str()).collect();
@@ -126,27 +129,28 @@
         let gone: Vec<String> = gone.map(|server| server.id.clone()).collect();
         let mut changes: Vec<Change> =
             gone.iter().filter_map(|id| self.remove(id, version)).collect();
-        changes.extend(servers.into_iter().flat_map(|server| self.put(server, version)));
+        changes.extend(servers.into_iter().flat_map(|server| self.apply_entry(server, version)));
         self.removals.trim(self.count());
         changes
     }
 
-    /// Repeats to other nodes that servers leave which an older copy lists as ready: nodes that started after the
-    /// return know the copy only.
-    fn repeat_departures(&mut self, copy: &[Server]) {
+    /// Announces departures to other nodes again if an older copy lists the servers as ready: nodes
+    /// that started after the restore know only the copy.
+    fn reannounce_departures(&mut self, copy: &[Server]) {
         for server in copy.iter().filter(|server| !server.is_leaving) {
             let known =
                 self.get(&server.id).filter(|known| known.incarnation == server.incarnation);
             let is_leaving = known.is_some_and(|known| known.is_leaving)
                 || self.removals.has_left(server)
-                || self.departures.holds(&server.id, server.incarnation);
+                || self.departures.contains(&server.id, server.incarnation);
             if is_leaving {
-                self.departures.repeat(self.returned_at, &server.id, server.incarnation);
+                self.departures.repeat(self.restored_at, &server.id, server.incarnation);
             }
         }
     }
 
-    /// Returns what a node lacks that knows the list up to a version, or does not know it at all.
+    /// Returns the update for a node that knows the list up to a version, or does not know it at
+    /// all.
     pub fn get_update(&self, after: Option<TableVersion>) -> Update<'_> {
         let known = after.filter(|after| self.removals.is_complete_after(*after));
         let Some(after) = known else {
@@ -165,13 +169,14 @@
         Update::Delta(Batch { after, version: self.version, entries })
     }
 
-    /// Takes over what a peer gave for a version; `None` where changes before it are missing.
+    /// Applies an update from a peer; returns `None` if changes before it are missing.
     pub fn apply_update(&mut self, update: Update<'_>) -> Option<Vec<Change>> {
         match update {
             Update::Delta(batch) => {
                 let version = batch.version;
                 let changes = self.apply_batch(batch)?;
-                // The peer's version rises with changes only, also with those that had no effect there.
+                // The peer's version rises only with changes, including those that had no effect
+                // there.
                 self.version = self.version.max(version);
                 Some(changes)
             }
@@ -182,12 +187,12 @@
         }
     }
 
-    /// Takes over the entries that changed after a version, up to another.
+    /// Applies the entries that changed between two versions.
     ///
-    /// Returns `None` where changes before these are missing: the whole list must be read. Entries
-    /// that are not newer than the list are passed over, so that batches may overlap. A batch
-    /// without entries changes nothing, the version included: it rises with changes only, so that
-    /// nodes with equal lists find them equal.
+    /// Returns `None` if changes before the batch are missing: the full list must be read. Entries
+    /// that are not newer than the list are ignored, so batches may overlap. A batch without
+    /// entries does not change the version either: the version rises only with changes, so that
+    /// nodes with equal lists have equal versions.
     pub fn apply_batch(&mut self, batch: Batch) -> Option<Vec<Change>> {
         if !self.is_known || batch.after > self.version {
             return None;
@@ -199,7 +204,7 @@
         self.version = known.max(batch.version);
         let newer = batch.entries.into_iter().filter(|entry| entry.version > known);
         let changes = newer.flat_map(|entry| match entry.server {
-            Some(server) => self.put(server, entry.version),
+            Some(server) => self.apply_entry(server, entry.version),
             None => self.remove(&entry.id, entry.version).into_iter().collect(),
         });
         let changes = changes.collect();
@@ -209,38 +214,38 @@
 
     /// Notes that the table service did not answer.
     pub fn note_table_unavailable(&mut self) {
-        self.is_away = true;
+        self.is_table_unavailable = true;
     }
 
-    /// Notes that the list is known again, and was old before that.
+    /// Notes that the list is current again after it was out of date.
     ///
-    /// Entries have time to come back only where the table service was away: a list may also grow
-    /// old while servers leave, and those must get nothing more.
+    /// Lapsed entries get time to come back only if the table service was unavailable. A list may
+    /// also be out of date while servers leave, and those must not get new work.
     pub fn note_table_recovered(&mut self, now: Millis) {
-        if std::mem::take(&mut self.is_away) {
-            self.lapsing_until = Some(now + LAPSED_FOR);
+        if std::mem::take(&mut self.is_table_unavailable) {
+            self.lapsing_until = Some(now + LAPSED_ENTRY_TTL);
         }
     }
 
-    /// Notes that the table service came back from an older copy, which may lack the entries of servers that
-    /// live: they have time to write them again.
+    /// Notes that the table service was restored from an older copy.
+    ///
+    /// The copy may lack the entries of running servers, which get time to rewrite them.
     pub fn note_table_restored(&mut self, now: Millis) {
-        self.returned_at = now;
-        self.lapsing_until = Some(now + LAPSED_FOR);
+        self.restored_at = now;
+        self.lapsing_until = Some(now + LAPSED_ENTRY_TTL);
     }
 
-    /// Lists some of the servers that said lately that they leave, for other nodes; each turn gives the next
-    /// ones.
+    /// Lists some of the recent departures for other nodes; each turn returns the next ones.
     pub fn list_departures(&self, now: Millis, turn: usize) -> Vec<Departure> {
-        self.departures.list_some(now, turn)
+        self.departures.list_recent(now, turn)
     }
 
-    /// Forgets which servers said long ago that they leave.
+    /// Forgets old departures.
     pub fn expire_departures(&mut self, now: Millis) {
         self.departures.expire(now);
     }
 
-    /// Gives up the servers whose entries have not come back in time.
+    /// Removes the servers whose entries have not come back in time.
     pub fn expire_lapsed(&mut self, now: Millis) -> Vec<Change> {
         if self.lapsing_until.is_none_or(|until| now < until) {
             return Vec::new();
@@ -250,7 +255,7 @@
     }
 
     fn remove(&mut self, id: &str, version: TableVersion) -> Option<Change> {
-        let server = self.unlist(id)?;
+        let server = self.delist(id)?;
         self.removals.note(&server, version);
         if self.lapsing_until.is_some() && !server.is_leaving {
             self.lapsed.insert(id.to_owned(), server);
@@ -259,13 +264,13 @@
         Some(Change::Gone(server))
     }
 
-    /// Notes that an incarnation of a server said in an answer that it leaves.
+    /// Records that an incarnation of a server announced in a response that it is leaving.
     pub fn note_departure(&mut self, now: Millis, id: &str, incarnation: u64) -> DepartureOutcome {
         let is_news = self.departures.note(now, id, incarnation);
         DepartureOutcome { is_news, change: self.note_leaving(id, incarnation) }
     }
 
-    /// Notes that an answer showed another server in the place of an incarnation of a server.
+    /// Records that a response came from another server in place of an incarnation of a server.
     pub fn note_leaving(&mut self, id: &str, incarnation: u64) -> Option<Change> {
         if self.lapsed.get(id).is_some_and(|server| server.incarnation == incarnation) {
             return self.lapsed.remove(id).map(Change::Gone);
@@ -276,17 +281,17 @@
         Some(Change::Leaving(server.clone()))
     }
 
-    /// Returns `true` if a server has started again since.
+    /// Returns `true` if a server has restarted since.
     pub fn is_superseded(&self, server: &Server) -> bool {
         self.get(&server.id).is_some_and(|known| known.incarnation > server.incarnation)
     }
 
-    /// Returns a server by its id.
+    /// Returns a server by its ID.
     pub fn get(&self, id: &str) -> Option<&Server> {
         self.services.values().find_map(|servers| servers.get(id)).map(|listed| &listed.server)
     }
 
-    /// Returns a server by its id that may get new work, also one whose entry has lapsed.
+    /// Returns a server by its ID if it may get new work, even if its entry has lapsed.
     pub fn get_ready(&self, id: &str) -> Option<&Server> {
         self.get(id).or_else(|| self.lapsed.get(id)).filter(|server| !server.is_leaving)
     }
@@ -296,24 +301,24 @@
         listed.map(|listed| &mut listed.server)
     }
 
-    /// Lists the servers of a service that may get new work.
+    /// Iterates over the servers of a service that may get new work.
     pub fn iter_ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         self.iter_service(service).filter(|server| !server.is_leaving)
     }
 
-    /// Lists all servers of a service, those that are leaving too.
+    /// Iterates over all servers of a service, including those that are leaving.
     pub fn iter_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         let listed = self.services.get(service).into_iter().flat_map(BTreeMap::values);
         let lapsed = self.lapsed.values().filter(move |server| server.service == service);
         listed.map(|listed| &listed.server).chain(lapsed)
     }
 
-    /// Lists all servers that have entries.
+    /// Iterates over all servers that have entries.
     pub fn iter(&self) -> impl Iterator<Item = &Server> {
         self.iter_listed().map(|listed| &listed.server)
     }
 
-    /// Counts the servers that have entries.
+    /// Returns the number of servers that have entries.
     pub fn count(&self) -> usize {
         self.services.values().map(BTreeMap::len).sum()
     }
@@ -322,30 +327,30 @@
         self.services.values().flat_map(BTreeMap::values)
     }
 
-    /// Takes over the entry of a server that changed at a version.
-    fn put(&mut self, mut server: Server, version: TableVersion) -> Vec<Change> {
+    /// Applies the entry of a server that changed at a version.
+    fn apply_entry(&mut self, mut server: Server, version: TableVersion) -> Vec<Change> {
         self.removals.forget(&server.id);
-        server.is_leaving |= self.departures.holds(&server.id, server.incarnation);
+        server.is_leaving |= self.departures.contains(&server.id, server.incarnation);
         if self.get(&server.id) == Some(&server) {
             return Vec::new();
         }
         let lapsed = self.lapsed.remove(&server.id);
-        let Some(before) = self.unlist(&server.id).or(lapsed) else {
+        let Some(before) = self.delist(&server.id).or(lapsed) else {
             return vec![self.add(server, version)];
         };
         match server.incarnation.cmp(&before.incarnation) {
             Ordering::Greater => vec![Change::Gone(before), self.add(server, version)],
-            // A late entry of an incarnation that is gone.
+            // A late entry of a former incarnation.
             Ordering::Less => {
                 self.list(before, version);
                 Vec::new()
             }
             Ordering::Equal => {
-                // A server that has begun to leave comes back as another incarnation only.
+                // A server that has started to leave can only come back as another incarnation.
                 let is_leaving = before.is_leaving || server.is_leaving;
                 let server = Server { is_leaving, ..server };
-                let has_begun = is_leaving && !before.is_leaving;
-                let change = has_begun.then(|| Change::Leaving(server.clone()));
+                let has_started_to_leave = is_leaving && !before.is_leaving;
+                let change = has_started_to_leave.then(|| Change::Leaving(server.clone()));
                 self.list(server, version);
                 change.into_iter().collect()
             }
@@ -368,8 +373,8 @@
         servers.insert(server.id.clone(), Listed { server, version });
     }
 
-    /// Takes a server out of the list.
-    fn unlist(&mut self, id: &str) -> Option<Server> {
+    /// Removes a server from the list.
+    fn delist(&mut self, id: &str) -> Option<Server> {
         let listed = self.services.values_mut().find_map(|servers| servers.remove(id));
         self.services.retain(|_, servers| !servers.is_empty());
         listed.map(|listed| listed.server)
--- a/crates/core/src/serving/directory/removals.rs
+++ b/crates/core/src/serving/directory/removals.rs
@@ -1,16 +1,17 @@
-//! Which servers have left the list, and when.
+//! Servers that were removed from the list.
 
 use std::collections::BTreeMap;
 
 use super::server::Server;
 use crate::serving::table_version::TableVersion;
 
-/// The fewest removals that are kept, however short the list is.
-const LEAST_KEPT: usize = 256;
+/// The minimum number of removals that are kept, however short the list is.
+const MIN_REMOVALS: usize = 256;
 
 /// The versions at which servers were removed from the list.
 ///
-/// At most as many are kept as there are servers: beyond that, the whole list is the shorter answer.
+/// At most as many removals are kept as there are servers: with more, sending the full list is
+/// shorter.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Removals {
     by_id: BTreeMap<String, Removal>,
@@ -20,39 +21,40 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Removal {
-    /// Which start of the server was removed.
+    /// The incarnation that was removed.
     incarnation: u64,
-    /// Whether it had begun to leave before.
+    /// Whether it had started to leave before.
     was_leaving: bool,
     version: TableVersion,
 }
 
 impl Removals {
-    /// Notes that a server was removed.
+    /// Records the removal of a server.
     pub fn note(&mut self, server: &Server, version: TableVersion) {
         let (incarnation, was_leaving) = (server.incarnation, server.is_leaving);
         let removal = Removal { incarnation, was_leaving, version };
         self.by_id.insert(server.id.clone(), removal);
     }
 
-    /// Returns `true` if this start of a server was removed.
-    pub fn holds(&self, server: &Server) -> bool {
+    /// Returns `true` if this incarnation of a server, or a later one, was removed.
+    pub fn contains(&self, server: &Server) -> bool {
         let removal = self.by_id.get(&server.id);
         removal.is_some_and(|removal| removal.incarnation >= server.incarnation)
     }
 
-    /// Returns `true` if this start of a server was removed after it had begun to leave.
+    /// Returns `true` if this incarnation of a server was removed after it had started to leave.
     pub fn has_left(&self, server: &Server) -> bool {
-        self.holds(server) && self.by_id.get(&server.id).is_some_and(|removal| removal.was_leaving)
+        self.contains(server)
+            && self.by_id.get(&server.id).is_some_and(|removal| removal.was_leaving)
     }
 
-    /// Notes that a server is listed again.
+    /// Forgets the removal of a server that is listed again.
     pub fn forget(&mut self, id: &str) {
         self.by_id.remove(id);
     }
 
-    /// Begins anew with a list that was read whole at a version: who knows an earlier one gets the whole
-    /// list.
+    /// Starts over with a full list read at a version; nodes that know an earlier version get the
+    /// full list.
     pub fn restart(&mut self, version: TableVersion) {
         self.complete_after = version;
     }
@@ -62,7 +64,7 @@
         version >= self.complete_after
     }
 
-    /// Lists the servers that were removed after a version, with the version of their removal.
+    /// Iterates over the servers removed after a version, with the versions of their removals.
     pub fn iter_after(
         &self,
         version: TableVersion,
@@ -71,9 +73,9 @@
         removals.filter(move |(_, at)| *at > version)
     }
 
-    /// Drops the older half where more removals are kept than there are servers.
+    /// Drops the older half of the removals if they outnumber the servers.
     pub fn trim(&mut self, servers: usize) {
-        let most = servers.max(LEAST_KEPT);
+        let most = servers.max(MIN_REMOVALS);
         if self.by_id.len() <= most {
             return;
         }
--- a/crates/core/src/serving/directory/server.rs
+++ b/crates/core/src/serving/directory/server.rs
@@ -1,4 +1,4 @@
-//! A server as it describes itself.
+//! The description of a server.
 
 use std::net::SocketAddr;
 
@@ -6,30 +6,31 @@
 
 use crate::Millis;
 
-/// A server as it describes itself.
+/// The description that a server gives of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Names the server; it may start again under the same id.
+    /// The ID of the server, which may stay the same across restarts.
     pub id: String,
-    /// Which start of the server this is: its time, in milliseconds since the Unix epoch, or 0 where it
-    /// does not say. What is known of an earlier one holds no more.
+    /// The start time of the server, in milliseconds since the Unix epoch; 0 if unknown.
+    ///
+    /// A later incarnation invalidates what is known of an earlier one.
     pub incarnation: u64,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// The data centre that it stands in.
+    /// Its data centre.
     pub data_centre: String,
     /// The version of its software.
     pub version: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to end.
+    /// Whether it is shutting down.
     pub is_leaving: bool,
-    /// Whether the provider may take it away at short notice.
+    /// Whether the provider may reclaim it at short notice.
     pub is_spot: bool,
-    /// Time until it is gone, where it said so.
+    /// The time until it is gone, if it announced that.
     pub leaves_within: Option<Millis>,
-    /// Time until it is as fast as others, where it has just started.
+    /// The time until it reaches full speed, if it has just started.
     pub warm_within: Option<Millis>,
 }
