--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -1,25 +1,25 @@
-//! How many servers to order, where, and of which kind.
+//! Capacity planning: how many servers to order, where, and of which kind.
 //!
-//! Each region gets the servers that the requests which arrive there need; what crosses to another
-//! region takes its time, and its share of a narrow link. A deployment without regions is one region.
+//! Each region gets the servers that its own requests need, because a request to another region
+//! takes longer and uses part of a narrow link. A deployment without regions is a single region.
 //!
-//! Spot servers (the users' reclaimable machines) cost a fraction of on-demand servers, but all of a
-//! data centre's can be reclaimed within seconds, and for a while no more are to be had anywhere.
-//! The plan holds a fraction of the need in on-demand servers and the rest in spot servers, which are
-//! spread over the data centres so that enough are left after the loss of one. On-demand servers
-//! stand in the cheaper data centres, none of which holds more than its share of all but one. Spot
-//! capacity that cannot be had, or is being reclaimed, is replaced by on-demand servers at once.
-//! These are released when spot servers accept requests in their place, not when they are ordered:
-//! no plan releases servers while those that would be left, and accept requests now, are fewer than
-//! the need.
+//! Spot servers run on reclaimable VMs. They cost a fraction of on-demand servers, but all of them
+//! in a data centre can be reclaimed within seconds, and for a while no replacement may be
+//! available anywhere. The plan holds a fraction of the need in on-demand servers and the rest in
+//! spot servers. The spot servers are spread over the data centres so that enough are left after
+//! the loss of one data centre. On-demand servers are placed in the cheaper data centres, and none
+//! of these holds more than its share of all data centres but one. Spot capacity that is
+//! unavailable or being reclaimed is replaced by on-demand servers at once. These are released when
+//! spot servers accept requests in their place, not when the spot servers are ordered: a plan
+//! releases no servers if the remaining ones that accept requests now would be fewer than the need.
 //!
-//! | module | does |
+//! | module | responsibility |
 //! |---|---|
 //! | this one | plans |
-//! | `need` | computes how many servers the demand needs, and follows its peaks |
-//! | `placement` | spreads servers over data centres |
-//! | `initial_count` | counts the servers that a new holder of the duties finds |
-//! | `order` | follows an order until its servers accept requests |
+//! | `need` | computes how many servers the demand needs, and its peaks |
+//! | `placement` | distributes servers over data centres |
+//! | `initial_count` | counts the servers that a new duty holder finds |
+//! | `order` | tracks an order until its servers accept requests |
 
 mod initial_count;
 mod need;
@@ -36,21 +36,22 @@
 
 use self::placement::{by_price, fill, spread};
 
-/// How much to hold, as fractions of the need.
+/// How much capacity to hold, relative to the need.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// The fraction of the need that is held in on-demand servers while spot servers can be had.
+    /// The fraction of the need that is held in on-demand servers while spot servers are available.
     pub on_demand_part: f64,
-    /// Spot servers for each server that is needed.
+    /// The number of spot servers per needed server.
     pub spot_part: f64,
-    /// The mean fraction of time for which servers may read prompts, besides those for bursts.
+    /// The mean fraction of time that servers may spend on prompts, without the reserve for bursts.
     pub target_utilization: f64,
-    /// The mean fraction of the slots that may be taken, besides those for bursts.
+    /// The mean fraction of the slots that may be occupied, without the reserve for bursts.
     pub target_occupancy: f64,
-    /// Servers held for bursts, for each square root of the load in servers: the load of many
-    /// servers varies less, relative to its size, than that of few.
+    /// The reserve for bursts: servers per square root of the load in servers.
+    ///
+    /// The load of many servers varies less, relative to its size, than that of few.
     pub burst_servers: f64,
-    /// The fraction of the spot servers that is counted on while no more can be had.
+    /// The fraction of the spot servers that is relied on while no more are available.
     pub exhausted_spot_part: f64,
 }
 
@@ -78,39 +79,42 @@
     pub spot_booting: u32,
 }
 
-/// The state of a region that a plan starts from.
+/// The state of a region for which a plan is made.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot<'a> {
-    /// The servers of each of its data centres in which the service may run.
+    /// The servers in each data centre of the region in which the service may run.
     pub inventory: &'a BTreeMap<String, Inventory>,
-    /// The servers that the demand in the region needs.
+    /// The number of servers that the demand in the region needs.
     pub need: u32,
-    /// Whether spot servers were lately refused: what is taken away then cannot be had
-    /// again, and waves that take one data centre often take the others too.
+    /// Whether spot servers were refused recently.
+    ///
+    /// Reclaimed servers cannot be replaced then, and a wave of reclaims in one data centre often
+    /// hits the others too.
     pub is_spot_exhausted: bool,
-    /// On-demand servers that were ordered, or are there, in all its data centres.
+    /// On-demand servers that were ordered or are running, in all data centres of the region.
     pub on_demand_held: u32,
-    /// How many servers of its need may stand in other regions: the work of more cannot cross.
+    /// How many servers of the need may be placed in other regions; the requests of more servers
+    /// cannot be sent there.
     pub spillable: u32,
 }
 
 impl Snapshot<'_> {
-    /// Returns `true` if the spot servers that accept requests carry the need of all data centres alone.
+    /// Returns `true` if the spot servers that accept requests cover the need of all data centres.
     ///
-    /// On-demand servers may then be given up while the list of servers still grows. Of an order for
-    /// fewer, nobody knows whether those stay that have listed themselves.
+    /// On-demand servers may then be released while the list of servers still grows. If there are
+    /// fewer spot servers, it is not known whether those that are listed will stay.
     pub fn is_spot_sufficient(&self, scaling: &Scaling) -> bool {
         let least = scaling.min * self.inventory.len() as u32;
         self.inventory.values().map(|held| held.spot).sum::<u32>() >= self.need.max(least)
     }
 
-    /// Counts the servers that accept requests.
+    /// Returns the number of servers that accept requests.
     fn count_accepting(&self) -> u32 {
         self.inventory.values().map(|held| held.on_demand + held.spot).sum()
     }
 }
 
-/// Servers to hold in each data centre.
+/// The number of servers to hold in each data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// On-demand servers.
@@ -121,17 +125,17 @@
 
 /// Plans the servers of a service in all regions.
 ///
-/// Servers stand where requests arrive. A region cannot hold its need if its data centres are full or
-/// none of its servers accepts requests. The rest is planned for regions that have room, as far as
-/// requests can cross. A region that has lost all servers keeps its own plan besides, so that it gets
-/// servers again.
+/// Servers are placed where requests arrive. A region cannot hold its need if its data centres are
+/// full or none of its servers accepts requests. The rest of its need is then planned for regions
+/// with room, as far as requests can be sent there. A region that has lost all its servers also
+/// keeps its own plan, so that it gets servers again.
 pub fn plan_regions(
     policy: &Policy,
     scaling: &Scaling,
     snapshots: &BTreeMap<String, Snapshot<'_>>,
 ) -> Plan {
     let mut all = Plan::default();
-    for (region, moved) in move_needs(scaling, snapshots) {
+    for (region, moved) in compute_moved_needs(scaling, snapshots) {
         let Some(snapshot) = snapshots.get(region) else { continue };
         let need = snapshot.need + moved;
         let plan = plan(policy, scaling, &Snapshot { need, ..*snapshot });
@@ -142,7 +146,7 @@
 }
 
 /// Computes the need that each region takes over from others.
-fn move_needs<'a>(
+fn compute_moved_needs<'a>(
     scaling: &Scaling,
     snapshots: &'a BTreeMap<String, Snapshot<'_>>,
 ) -> BTreeMap<&'a str, u32> {
@@ -165,9 +169,11 @@
     moved
 }
 
-/// The most servers that a plan releases beyond those that the list shows as leaving: all nodes must hear of
-/// each before it ends, and a longer wave of changes takes longer to reach them.
-const MOST_RELEASED: u32 = 1_000;
+/// The largest number of servers that a plan releases beyond those that the list shows as leaving.
+///
+/// All nodes must learn of each release before the server ends, and a larger wave of changes takes
+/// longer to reach them.
+const MAX_RELEASED_SERVERS: u32 = 1_000;
 
 /// Plans the servers of a service in the data centres of one region.
 pub fn plan(policy: &Policy, scaling: &Scaling, snapshot: &Snapshot<'_>) -> Plan {
@@ -178,7 +184,7 @@
         return Plan::default();
     }
     let need = snapshot.need.max(scaling.min * data_centres.len() as u32).min(most);
-    let spare = snapshot.count_accepting().saturating_sub(need).min(MOST_RELEASED);
+    let spare = snapshot.count_accepting().saturating_sub(need).min(MAX_RELEASED_SERVERS);
     if scaling.spot_price.is_none() {
         let on_demand = fill(&data_centres, need, scaling.max, &BTreeMap::new());
         let mut plan = Plan { on_demand, spot: BTreeMap::new() };
@@ -187,13 +193,13 @@
     }
     let spot = (f64::from(need) * policy.spot_part).ceil() as u32;
     let wanted = spread(&data_centres, spot, scaling.max, &BTreeMap::new());
-    let held: BTreeMap<String, u32> = inventory.iter().map(held_spot).collect();
+    let held: BTreeMap<String, u32> = inventory.iter().map(count_held_spot).collect();
     let on_demand = count_on_demand(policy, snapshot, need);
     let on_demand = fill(&data_centres, on_demand, scaling.max, &held);
     let spot = wanted.into_iter().map(|(data_centre, count)| {
         let planned = on_demand.get(&data_centre).copied().unwrap_or(0);
-        // On-demand servers that are still there take up room: the platform cuts an order that
-        // exceeds the maximum and does not say so.
+        // On-demand servers that are still running take up room: the platform silently truncates an
+        // order that exceeds the maximum.
         let present = inventory.get(&data_centre).map_or(0, |held| held.on_demand);
         let room = scaling.max.saturating_sub(planned.max(present));
         (data_centre, count.min(room))
@@ -204,11 +210,12 @@
     plan
 }
 
-/// Limits what a plan releases to `spare` servers: those beyond the need that accept requests now.
+/// Limits the releases of a plan to `spare` servers, the servers beyond the need that accept
+/// requests now.
 ///
-/// On-demand servers go before spot servers, in dearer data centres before cheaper ones. An
-/// on-demand server that has to stay takes the place of one that would be ordered elsewhere.
-/// `docs/design/starts.md` says what that costs.
+/// On-demand servers are released before spot servers, and servers in expensive data centres before
+/// those in cheap ones. An on-demand server that must stay replaces one that would be ordered
+/// elsewhere. See `docs/design/starts.md` for the costs.
 fn limit_releases(
     plan: &mut Plan,
     data_centres: &[&str],
@@ -233,8 +240,8 @@
     cancel_orders(&mut plan.on_demand, data_centres, inventory, kept);
 }
 
-/// Takes up to `kept` on-demand servers that are not there yet out of a plan, in dearer data centres
-/// first: as many that are there stay in their place.
+/// Removes up to `kept` on-demand servers that are not running yet from a plan, in expensive data
+/// centres first, because as many running ones are kept instead.
 fn cancel_orders(
     on_demand: &mut BTreeMap<String, u32>,
     data_centres: &[&str],
@@ -250,23 +257,23 @@
     }
 }
 
-/// Counts the on-demand servers to hold in all data centres.
+/// Returns the number of on-demand servers to hold in all data centres.
 ///
-/// Spot servers that were ordered count against ordering on-demand servers. Only those that accept
-/// requests count against keeping on-demand servers.
+/// Ordered spot servers reduce the number of on-demand servers to order. Only spot servers that
+/// accept requests reduce the number to keep.
 fn count_on_demand(policy: &Policy, snapshot: &Snapshot<'_>, need: u32) -> u32 {
     let base = ((f64::from(need) * policy.on_demand_part).ceil() as u32).max(1).min(need);
-    let working: u32 = snapshot.inventory.values().map(|data_centre| data_centre.spot).sum();
+    let accepting: u32 = snapshot.inventory.values().map(|data_centre| data_centre.spot).sum();
     let booting: u32 =
         snapshot.inventory.values().map(|data_centre| data_centre.spot_booting).sum();
-    let trusted = if snapshot.is_spot_exhausted { policy.exhausted_spot_part } else { 1.0 };
-    let carried = |spot: u32| (f64::from(spot) * trusted) as u32;
-    let least = base + (need - base).saturating_sub(carried(working + booting));
-    let most = base + (need - base).saturating_sub(carried(working));
+    let usable_fraction = if snapshot.is_spot_exhausted { policy.exhausted_spot_part } else { 1.0 };
+    let covered = |spot: u32| (f64::from(spot) * usable_fraction) as u32;
+    let least = base + (need - base).saturating_sub(covered(accepting + booting));
+    let most = base + (need - base).saturating_sub(covered(accepting));
     snapshot.on_demand_held.clamp(least, most)
 }
 
-/// Counts a data centre's spot servers, including those that are starting.
-fn held_spot((data_centre, inventory): (&String, &Inventory)) -> (String, u32) {
+/// Returns the number of spot servers in a data centre, including those that are starting.
+fn count_held_spot((data_centre, inventory): (&String, &Inventory)) -> (String, u32) {
     (data_centre.clone(), inventory.spot + inventory.spot_booting)
 }
--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -8,66 +8,72 @@
 /// The demand for a service in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub tokens_per_second: f64,
-    /// Prompt tokens that a server reads in a second.
+    /// Prompt tokens that a server processes per second.
     pub server_tokens_per_second: f64,
     /// Requests in flight.
     pub in_flight: f64,
-    /// Requests that a server works on at once.
+    /// Requests that a server processes concurrently.
     pub slots: f64,
 }
 
 /// Computes how many servers a service needs in each region.
 ///
-/// The room for bursts follows the load of all regions together, split by their loads: what is too
-/// much for one region may go to another.
+/// The reserve for bursts depends on the total load of all regions and is split by their loads,
+/// because a region can pass its excess load to another one.
 pub fn compute_needs(policy: &Policy, demands: &BTreeMap<String, Demand>) -> BTreeMap<String, u32> {
-    let reading = |demand: &Demand| demand.tokens_per_second / demand.server_tokens_per_second;
-    let filled = |demand: &Demand| demand.in_flight / demand.slots.max(1.0);
-    let all_reading: f64 = demands.values().map(reading).sum();
-    let all_filled: f64 = demands.values().map(filled).sum();
-    let with_bursts = |work: f64, all: f64, part: f64| {
+    let busy_servers = |demand: &Demand| demand.tokens_per_second / demand.server_tokens_per_second;
+    let occupied_servers = |demand: &Demand| demand.in_flight / demand.slots.max(1.0);
+    let all_busy_servers: f64 = demands.values().map(busy_servers).sum();
+    let all_occupied_servers: f64 = demands.values().map(occupied_servers).sum();
+    let with_burst_reserve = |work: f64, all: f64, part: f64| {
         let share = if all > 0.0 { work / all } else { 0.0 };
         work / part + policy.burst_servers * all.sqrt() * share
     };
     let need = |demand: &Demand| {
-        let by_tokens = with_bursts(reading(demand), all_reading, policy.target_utilization);
-        let by_slots = with_bursts(filled(demand), all_filled, policy.target_occupancy);
+        let by_tokens =
+            with_burst_reserve(busy_servers(demand), all_busy_servers, policy.target_utilization);
+        let by_slots = with_burst_reserve(
+            occupied_servers(demand),
+            all_occupied_servers,
+            policy.target_occupancy,
+        );
         let need = by_tokens.max(by_slots);
         if need.is_finite() { need.ceil().max(1.0) as u32 } else { 1 }
     };
     demands.iter().map(|(region, demand)| (region.clone(), need(demand))).collect()
 }
 
-/// Bits of a prompt's token as text on a link: about four letters.
+/// Bits that a prompt token takes as text on a link: about four letters.
 const BITS_PER_TOKEN: f64 = 32.0;
 /// Bits in a megabit.
 const BITS_PER_MEGABIT: f64 = 1e6;
 
-/// Counts the servers of a region's need whose work may go to other regions at `spill_mbps`.
+/// Returns the number of servers of a region's need whose requests can be sent to other regions at
+/// `spill_mbps`.
 pub fn count_spillable(need: u32, tokens_per_second: f64, spill_mbps: f64) -> u32 {
     let mbps = tokens_per_second * BITS_PER_TOKEN / BITS_PER_MEGABIT;
     let part = if mbps > spill_mbps { spill_mbps / mbps } else { 1.0 };
     (f64::from(need) * part) as u32
 }
 
-/// The largest of the latest values, so that a plan follows a rise at once and a fall slowly.
+/// The peak of recent values, so that a plan follows a rise at once and a fall slowly.
 #[derive(Clone, Debug, Default)]
 pub struct PeakWindow {
     values: Vec<(Millis, u32)>,
 }
 
 impl PeakWindow {
-    /// Notes a value and returns the largest within `span`.
+    /// Records a value and returns the largest one within `span`.
     pub fn record(&mut self, now: Millis, value: u32, span: Millis) -> u32 {
         self.values.push((now, value));
         self.values.retain(|(at, _)| at + span >= now);
         self.get_largest().unwrap_or(value)
     }
 
-    /// Keeps the largest value as if it had been noted now.
-    fn hold(&mut self, now: Millis) {
+    /// Keeps the largest value as if it was recorded now.
+    fn refresh(&mut self, now: Millis) {
         if let Some(largest) = self.get_largest() {
             self.values = vec![(now, largest)];
         }
@@ -78,18 +84,18 @@
     }
 }
 
-/// The needs of a service by region, which rise at once and fall slowly.
+/// The peak needs of a service by region, which rise at once and fall slowly.
 #[derive(Clone, Debug, Default)]
 pub struct PeakNeeds {
     by_region: BTreeMap<String, PeakWindow>,
 }
 
 impl PeakNeeds {
-    /// Notes what the demand needs now and returns the largest need within `span`, of all regions
-    /// whose need is known.
+    /// Records the current needs and returns the peak needs within `span` of all regions with a
+    /// known need.
     ///
-    /// The need of regions that are not heard stays as it was: requests go on there, and nobody
-    /// reports them. Without this, the servers of a region that serves on its own would be given up.
+    /// The need of an unheard region is kept, because its requests continue although nobody reports
+    /// them. Otherwise the servers of a partitioned region would be released.
     pub fn record(
         &mut self,
         now: Millis,
@@ -103,7 +109,7 @@
         }
         for region in unheard {
             if let Some(window) = self.by_region.get_mut(*region) {
-                window.hold(now);
+                window.refresh(now);
             }
         }
         let known = self.by_region.iter();
--- a/crates/core/src/serving/capacity/placement.rs
+++ b/crates/core/src/serving/capacity/placement.rs
@@ -1,4 +1,4 @@
-//! In which data centres servers stand.
+//! The placement of servers in data centres.
 
 use std::collections::BTreeMap;
 
@@ -17,18 +17,20 @@
     data_centres
 }
 
-/// On-demand servers stand in two data centres at least, where there are two.
-const LEAST_PARTS: usize = 2;
+/// The minimum number of data centres for on-demand servers, if that many exist.
+const MIN_DATA_CENTRES: usize = 2;
 
-/// Fills data centres from the cheapest on, none of them with more than its part of all but one, as
-/// far as there is room; what finds none is spread over all.
+/// Fills data centres from the cheapest on, each with at most its share of all data centres but
+/// one, as far as they have room.
+///
+/// If some servers do not fit, all are spread over all data centres instead.
 pub(super) fn fill(
     data_centres: &[&str],
     count: u32,
     most: u32,
     taken: &BTreeMap<String, u32>,
 ) -> BTreeMap<String, u32> {
-    let parts = data_centres.len().saturating_sub(1).max(LEAST_PARTS) as u32;
+    let parts = data_centres.len().saturating_sub(1).max(MIN_DATA_CENTRES) as u32;
     let part = count.div_ceil(parts);
     let mut filled = BTreeMap::new();
     let mut left = count;
@@ -41,8 +43,9 @@
     if left > 0 { spread(data_centres, count, most, taken) } else { filled }
 }
 
-/// Spreads servers, one in each data centre in turn from the cheapest, up to `most` beside those
-/// `taken`.
+/// Spreads servers over data centres in turn, the cheapest first.
+///
+/// A data centre gets at most `most` servers, less those already `taken`.
 pub(super) fn spread(
     data_centres: &[&str],
     count: u32,
