--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -1,8 +1,8 @@
-//! The demand for each service, over all nodes, by the region where requests arrive.
+//! The demand for each service over all nodes, by the region where requests arrive.
 //!
-//! Each node counts for its own region, and its report names that region. The sums that an aggregator
-//! passes on stay apart by region, so that a group may hold nodes of several. Where no regions are
-//! known, all nodes count for one without a name.
+//! Each node counts the requests of its own region, which its report names. An aggregator passes on
+//! separate sums for each region, so its group may span several regions. Without regions, all nodes
+//! count for one region with an empty name.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,14 +10,14 @@
 
 use crate::Millis;
 
-/// The demand that one incarnation of a node has seen since its start. The numbers only grow.
+/// The demand that an incarnation of a node has seen since its start. The numbers only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandTotals {
     /// Requests.
     pub requests: u64,
     /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of answers, as far as callers expect.
+    /// Tokens of responses, as callers expect them.
     pub output_tokens: u64,
 }
 
@@ -28,7 +28,7 @@
         self.output_tokens += other.output_tokens;
     }
 
-    fn minus(&self, other: &Self) -> Self {
+    fn subtract(&self, other: &Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
             prompt_tokens: self.prompt_tokens.saturating_sub(other.prompt_tokens),
@@ -37,31 +37,31 @@
     }
 }
 
-/// What one node, or the nodes of a group that stand in one region, report of a service.
+/// A report on a service from a node, or from the nodes of a group that are in the same region.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The region where the requests arrived; empty where no regions are known.
+    /// The region where the requests arrived; empty if there are no regions.
     pub region: String,
-    /// Its demand since its start.
+    /// The demand since the start.
     pub totals: DemandTotals,
-    /// Requests that it has in flight at servers now.
+    /// Requests that are in flight at servers.
     pub in_flight: u32,
 }
 
-/// The demand for each service, over all nodes.
+/// Tracks the demand for each service over all nodes.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTracker {
-    /// The region that this node stands in.
+    /// The region of this node.
     region: String,
-    /// What arrived at this node itself, by service.
+    /// The demand that arrived at this node, by service.
     own: BTreeMap<String, Counts>,
     peers: BTreeMap<(String, u64), Peer>,
-    /// The demand at the nodes that report to this one, since it heard them first.
+    /// The demand at the nodes that report to this one, since this node first heard them.
     group: BTreeMap<Key, DemandTotals>,
-    /// The demand at all other nodes, since this node heard them first.
+    /// The demand at all other nodes, since this node first heard them.
     others: BTreeMap<Key, DemandTotals>,
-    /// Services that had a request at some node, also before this node heard that node.
-    touched: BTreeSet<String>,
+    /// Services that had a request at any node, even before this node heard that node.
+    requested: BTreeSet<String>,
     samples: BTreeMap<String, VecDeque<(Millis, RegionTotals)>>,
 }
 
@@ -71,10 +71,10 @@
 /// The demand for a service in each region.
 pub type RegionTotals = BTreeMap<String, DemandTotals>;
 
-/// The counts of one service and one region.
+/// The counts for a service and a region.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    /// The demand since the start of the node that counts.
+    /// The demand since the start of the counting node.
     totals: DemandTotals,
     /// Requests in flight at servers now.
     in_flight: u32,
@@ -88,40 +88,39 @@
     latest: BTreeMap<Key, Counts>,
 }
 
-/// The silence after which a peer is out of reach, in milliseconds. Its requests in flight no longer
-/// count then.
-const OUT_OF_REACH_AFTER: Millis = 2_000;
+/// The silence after which a peer is unreachable. Its requests in flight no longer count then.
+const REACHABILITY_TIMEOUT: Millis = 2_000;
 
-/// How long samples are kept, in milliseconds.
-const KEPT: Millis = 30_000;
-/// The least time that a rate must cover, in milliseconds.
-const LEAST_COVERED: Millis = 1_500;
+/// How long samples are kept.
+const SAMPLE_TTL: Millis = 30_000;
+/// The minimum time that a rate must cover.
+const MIN_COVERED_TIME: Millis = 1_500;
 
 impl DemandTracker {
-    /// Makes the book of a node that stands in a region.
+    /// Creates the tracker of a node in a region.
     pub fn new(region: &str) -> Self {
         Self { region: region.to_owned(), ..Self::default() }
     }
 
     /// Counts a request to a service.
     pub fn count(&mut self, service: &str, request: &DemandTotals) {
-        self.touched.insert(service.to_owned());
+        self.requested.insert(service.to_owned());
         self.own.entry(service.to_owned()).or_default().totals.add(request);
     }
 
-    /// Counts a request that is sent to a server.
+    /// Counts a request that was sent to a server.
     pub fn begin_request(&mut self, service: &str) {
         self.own.entry(service.to_owned()).or_default().in_flight += 1;
     }
 
-    /// Counts that a request to a server has ended.
+    /// Counts the end of a request to a server.
     pub fn end_request(&mut self, service: &str) {
         if let Some(own) = self.own.get_mut(service) {
             own.in_flight = own.in_flight.saturating_sub(1);
         }
     }
 
-    /// Lists the demand at this node and those that report to it, by service and region.
+    /// Lists the demand at this node and at the nodes that report to it, by service and region.
     pub fn sum_group(&self, now: Millis) -> Vec<(String, Report)> {
         let own = self.own.keys().map(|service| (service.clone(), self.region.clone()));
         let keys: BTreeSet<Key> = own.chain(self.group.keys().cloned()).collect();
@@ -136,18 +135,20 @@
         keys.into_iter().map(sum).collect()
     }
 
-    /// Returns the demand at this node itself, if the key names its own region.
+    /// Returns the demand at this node if the key names its own region.
     fn get_own(&self, (service, region): &Key) -> Counts {
         let own = self.own.get(service).filter(|_| *region == self.region);
         own.copied().unwrap_or_default()
     }
 
-    /// Merges what an incarnation of a peer reports, for itself or for its group; `is_member` where
-    /// it reports to this node.
+    /// Merges the reports of an incarnation of a peer, for itself or for its group.
     ///
-    /// Requests that arrived there before it was first heard do not count: they would look like demand
-    /// of that moment to a node that has just started. Neither do those that arrived while it was out
-    /// of reach: after a cut of a minute they would look like many times the demand.
+    /// `is_member` is `true` if the peer reports to this node.
+    ///
+    /// Requests that arrived before the peer was first heard do not count: to a node that has just
+    /// started, they would look like demand of that moment. Requests that arrived while the peer
+    /// was unreachable do not count either: after a partition of a minute, they would look like
+    /// many times the demand.
     pub fn merge(
         &mut self,
         now: Millis,
@@ -157,33 +158,33 @@
     ) {
         let key = (from.0.to_owned(), from.1);
         let known = self.peers.get(&key);
-        let is_in_reach = known.is_some_and(|peer| now < peer.reported_at + OUT_OF_REACH_AFTER);
+        let is_reachable = known.is_some_and(|peer| now < peer.reported_at + REACHABILITY_TIMEOUT);
         let peer = self.peers.entry(key).or_default();
         peer.reported_at = now;
         peer.is_member = is_member;
         for (service, report) in reports {
             if report.totals.requests > 0 {
-                self.touched.insert(service.clone());
+                self.requested.insert(service.clone());
             }
             let key = (service.clone(), report.region.clone());
             let latest = Counts { totals: report.totals, in_flight: report.in_flight };
             let before = peer.latest.insert(key.clone(), latest);
             let before = before.map_or_else(DemandTotals::default, |before| before.totals);
-            if !is_in_reach {
+            if !is_reachable {
                 continue;
             }
             let sums = if is_member { &mut self.group } else { &mut self.others };
-            sums.entry(key).or_default().add(&report.totals.minus(&before));
+            sums.entry(key).or_default().add(&report.totals.subtract(&before));
         }
     }
 
-    /// Forgets an incarnation of a peer that is gone; its demand still counts.
+    /// Forgets an incarnation of a peer that has left; its demand still counts.
     pub fn forget(&mut self, peer: &str, incarnation: u64) {
         self.peers.remove(&(peer.to_owned(), incarnation));
     }
 
-    /// Sums the requests to a service that all nodes have in flight at servers, by the region where
-    /// they arrived.
+    /// Returns the number of requests to a service that all nodes have in flight at servers, by the
+    /// region where they arrived.
     pub fn get_in_flight(&self, now: Millis, service: &str) -> BTreeMap<String, u32> {
         let peers = self.peers.values().flat_map(|peer| peer.latest.keys());
         let regions = peers.filter(|key| key.0 == service).map(|key| key.1.clone());
@@ -198,11 +199,11 @@
 
     fn sum_in_flight(&self, now: Millis, key: &Key, counts: fn(&Peer) -> bool) -> u32 {
         let peers = self.peers.values().filter(|peer| counts(peer));
-        let recent = peers.filter(|peer| now < peer.reported_at + OUT_OF_REACH_AFTER);
+        let recent = peers.filter(|peer| now < peer.reported_at + REACHABILITY_TIMEOUT);
         recent.filter_map(|peer| peer.latest.get(key)).map(|latest| latest.in_flight).sum()
     }
 
-    /// Notes the totals of all services now, for later rates.
+    /// Samples the totals of all services, for later rates.
     pub fn sample_all(&mut self, now: Millis) {
         let others = self.group.keys().chain(self.others.keys()).map(|key| &key.0);
         let services: BTreeSet<String> = self.own.keys().chain(others).cloned().collect();
@@ -213,10 +214,10 @@
 
     /// Returns `true` if no known node has seen a request for a service.
     pub fn is_never_requested(&self, service: &str) -> bool {
-        !self.touched.contains(service)
+        !self.requested.contains(service)
     }
 
-    /// Notes the totals of a service now, for later rates.
+    /// Samples the totals of a service, for later rates.
     pub fn sample(&mut self, now: Millis, service: &str) {
         let own = self.own.get(service).copied().unwrap_or_default().totals;
         let mut totals = RegionTotals::from([(self.region.clone(), own)]);
@@ -227,14 +228,15 @@
         }
         let samples = self.samples.entry(service.to_owned()).or_default();
         samples.push_back((now, totals));
-        while samples.front().is_some_and(|(at, _)| at + KEPT < now) {
+        while samples.front().is_some_and(|(at, _)| at + SAMPLE_TTL < now) {
             samples.pop_front();
         }
     }
 
-    /// Returns the demand for a service within the latest `span`, by the region where it arrived, and
-    /// the time that it covers, which begins with the first request; `None` before that time is long
-    /// enough for a rate.
+    /// Returns the demand for a service within the latest `span`, by the region where it arrived,
+    /// and the time that it covers.
+    ///
+    /// That time starts with the first request. Returns `None` while it is too short for a rate.
     pub fn get_recent(
         &self,
         now: Millis,
@@ -249,11 +251,11 @@
         // Before the first request there is no demand to average over.
         let before_first = recent().take_while(|(_, totals)| is_before_first(totals)).last();
         let (first_at, first) = before_first.or_else(|| recent().next())?;
-        let least = span.min(LEAST_COVERED);
+        let least = span.min(MIN_COVERED_TIME);
         let covered = last_at.checked_sub(*first_at).filter(|covered| *covered >= least)?;
         let since_first = |(region, total): (&String, &DemandTotals)| {
             let first = first.get(region).copied().unwrap_or_default();
-            (region.clone(), total.minus(&first))
+            (region.clone(), total.subtract(&first))
         };
         Some((last.iter().map(since_first).collect(), covered))
     }
--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -1,64 +1,64 @@
-//! Which copy of the table service's rows a node deals with.
+//! Eras of the table service: which copy of its rows a node deals with.
 //!
-//! The table service may come back from an older copy of its rows. What was written since that copy is
-//! gone, and versions are given out again. Each return begins another era, whose number every answer
-//! carries. The operator and the servers write again what was lost of theirs; of the nodes' rows nobody
-//! else knows.
+//! The table service may be restored from an older copy of its rows. Everything written since that
+//! copy is lost, and versions are reused. Each restore starts a new era, whose number is part of
+//! every response. The operator and the servers rewrite their lost rows; the nodes' rows are known
+//! to no one else.
 //!
-//! A node that saw an era begin knows its age. One that starts later reads it from a row that the first node
-//! has written ([`Origin`]).
+//! A node that saw an era begin knows its age. A node that starts later reads the age from a row
+//! that the first node has written ([`Origin`]).
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// The time after a return in which the operator and the servers have written again what was lost.
+/// The time after a restore in which the operator and the servers rewrite their lost rows.
 pub const REWRITE_PERIOD: Millis = 2_000;
 
-/// How far the wall clocks of two nodes may differ.
-const CLOCKS_DIFFER_BY: Millis = 4_000;
+/// The maximum difference between the wall clocks of two nodes.
+const MAX_CLOCK_SKEW: Millis = 4_000;
 
-/// An era of the table service: a number that rises by one with each return, or none where the service does
-/// not name eras.
+/// An era of the table service: a number that rises by one with each restore, or no number if the
+/// service has no eras.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Era(Option<u64>);
 
 impl Era {
-    /// The era of a table service that does not name any.
+    /// The era of a table service without eras.
     pub const UNNAMED: Self = Self(None);
 
-    /// Makes the era of a number.
+    /// Creates the era with a number.
     pub fn named(number: u64) -> Self {
         Self(Some(number))
     }
 
-    /// Returns its number; `None` where the table service names no eras.
+    /// Returns the number of the era; `None` if the table service has no eras.
     pub fn get_number(self) -> Option<u64> {
         self.0
     }
 }
 
-/// When the first node saw an era.
+/// When a node first saw an era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// Milliseconds since then.
+    /// Milliseconds since that time.
     pub age: Millis,
     /// That time on the node's wall clock, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// An era that a node did not know.
+/// A change to an era that was not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EraChange {
-    /// The era.
+    /// The new era.
     pub era: Era,
-    /// The one before it, where the node knew one.
+    /// The previous era, if the node knew one.
     pub before: Option<Era>,
 }
 
-/// The newest era that a node knows.
+/// The latest era that a node knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Eras {
     current: Option<Current>,
@@ -67,46 +67,47 @@
 #[derive(Clone, Copy, Debug)]
 struct Current {
     era: Era,
-    /// When it had begun at the latest; `None` where the node has not seen it begin, nor read its origin.
+    /// The latest time at which the era may have begun; `None` if the node neither saw it begin nor
+    /// read its origin.
     begun_at: Option<Millis>,
-    /// Whether the node knew an earlier one.
-    is_return: bool,
+    /// Whether the node knew an earlier era.
+    is_restored: bool,
     origin: Option<Origin>,
-    /// Whether the operator was seen to have written again.
+    /// Whether the operator was seen to have rewritten its configuration.
     is_rewritten: bool,
 }
 
 impl Eras {
-    /// Returns the newest era that is known.
+    /// Returns the latest known era.
     pub fn get(&self) -> Era {
         self.current.map_or(Era::UNNAMED, |current| current.era)
     }
 
-    /// Returns `true` if an era is earlier than the newest one that is known.
+    /// Returns `true` if an era is earlier than the latest known one.
     pub fn is_superseded(&self, era: Era) -> bool {
         self.current.is_some_and(|current| era < current.era)
     }
 
-    /// Notes the era of an answer, or of what another node knows; returns it where it is newer than what
-    /// is known.
+    /// Records the era of a response or of another node's data; returns the change if the era is
+    /// newer than the known one.
     pub fn note(&mut self, now: Millis, era: Era) -> Option<EraChange> {
         let before = self.current.map(|current| current.era);
         if before >= Some(era) {
             return None;
         }
-        let is_return = before.is_some();
-        let begun_at = is_return.then_some(now);
+        let is_restored = before.is_some();
+        let begun_at = is_restored.then_some(now);
         self.current =
-            Some(Current { era, begun_at, is_return, origin: None, is_rewritten: false });
+            Some(Current { era, begun_at, is_restored, origin: None, is_rewritten: false });
         Some(EraChange { era, before })
     }
 
-    /// Returns `true` if the node knew an earlier era than the current one.
+    /// Returns `true` if the node knew an earlier era than the current one, that is, saw a restore.
     pub fn is_restored(&self) -> bool {
-        self.current.is_some_and(|current| current.is_return)
+        self.current.is_some_and(|current| current.is_restored)
     }
 
-    /// Notes the origin of an era, where that is the current one.
+    /// Records the origin of an era if it is the current one.
     pub fn set_origin(&mut self, now: Millis, era: Era, origin: Origin) {
         let Some(current) = self.current.as_mut().filter(|current| current.era == era) else {
             return;
@@ -116,16 +117,16 @@
         current.origin = Some(origin);
     }
 
-    /// Returns the origin of the current era, where it is known.
+    /// Returns the origin of the current era, if it is known.
     pub fn get_origin(&self) -> Option<Origin> {
         self.current?.origin
     }
 
-    /// Returns the milliseconds since the current era began, at the least; `None` where that is not
-    /// known. A table service that names no eras loses nothing.
+    /// Returns the minimum age of the current era in milliseconds; `None` if the age is unknown.
     ///
-    /// The first era of a deployment has an age too: a node that has seen no other one cannot tell it from an era that
-    /// began with a copy from before the first write.
+    /// A table service without eras loses nothing, so its age is the largest value. The first era
+    /// of a deployment has an age too: a node that has seen no other era cannot distinguish it from
+    /// one that began with a copy from before the first write.
     pub fn get_age(&self, now: Millis) -> Option<Millis> {
         let Some(current) = self.current else { return Some(Millis::MAX) };
         if current.era == Era::UNNAMED {
@@ -134,30 +135,30 @@
         current.begun_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Notes that the operator has written again what it had written in an earlier era.
+    /// Records that the operator has rewritten its configuration of an earlier era.
     pub fn note_configuration_rewritten(&mut self) {
         if let Some(current) = &mut self.current {
             current.is_rewritten = true;
         }
     }
 
-    /// Returns `true` if the operator and the servers have had the time to write again.
+    /// Returns `true` if the operator and the servers have had time to rewrite their rows.
     pub fn is_settled(&self, now: Millis) -> bool {
         self.get_age(now).is_some_and(|age| age >= REWRITE_PERIOD)
     }
 
-    /// Returns `true` if the operator's configuration is as new as it ever was.
+    /// Returns `true` if the operator's configuration is as new as before the restore.
     pub fn is_configuration_current(&self, now: Millis) -> bool {
         self.current.is_some_and(|current| current.is_rewritten) || self.is_settled(now)
     }
 
-    /// Returns `true` if nothing that could be done at a time of the wall clock, at the earliest, was done in
-    /// an earlier era.
+    /// Returns `true` if work that could start at `unix_ms` at the earliest cannot have been done
+    /// in an earlier era.
     pub fn is_certainly_after_restore(&self, unix_ms: u64) -> bool {
         if self.get() == Era::UNNAMED {
             return true;
         }
         let Some(origin) = self.get_origin() else { return false };
-        unix_ms >= origin.unix_ms + CLOCKS_DIFFER_BY
+        unix_ms >= origin.unix_ms + MAX_CLOCK_SKEW
     }
 }
--- a/crates/core/src/serving/table_version.rs
+++ b/crates/core/src/serving/table_version.rs
@@ -1,4 +1,4 @@
-//! The versions of the table service's rows.
+//! Versions of the rows of the table service.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,32 +8,32 @@
 
 use super::era::Era;
 
-/// A version of the table service's rows.
+/// A version of a row of the table service.
 ///
-/// Numbers are given out again after a return from an older copy, so that a version of a later era is
-/// newer, whatever its number.
+/// Numbers are reused after a restore from an older copy, so a version of a later era is newer,
+/// whatever its number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct TableVersion {
     /// The era.
     pub era: Era,
-    /// Rises with each transaction of the era.
+    /// The number, which rises with each transaction of the era.
     pub number: u64,
 }
 
 impl TableVersion {
-    /// Makes a version.
+    /// Creates a version.
     pub fn new(era: Era, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// Returns what stands for the version of a row that is not there.
+    /// Returns the version that stands for a missing row.
     pub fn absent(era: Era) -> Self {
         Self { era, number: 0 }
     }
 
-    /// Returns `true` if it stands for a row that is not there.
+    /// Returns `true` if the version stands for a missing row.
     pub fn is_absent(self) -> bool {
         self.number == 0
     }
--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -1,103 +1,108 @@
-//! The windows of usage that were frozen, as far as a node knows.
+//! Windows whose usage counts are final.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::window_set::WindowSet;
 use super::{Counts, WindowNumber};
 
-/// Reports in which the node that froze a window lists its counts.
-const REPEATS: u32 = 3;
-/// The most windows whose counts one report lists: each holds a count for every client account.
-const MOST_LISTED: usize = 2;
+/// Reports in which the node that froze a window includes its counts.
+const COUNT_REPORTS: u32 = 3;
+/// The largest number of windows whose counts a report includes, because each window has a count
+/// for every client account.
+const MAX_WINDOWS_PER_REPORT: usize = 2;
 
-/// The windows that this node or another holder of the duties has frozen, with their counts.
+/// The windows that this node or another duty holder has frozen, with their counts.
 ///
-/// The rows that hold them may be gone after a return of the table service. What was reported must then be
-/// reported the same again, or not at all.
+/// A restore of the table service may lose the rows that hold the counts. A window that was
+/// reported must then be reported with the same counts again, or not at all.
 ///
-/// Each report to other nodes names the windows that its sender knows, and lists the counts of some. Of a window
-/// that was only named the counts were lost on their way: it may have been reported.
+/// Each report to other nodes names the windows that its sender knows as frozen, and includes the
+/// counts of some. If a window was only named, its counts were lost in transit, and it may have
+/// been reported.
 #[derive(Clone, Debug)]
 pub struct FrozenWindows {
-    /// How many windows are remembered, the latest ones.
-    most: usize,
-    known: BTreeMap<WindowNumber, Known>,
-    named: BTreeSet<WindowNumber>,
+    /// The number of windows that are remembered, newest first.
+    capacity: usize,
+    known: BTreeMap<WindowNumber, FrozenWindow>,
+    announced: BTreeSet<WindowNumber>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct FrozenWindow {
     counts: Counts,
-    /// In how many further reports to other nodes the counts are listed.
-    repeats: u32,
+    /// The number of further reports to other nodes that include the counts.
+    remaining_reports: u32,
 }
 
 impl FrozenWindows {
-    /// Makes a memory of so many windows.
-    pub fn new(most: u64) -> Self {
-        let most = usize::try_from(most).unwrap_or(usize::MAX);
-        Self { most, known: BTreeMap::new(), named: BTreeSet::new() }
+    /// Creates a memory for a number of windows.
+    pub fn new(capacity: u64) -> Self {
+        let capacity = usize::try_from(capacity).unwrap_or(usize::MAX);
+        Self { capacity, known: BTreeMap::new(), announced: BTreeSet::new() }
     }
 
-    /// Notes that this node has frozen a window, or has found its row; returns `true` if that was not known.
-    /// What was known first stays.
+    /// Records that this node has frozen a window or has found its row; returns `true` if that was
+    /// not known. The counts that were recorded first are kept.
     pub fn record_own(&mut self, window: WindowNumber, counts: &Counts) -> bool {
-        self.note(window, counts, REPEATS)
+        self.note(window, counts, COUNT_REPORTS)
     }
 
-    /// Notes that another node has frozen a window. What was known first stays.
+    /// Records that another node has frozen a window. The counts that were recorded first are kept.
     pub fn record_remote(&mut self, window: WindowNumber, counts: &Counts) {
         self.note(window, counts, 0);
     }
 
-    /// Notes that another node knows some windows as frozen.
+    /// Records that another node knows some windows as frozen.
     pub fn record_announced(&mut self, windows: WindowSet) {
-        self.named.extend(windows.iter());
-        while self.named.len() > self.most {
-            self.named.pop_first();
+        self.announced.extend(windows.iter());
+        while self.announced.len() > self.capacity {
+            self.announced.pop_first();
         }
     }
 
-    fn note(&mut self, window: WindowNumber, counts: &Counts, repeats: u32) -> bool {
+    fn note(&mut self, window: WindowNumber, counts: &Counts, remaining_reports: u32) -> bool {
         if self.known.contains_key(&window) {
             return false;
         }
-        self.known.insert(window, Known { counts: counts.clone(), repeats });
-        while self.known.len() > self.most {
+        self.known.insert(window, FrozenWindow { counts: counts.clone(), remaining_reports });
+        while self.known.len() > self.capacity {
             self.known.pop_first();
         }
         true
     }
 
-    /// Returns the counts that a window was frozen with.
+    /// Returns the counts with which a window was frozen.
     pub fn get(&self, window: WindowNumber) -> Option<&Counts> {
         self.known.get(&window).map(|known| &known.counts)
     }
 
-    /// Returns `true` if another node knows a window as frozen, whether or not its counts arrived here.
+    /// Returns `true` if another node announced a window as frozen, whether or not its counts
+    /// arrived.
     pub fn is_announced(&self, window: WindowNumber) -> bool {
-        self.named.contains(&window)
+        self.announced.contains(&window)
     }
 
-    /// Returns the windows that this node knows as frozen, which each report names.
+    /// Returns the windows that this node knows as frozen, which every report names.
     pub fn get_windows(&self) -> WindowSet {
         self.known.keys().copied().collect()
     }
 
-    /// Lists some windows with their counts for a report to other nodes, the latest first.
+    /// Returns some windows with their counts for a report to other nodes, the newest first.
     pub fn list_due(&mut self) -> Vec<(WindowNumber, Counts)> {
-        let due = self.known.iter_mut().rev().filter(|(_, known)| known.repeats > 0);
-        due.take(MOST_LISTED)
+        let due = self.known.iter_mut().rev().filter(|(_, known)| known.remaining_reports > 0);
+        due.take(MAX_WINDOWS_PER_REPORT)
             .map(|(window, known)| {
-                known.repeats -= 1;
+                known.remaining_reports -= 1;
                 (*window, known.counts.clone())
             })
             .collect()
     }
 
-    /// Lists all windows again, in the next reports: another holder may lack their rows. Each node that knows them does
-    /// so once.
+    /// Includes all windows in the next reports again, because another duty holder may lack their
+    /// rows. Each node that knows them does so once.
     pub fn repeat(&mut self) {
-        self.known.values_mut().for_each(|known| known.repeats = known.repeats.max(1));
+        self.known
+            .values_mut()
+            .for_each(|known| known.remaining_reports = known.remaining_reports.max(1));
     }
 }
--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -1,7 +1,8 @@
-//! How many requests of each client account began in each window of the wall clock.
+//! Usage accounting: how many requests of each client account started in each wall-clock window.
 //!
-//! Each incarnation of a node counts for itself and its counts only grow. Nodes exchange them, and keep
-//! the largest that they saw of every incarnation, so that the counts of a node survive it.
+//! Each incarnation of a node counts its own requests, and its counts only grow. Nodes exchange
+//! counts and keep the largest that they saw of every incarnation, so the counts of a node survive
+//! its failure.
 
 mod frozen;
 mod window_set;
@@ -16,39 +17,40 @@
 pub use self::frozen::FrozenWindows;
 pub use self::window_set::WindowSet;
 
-/// The number of a window: window `k` begins `k` times its length after the Unix epoch.
+/// The number of a window: window `k` starts `k` window lengths after the Unix epoch.
 pub type WindowNumber = u64;
 
-/// Requests that began, by client account.
+/// Requests that started, by client account.
 pub type Counts = BTreeMap<String, u64>;
 
-/// One incarnation of a node: its name and a number drawn at its start.
+/// An incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The node's name.
+    /// The name of the node.
     pub node: String,
-    /// Drawn at random at each start.
+    /// A random number drawn at each start.
     pub number: u64,
 }
 
-/// The counts of all incarnations of all nodes, for the latest windows.
+/// The counts of all incarnations of all nodes in recent windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     windows: BTreeMap<WindowNumber, BTreeMap<Incarnation, Counts>>,
-    /// Lives of nodes that report to this one, for which it reports to others.
+    /// Incarnations of nodes that report to this one, for which it reports to others.
     group: BTreeSet<Incarnation>,
 }
 
-/// The counts of all incarnations in some windows, in few bytes: each client account is named once.
+/// A compact copy of the counts of all incarnations in some windows; it names each client account
+/// once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerSnapshot {
     accounts: Vec<String>,
-    windows: Vec<(WindowNumber, Vec<KeptIncarnation>)>,
+    windows: Vec<(WindowNumber, Vec<IncarnationCounts>)>,
 }
 
-/// The counts of one incarnation in a window, in the order of the client accounts.
+/// The counts of an incarnation in a window, in the order of the client accounts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct KeptIncarnation {
+struct IncarnationCounts {
     incarnation: Incarnation,
     counts: Vec<u64>,
 }
@@ -61,14 +63,14 @@
 }
 
 impl Ledger {
-    /// Counts a request that began.
+    /// Counts a request that started.
     pub fn count(&mut self, window: WindowNumber, incarnation: &Incarnation, account: &str) {
         let counts =
             self.windows.entry(window).or_default().entry(incarnation.clone()).or_default();
         *counts.entry(account.to_owned()).or_default() += 1;
     }
 
-    /// Takes over the counts of an incarnation, where they are larger than those known.
+    /// Merges the counts of an incarnation, keeping the larger of the old and new counts.
     pub fn merge(&mut self, window: WindowNumber, incarnation: &Incarnation, counts: &Counts) {
         let known = self.windows.entry(window).or_default().entry(incarnation.clone()).or_default();
         for (account, count) in counts {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Takes over the counts of an incarnation that reports to this node.
+    /// Merges the counts of an incarnation that reports to this node.
     pub fn merge_member(
         &mut self,
         window: WindowNumber,
@@ -88,9 +90,10 @@
         self.merge(window, incarnation, counts);
     }
 
-    /// Sums the counts of an incarnation and of all incarnations that report to this node, in the latest windows.
+    /// Sums the counts of an incarnation and of all incarnations that report to this node, in the
+    /// latest windows.
     ///
-    /// The sums only grow: an incarnation that turned to another node counts anew there.
+    /// The sums only grow: an incarnation that switches to another node starts new counts there.
     pub fn sum_group(&self, own: &Incarnation, windows: usize) -> Vec<(WindowNumber, Counts)> {
         let latest = self.windows.iter().rev().take(windows);
         let sum = latest.map(|(window, incarnations)| {
@@ -102,10 +105,12 @@
         sum.filter(|(_, counts)| !counts.is_empty()).collect()
     }
 
-    /// Lets a node count under a new incarnation what has not arrived where it reported until now.
+    /// Moves counts that did not arrive at the former recipient of this node's reports to a new
+    /// incarnation.
     ///
-    /// What arrived at an aggregator is part of that one's sums. What arrived at others as this
-    /// node's own sums (`is_own_sum`) stays here under the former incarnation, as it does there.
+    /// Counts that arrived at an aggregator are part of its sums. Counts that arrived at others as
+    /// this node's own sums (`is_own_sum`) stay under the former incarnation, here as well as
+    /// there.
     pub fn hand_over(
         &mut self,
         former: &Incarnation,
@@ -134,7 +139,7 @@
         sum(self.windows.get(&window).into_iter().flat_map(BTreeMap::values))
     }
 
-    /// Lists the counts of one incarnation in all windows that are kept.
+    /// Lists the counts of an incarnation in all retained windows.
     pub fn list_incarnation_counts(
         &self,
         incarnation: &Incarnation,
@@ -147,41 +152,40 @@
             .collect()
     }
 
-    /// Lists all incarnations and their counts in a window.
+    /// Returns all incarnations and their counts in a window.
     pub fn get_window(&self, window: WindowNumber) -> Option<&BTreeMap<Incarnation, Counts>> {
         self.windows.get(&window)
     }
 
-    /// Lists the counts of all incarnations in the windows from one on, so that they can be kept
-    /// elsewhere.
+    /// Returns a snapshot of the counts of all incarnations from the window `first` on.
     pub fn get_snapshot(&self, first: WindowNumber) -> LedgerSnapshot {
         let windows = || self.windows.range(first..);
         let counts = windows().flat_map(|(_, incarnations)| incarnations.values());
         let accounts: BTreeSet<&String> = counts.flat_map(|counts| counts.keys()).collect();
-        let keep = |(incarnation, counts): (&Incarnation, &Counts)| KeptIncarnation {
+        let copy = |(incarnation, counts): (&Incarnation, &Counts)| IncarnationCounts {
             incarnation: incarnation.clone(),
             counts: accounts.iter().map(|name| counts.get(*name).copied().unwrap_or(0)).collect(),
         };
         let windows = windows()
-            .map(|(window, incarnations)| (*window, incarnations.iter().map(keep).collect()));
+            .map(|(window, incarnations)| (*window, incarnations.iter().map(copy).collect()));
         LedgerSnapshot {
             windows: windows.collect(),
             accounts: accounts.iter().map(|name| (*name).clone()).collect(),
         }
     }
 
-    /// Takes over counts that were kept.
-    pub fn merge_snapshot(&mut self, kept: &LedgerSnapshot) {
-        for (window, incarnations) in &kept.windows {
+    /// Merges the counts of a snapshot.
+    pub fn merge_snapshot(&mut self, snapshot: &LedgerSnapshot) {
+        for (window, incarnations) in &snapshot.windows {
             for known in incarnations {
-                let counts = kept.accounts.iter().cloned().zip(known.counts.iter().copied());
+                let counts = snapshot.accounts.iter().cloned().zip(known.counts.iter().copied());
                 let counts = counts.filter(|(_, count)| *count > 0).collect();
                 self.merge(*window, &known.incarnation, &counts);
             }
         }
     }
 
-    /// Returns the first window that is kept.
+    /// Returns the first retained window.
     pub fn get_first_window(&self) -> Option<WindowNumber> {
         self.windows.keys().next().copied()
     }
@@ -204,24 +208,24 @@
     total
 }
 
-/// Reports in which a window is repeated after its last change: each may get lost.
-const REPEATED_FOR: u64 = 10;
-/// A window that has not changed for longer is in each so many reports: whoever begins to hear this node
-/// learns of it.
-const REPEATED_EACH: u64 = 10;
+/// Reports that include a window after its last change, because each report may get lost.
+const CHANGED_WINDOW_REPORTS: u64 = 10;
+/// An unchanged window is included in every report whose number is a multiple of this, so that
+/// nodes that start to hear this one learn of it.
+const UNCHANGED_WINDOW_INTERVAL: u64 = 10;
 
-/// Selects the windows that a report holds.
+/// Selects the windows that a report includes.
 ///
-/// Of the latest windows, all but one or two have ended. Each holds a count for every client account, and
-/// an aggregator sends them to all others.
+/// All but one or two of the latest windows have ended. Each has a count for every client account,
+/// and an aggregator sends them to all other aggregators.
 #[derive(Clone, Debug, Default)]
 pub struct ReportFilter {
-    /// What stands for the counts of a window, and the report in which they last changed.
+    /// The digest of the counts of each window, and the report in which they last changed.
     sent: BTreeMap<WindowNumber, (u64, u64)>,
 }
 
 impl ReportFilter {
-    /// Leaves out of a report, the number of which is `turn`, the windows that have not changed lately.
+    /// Removes the windows that have not changed recently from the report with the number `turn`.
     pub fn select(
         &mut self,
         turn: u64,
@@ -235,52 +239,53 @@
             if sent.0 != digest {
                 *sent = (digest, turn);
             }
-            turn < sent.1 + REPEATED_FOR || turn.is_multiple_of(REPEATED_EACH)
+            turn < sent.1 + CHANGED_WINDOW_REPORTS || turn.is_multiple_of(UNCHANGED_WINDOW_INTERVAL)
         };
         windows.into_iter().filter(is_due).collect()
     }
 }
 
-/// Returns what stands for counts.
+/// Returns a digest of counts. It does not depend on their order.
 fn digest_of(counts: &Counts) -> u64 {
     let digest = |(account, count): (&String, &u64)| xxh3_64_with_seed(account.as_bytes(), *count);
     counts.iter().map(digest).fold(0, u64::wrapping_add)
 }
 
-/// Time after a window's end in which the last counts of all nodes arrive, as a part of the time
-/// until the report is due.
-const SETTLE_PART: f64 = 0.2;
-/// The part of the time until the report is due after which it goes out as it is: what is left is
-/// for the calls, and for another holder.
-const LAST_PART: f64 = 0.65;
+/// The fraction of the time to the report's due time in which the last counts of all nodes arrive.
+const SETTLE_FRACTION: f64 = 0.2;
+/// The fraction of the time to the report's due time after which the report is sent as it is. The
+/// remaining time is for the calls, and for another duty holder.
+const DEADLINE_FRACTION: f64 = 0.65;
 
-/// Windows that are kept beside those whose reports are due: the current one, the one before it, and some for clocks
-/// that differ.
-const KEPT_BEYOND_DUE: u64 = 6;
+/// Windows that are retained in addition to those whose reports are due: the current one, the
+/// previous one, and some for clock skew.
+const EXTRA_RETAINED_WINDOWS: u64 = 6;
 
-/// Returns the time after a window's end before which it is not reported; `due` is the time after its end at
-/// which the report must be there.
+/// Returns the time after the end of a window before which it is not reported. `due` is the time
+/// after its end at which the report is due.
 pub fn get_settle_time(due: Millis) -> Millis {
-    (due as f64 * SETTLE_PART) as Millis
+    (due as f64 * SETTLE_FRACTION) as Millis
 }
 
 /// Returns `true` if the counts of a window may be reported.
 ///
-/// `age` is the time since the window ended, and `due` the time after its end at which the report
-/// must be there. While `is_node_missing`, a node that served in the window may not have reported
-/// its last counts, because it is cut off: it reports them when it is heard again.
+/// `age` is the time since the window ended, and `due` is the time after its end at which the
+/// report is due. If `is_node_missing`, a partitioned node that served in the window may not have
+/// reported its last counts; it reports them when it is heard again.
 pub fn is_settled(age: Millis, due: Millis, is_node_missing: bool) -> bool {
-    let part = if is_node_missing { LAST_PART } else { SETTLE_PART };
-    age as f64 >= due as f64 * part
+    let fraction = if is_node_missing { DEADLINE_FRACTION } else { SETTLE_FRACTION };
+    age as f64 >= due as f64 * fraction
 }
 
-/// Returns for how many windows rows and counts are kept; `due` is the time after a window's end at which its report
-/// must be there. Any holder that may still report a window finds what was reported of it.
+/// Returns the number of windows whose rows and counts are retained.
+///
+/// `due` is the time after the end of a window at which its report is due. Any duty holder that may
+/// still report a window thus finds what was reported of it.
 pub fn count_retained_windows(due: Millis, length: Millis) -> u64 {
-    due.div_ceil(length.max(1)) + KEPT_BEYOND_DUE
+    due.div_ceil(length.max(1)) + EXTRA_RETAINED_WINDOWS
 }
 
-/// Computes the window that a wall-clock time lies in.
+/// Returns the window that contains a wall-clock time.
 pub fn window_at(unix_ms: u64, length_ms: u64) -> WindowNumber {
     unix_ms / length_ms.max(1)
 }
