--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -129,7 +129,7 @@
     /// The nodes of that region then use units that no report contains. Until all nodes count them
     /// as out of reach, this node admits only its share of the rate, and takes over the level that
     /// its aggregator estimates.
-    pub fn note_overdue_region(&mut self, now: Millis) {
+    pub fn record_overdue_region(&mut self, now: Millis) {
         self.region_overdue_until = now + REGION_OVERDUE_PERIOD;
     }
 
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -290,7 +290,7 @@
             return;
         }
         if told.is_region_overdue {
-            self.quotas.note_overdue_region(now);
+            self.quotas.record_overdue_region(now);
         }
         let arrived = told.answers.and_then(|at| self.handover.confirm(at).cloned());
         if let Some(arrived) = arrived {
@@ -312,7 +312,7 @@
         }
         let is_region_overdue = self.members.is_region_overdue(now);
         if is_region_overdue {
-            self.quotas.note_overdue_region(now);
+            self.quotas.record_overdue_region(now);
         }
         let reach = self.members.get_reachability(now);
         self.quotas.track(now, "acme", self.limit, reach);
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -162,7 +162,7 @@
         let sender = make_sender(node, state, now);
         let is_region_overdue = state.members.is_region_overdue(now);
         if is_region_overdue {
-            state.quotas.note_overdue_region(now);
+            state.quotas.record_overdue_region(now);
         }
         let own = state.quotas.report(now);
         track_accounts(state, now);
@@ -342,7 +342,7 @@
         state.members.set_unreachable_regions(name, lost_regions);
         let is_own = state.audience == Audience::Aggregator(name.to_owned());
         if is_own && is_region_overdue {
-            state.quotas.note_overdue_region(now);
+            state.quotas.record_overdue_region(now);
         }
         if let Some(arrived) = arrived.filter(|_| is_own) {
             state.quotas.merge_total(now, (name, sender.incarnation), &quota, &arrived.quota);
