--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -213,7 +213,7 @@
     }
 
     /// Notes that the table service did not answer.
-    pub fn note_table_unavailable(&mut self) {
+    pub fn record_table_unavailable(&mut self) {
         self.is_table_unavailable = true;
     }
 
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -101,7 +101,7 @@
 fn entries_that_lapsed_while_the_table_service_was_away_have_time_to_come_back() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1"), server("b", "z1"), server("c", "z1")]);
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(10_000);
     assert!(directory.replace(at(5), vec![server("c", "z1")]).is_empty());
     assert_eq!(ready(&directory), ["c", "a", "b"]);
@@ -115,7 +115,7 @@
 fn peers_are_not_told_of_servers_whose_entries_lapsed() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(10_000);
     directory.apply_batch(removed(2, "a"));
     assert_eq!(ready(&directory), ["a"]);
@@ -127,7 +127,7 @@
     let mut directory = Directory::default();
     let leaving = Server { is_leaving: true, ..server("a", "z1") };
     directory.replace(at(1), vec![leaving.clone()]);
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(10_000);
     assert_eq!(directory.apply_batch(removed(2, "a")), Some(vec![Change::Gone(leaving)]));
 }
@@ -136,7 +136,7 @@
 fn a_server_whose_entry_lapsed_is_gone_once_another_answers_in_its_place() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(10_000);
     directory.apply_batch(removed(2, "a"));
     assert_eq!(directory.note_leaving("a", 0), Some(Change::Gone(server("a", "z1"))));
@@ -157,7 +157,7 @@
 fn one_outage_gives_time_to_come_back_once() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(10_000);
     assert!(directory.expire_lapsed(12_000).is_empty());
     directory.note_table_recovered(20_000);
@@ -188,7 +188,7 @@
 fn a_server_that_starts_again_while_its_entry_had_lapsed_takes_the_place_of_the_old_one() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(1_000);
     assert_eq!(directory.replace(at(2), vec![]), []);
     let changes = directory.replace(at(3), vec![started(20)]);
@@ -338,7 +338,7 @@
     directory.apply_batch(listed(4, started(10)));
     assert!(ready(&directory).is_empty());
     // It lapses while the table service is away.
-    directory.note_table_unavailable();
+    directory.record_table_unavailable();
     directory.note_table_recovered(2_000);
     directory.replace(at(5), Vec::new());
     assert!(ready(&directory).is_empty());
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -63,7 +63,7 @@
             }
             Err(error) => {
                 note_failure("servers", &error);
-                node.with(|state| state.directory.note_table_unavailable());
+                node.with(|state| state.directory.record_table_unavailable());
             }
         }
         pause.wait().await;
