--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -221,7 +221,7 @@
     ///
     /// Lapsed entries get time to come back only if the table service was unavailable. A list may
     /// also be out of date while servers leave, and those must not get new work.
-    pub fn note_table_recovered(&mut self, now: Millis) {
+    pub fn record_table_recovered(&mut self, now: Millis) {
         if std::mem::take(&mut self.is_table_unavailable) {
             self.lapsing_until = Some(now + LAPSED_ENTRY_TTL);
         }
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -102,7 +102,7 @@
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1"), server("b", "z1"), server("c", "z1")]);
     directory.record_table_unavailable();
-    directory.note_table_recovered(10_000);
+    directory.record_table_recovered(10_000);
     assert!(directory.replace(at(5), vec![server("c", "z1")]).is_empty());
     assert_eq!(ready(&directory), ["c", "a", "b"]);
     assert!(directory.apply_batch(listed(6, server("a", "z1"))).expect("no gap").is_empty());
@@ -116,7 +116,7 @@
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.record_table_unavailable();
-    directory.note_table_recovered(10_000);
+    directory.record_table_recovered(10_000);
     directory.apply_batch(removed(2, "a"));
     assert_eq!(ready(&directory), ["a"]);
     assert_eq!(directory.iter().count(), 0);
@@ -128,7 +128,7 @@
     let leaving = Server { is_leaving: true, ..server("a", "z1") };
     directory.replace(at(1), vec![leaving.clone()]);
     directory.record_table_unavailable();
-    directory.note_table_recovered(10_000);
+    directory.record_table_recovered(10_000);
     assert_eq!(directory.apply_batch(removed(2, "a")), Some(vec![Change::Gone(leaving)]));
 }
 
@@ -137,7 +137,7 @@
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.record_table_unavailable();
-    directory.note_table_recovered(10_000);
+    directory.record_table_recovered(10_000);
     directory.apply_batch(removed(2, "a"));
     assert_eq!(directory.note_leaving("a", 0), Some(Change::Gone(server("a", "z1"))));
     assert!(ready(&directory).is_empty());
@@ -147,7 +147,7 @@
 fn a_server_that_left_while_the_list_grew_old_gets_nothing() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1"), server("b", "z1")]);
-    directory.note_table_recovered(10_000);
+    directory.record_table_recovered(10_000);
     let changes = directory.replace(at(5), vec![server("b", "z1")]);
     assert_eq!(changes, [Change::Gone(server("a", "z1"))]);
     assert_eq!(ready(&directory), ["b"]);
@@ -158,9 +158,9 @@
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.record_table_unavailable();
-    directory.note_table_recovered(10_000);
+    directory.record_table_recovered(10_000);
     assert!(directory.expire_lapsed(12_000).is_empty());
-    directory.note_table_recovered(20_000);
+    directory.record_table_recovered(20_000);
     assert_eq!(directory.replace(at(5), Vec::new()), [Change::Gone(server("a", "z1"))]);
 }
 
@@ -189,7 +189,7 @@
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
     directory.record_table_unavailable();
-    directory.note_table_recovered(1_000);
+    directory.record_table_recovered(1_000);
     assert_eq!(directory.replace(at(2), vec![]), []);
     let changes = directory.replace(at(3), vec![started(20)]);
     assert_eq!(changes, [Change::Gone(started(10)), Change::Joined(started(20))]);
@@ -339,7 +339,7 @@
     assert!(ready(&directory).is_empty());
     // It lapses while the table service is away.
     directory.record_table_unavailable();
-    directory.note_table_recovered(2_000);
+    directory.record_table_recovered(2_000);
     directory.replace(at(5), Vec::new());
     assert!(ready(&directory).is_empty());
     directory.replace(at(6), vec![started(10)]);
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -134,7 +134,7 @@
     if staleness::is_servers_old(node) {
         node.with(|state| {
             if state.directory.is_known() {
-                state.directory.note_table_recovered(now);
+                state.directory.record_table_recovered(now);
             }
         });
     }
