--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -230,7 +230,7 @@
     /// Notes that the table service was restored from an older copy.
     ///
     /// The copy may lack the entries of running servers, which get time to rewrite them.
-    pub fn note_table_restored(&mut self, now: Millis) {
+    pub fn record_table_restored(&mut self, now: Millis) {
         self.restored_at = now;
         self.lapsing_until = Some(now + LAPSED_ENTRY_TTL);
     }
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -417,7 +417,7 @@
 fn a_lower_version_of_a_later_era_is_newer() {
     let mut directory = Directory::default();
     directory.replace(at(900), vec![started(10)]);
-    directory.note_table_restored(1_000);
+    directory.record_table_restored(1_000);
     directory.replace(returned(700), vec![started(10)]);
     let leaving = Server { is_leaving: true, ..started(10) };
     let changes = directory.apply_batch(changed(returned(701), leaving.clone()));
@@ -469,7 +469,7 @@
 fn servers_that_an_older_copy_lacks_get_work_until_they_had_time_to_write_again() {
     let mut directory = Directory::default();
     directory.replace(at(900), vec![server("a", "z1"), server("b", "z1")]);
-    directory.note_table_restored(1_000);
+    directory.record_table_restored(1_000);
     assert_eq!(directory.replace(returned(700), vec![server("a", "z1")]), []);
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.apply_batch(changed(returned(701), server("b", "z1")));
@@ -489,7 +489,7 @@
             directory.apply_batch(removed(3, "a"));
         }
         for (now, era) in [(1_000, 2), (1_500, 3)] {
-            directory.note_table_restored(now);
+            directory.record_table_restored(now);
             directory.replace(TableVersion::new(Era::named(era), 1), vec![started(10)]);
             assert_eq!(ready(&directory), Vec::<&str>::new(), "era {era}, removed {is_removed}");
         }
@@ -505,7 +505,7 @@
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
     directory.apply_batch(removed(2, "a"));
-    directory.note_table_restored(1_000);
+    directory.record_table_restored(1_000);
     directory.replace(returned(1), vec![started(10)]);
     assert_eq!(ready(&directory), Vec::<&str>::new());
     directory.apply_batch(changed(returned(2), started(10)));
@@ -529,7 +529,7 @@
     directory.apply_batch(removed(5, "c"));
     assert_eq!(departed(&directory, 900), Vec::<String>::new());
     for (now, era) in [(1_000, 2), (60_000, 3)] {
-        directory.note_table_restored(now);
+        directory.record_table_restored(now);
         directory.replace(TableVersion::new(Era::named(era), 1), servers());
         assert_eq!(departed(&directory, now), ["a", "b"], "era {era}");
     }
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -171,7 +171,7 @@
         let begun = state.eras.note(now, era)?;
         state.lease.begin_era(era);
         if begun.before.is_some() {
-            state.directory.note_table_restored(now);
+            state.directory.record_table_restored(now);
             state.frozen.repeat();
         }
         Some(begun)
