--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -265,7 +265,12 @@
     }
 
     /// Records that an incarnation of a server announced in a response that it is leaving.
-    pub fn note_departure(&mut self, now: Millis, id: &str, incarnation: u64) -> DepartureOutcome {
+    pub fn record_departure(
+        &mut self,
+        now: Millis,
+        id: &str,
+        incarnation: u64,
+    ) -> DepartureOutcome {
         let is_news = self.departures.note(now, id, incarnation);
         DepartureOutcome { is_news, change: self.note_leaving(id, incarnation) }
     }
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -328,9 +328,9 @@
 fn the_word_of_a_server_that_it_leaves_outlives_its_entry() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
-    let departed = directory.note_departure(1_000, "a", 10);
+    let departed = directory.record_departure(1_000, "a", 10);
     assert!(departed.is_news && departed.change.is_some());
-    assert!(!directory.note_departure(1_100, "a", 10).is_news);
+    assert!(!directory.record_departure(1_100, "a", 10).is_news);
     // Its entry is written again, is missing from a whole list, and comes back.
     directory.apply_batch(listed(2, started(10)));
     assert!(ready(&directory).is_empty());
@@ -348,14 +348,14 @@
     directory.apply_batch(listed(7, started(11)));
     assert_eq!(ready(&directory), ["a"]);
     // A late answer of the start before changes nothing.
-    assert!(!directory.note_departure(3_000, "a", 10).is_news);
+    assert!(!directory.record_departure(3_000, "a", 10).is_news);
     assert_eq!(ready(&directory), ["a"]);
 }
 
 #[test]
 fn the_word_of_a_server_that_it_leaves_may_come_before_its_entry_and_goes_to_peers_with_it() {
     let mut directory = Directory::default();
-    assert!(directory.note_departure(0, "a", 10).is_news);
+    assert!(directory.record_departure(0, "a", 10).is_news);
     directory.replace(at(1), vec![started(10)]);
     assert!(ready(&directory).is_empty());
     let mut peer = Directory::default();
@@ -366,7 +366,7 @@
 #[test]
 fn departures_are_forgotten_in_the_end_and_bounded() {
     let mut directory = Directory::default();
-    directory.note_departure(0, "a", 10);
+    directory.record_departure(0, "a", 10);
     directory.expire_departures(599_999);
     directory.replace(at(1), vec![started(10)]);
     assert!(ready(&directory).is_empty());
@@ -376,10 +376,10 @@
     assert_eq!(ready(&directory), ["a"]);
     // Of more than a thousand the latest are kept.
     for number in 0..1_030 {
-        assert!(directory.note_departure(700_000 + number, &format!("s-{number}"), 1).is_news);
+        assert!(directory.record_departure(700_000 + number, &format!("s-{number}"), 1).is_news);
     }
-    assert!(directory.note_departure(800_000, "s-0", 1).is_news);
-    assert!(!directory.note_departure(800_000, "s-1029", 1).is_news);
+    assert!(directory.record_departure(800_000, "s-0", 1).is_news);
+    assert!(!directory.record_departure(800_000, "s-1029", 1).is_news);
 }
 
 /// Guards against a node that missed the news of a departure, and against reports that grow with the number
@@ -388,7 +388,7 @@
 fn departures_are_repeated_by_turns_for_a_while() {
     let mut directory = Directory::default();
     assert!(directory.list_departures(0, 0).is_empty());
-    (0..9).for_each(|number| drop(directory.note_departure(0, &format!("s-{number}"), 1)));
+    (0..9).for_each(|number| drop(directory.record_departure(0, &format!("s-{number}"), 1)));
     let listed = |turn| directory.list_departures(29_999, turn);
     let mut seen: Vec<String> = (0..3).flat_map(listed).map(|departure| departure.server).collect();
     assert_eq!(seen.len(), 12);
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -163,7 +163,7 @@
     let now = node.now();
     let Departure { server, incarnation } = departure;
     let DepartureOutcome { is_news, change } =
-        node.with(|state| state.directory.note_departure(now, server, *incarnation));
+        node.with(|state| state.directory.record_departure(now, server, *incarnation));
     apply(node, change.into_iter().collect());
     is_news
 }
