--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -272,11 +272,11 @@
         incarnation: u64,
     ) -> DepartureOutcome {
         let is_news = self.departures.note(now, id, incarnation);
-        DepartureOutcome { is_news, change: self.note_leaving(id, incarnation) }
+        DepartureOutcome { is_news, change: self.record_leaving(id, incarnation) }
     }
 
     /// Records that a response came from another server in place of an incarnation of a server.
-    pub fn note_leaving(&mut self, id: &str, incarnation: u64) -> Option<Change> {
+    pub fn record_leaving(&mut self, id: &str, incarnation: u64) -> Option<Change> {
         if self.lapsed.get(id).is_some_and(|server| server.incarnation == incarnation) {
             return self.lapsed.remove(id).map(Change::Gone);
         }
--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -55,8 +55,8 @@
 fn an_answer_that_shows_another_server_takes_the_old_one_out() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
-    assert!(directory.note_leaving("a", 0).is_some());
-    assert!(directory.note_leaving("a", 0).is_none());
+    assert!(directory.record_leaving("a", 0).is_some());
+    assert!(directory.record_leaving("a", 0).is_none());
     assert!(ready(&directory).is_empty());
 }
 
@@ -139,7 +139,7 @@
     directory.record_table_unavailable();
     directory.record_table_recovered(10_000);
     directory.apply_batch(removed(2, "a"));
-    assert_eq!(directory.note_leaving("a", 0), Some(Change::Gone(server("a", "z1"))));
+    assert_eq!(directory.record_leaving("a", 0), Some(Change::Gone(server("a", "z1"))));
     assert!(ready(&directory).is_empty());
 }
 
@@ -178,7 +178,7 @@
     let changes = directory.replace(at(3), vec![again.clone()]);
     assert_eq!(changes, [Change::Gone(leaving.clone()), Change::Joined(again.clone())]);
     assert_eq!(directory.replace(at(4), vec![leaving]), []);
-    assert_eq!(directory.note_leaving("a", 10), None);
+    assert_eq!(directory.record_leaving("a", 10), None);
     assert_eq!(directory.get("a"), Some(&again));
     assert!(directory.is_superseded(&started(10)));
     assert!(!directory.is_superseded(&again));
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -332,7 +332,7 @@
     }
     if fault == Some(Failed::OtherServer) {
         let change =
-            node.with(|state| state.directory.note_leaving(&server.id, server.incarnation));
+            node.with(|state| state.directory.record_leaving(&server.id, server.incarnation));
         watch::apply(node, change.into_iter().collect());
     }
     fault
