--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -90,7 +90,7 @@
 
     /// Records the era of a response or of another node's data; returns the change if the era is
     /// newer than the known one.
-    pub fn note(&mut self, now: Millis, era: Era) -> Option<EraChange> {
+    pub fn record(&mut self, now: Millis, era: Era) -> Option<EraChange> {
         let before = self.current.map(|current| current.era);
         if before >= Some(era) {
             return None;
--- a/crates/core/tests/serving/duty_lease.rs
+++ b/crates/core/tests/serving/duty_lease.rs
@@ -208,7 +208,7 @@
     /// Notes the era of an answer, and reads or writes its origin where that is not known.
     fn note(&mut self, now: u64, service: &mut Service) {
         let era = Era::named(service.era);
-        if self.eras.note(now, era).is_some() {
+        if self.eras.record(now, era).is_some() {
             self.lease.begin_era(era);
         }
         let seen_at = *service.origins.entry(service.era).or_insert(now);
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -5,12 +5,12 @@
 #[test]
 fn an_era_is_news_once_and_an_earlier_one_never() {
     let mut eras = Eras::default();
-    assert_eq!(eras.note(0, Era::named(2)), Some(EraChange { era: Era::named(2), before: None }));
-    assert_eq!(eras.note(10, Era::named(2)), None);
-    assert_eq!(eras.note(20, Era::named(1)), None);
+    assert_eq!(eras.record(0, Era::named(2)), Some(EraChange { era: Era::named(2), before: None }));
+    assert_eq!(eras.record(10, Era::named(2)), None);
+    assert_eq!(eras.record(20, Era::named(1)), None);
     assert!(eras.is_superseded(Era::named(1)));
     assert_eq!(
-        eras.note(30, Era::named(4)),
+        eras.record(30, Era::named(4)),
         Some(EraChange { era: Era::named(4), before: Some(Era::named(2)) })
     );
     assert_eq!(eras.get(), Era::named(4));
@@ -20,7 +20,7 @@
 fn a_service_that_names_no_eras_is_settled_from_the_beginning() {
     let mut eras = Eras::default();
     assert!(eras.is_settled(0));
-    eras.note(0, Era::UNNAMED);
+    eras.record(0, Era::UNNAMED);
     assert!(eras.is_settled(0));
     assert!(eras.is_certainly_after_restore(0));
 }
@@ -28,8 +28,8 @@
 #[test]
 fn a_node_that_saw_an_era_begin_waits_until_it_is_settled() {
     let mut eras = Eras::default();
-    eras.note(0, Era::named(1));
-    eras.note(10_000, Era::named(2));
+    eras.record(0, Era::named(1));
+    eras.record(10_000, Era::named(2));
     assert!(!eras.is_settled(11_999));
     assert!(eras.is_settled(12_000));
 }
@@ -37,7 +37,7 @@
 #[test]
 fn a_node_that_starts_later_knows_nothing_of_an_eras_age_until_it_reads_its_origin() {
     let mut eras = Eras::default();
-    eras.note(10_000, Era::named(2));
+    eras.record(10_000, Era::named(2));
     assert_eq!(eras.get_age(60_000), None);
     assert!(!eras.is_settled(60_000));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
@@ -49,7 +49,7 @@
 #[test]
 fn an_origin_of_another_era_changes_nothing() {
     let mut eras = Eras::default();
-    eras.note(10_000, Era::named(2));
+    eras.record(10_000, Era::named(2));
     eras.set_origin(10_100, Era::named(1), READ_FROM_ROW);
     assert_eq!(eras.get_origin(), None);
 }
@@ -57,20 +57,20 @@
 #[test]
 fn the_operators_word_settles_its_own_rows_alone() {
     let mut eras = Eras::default();
-    eras.note(0, Era::named(1));
-    eras.note(10_000, Era::named(2));
+    eras.record(0, Era::named(1));
+    eras.record(10_000, Era::named(2));
     eras.note_configuration_rewritten();
     assert!(eras.is_configuration_current(10_100));
     assert!(!eras.is_settled(10_100));
-    eras.note(10_200, Era::named(3));
+    eras.record(10_200, Era::named(3));
     assert!(!eras.is_configuration_current(10_200));
 }
 
 #[test]
 fn what_could_be_done_before_an_era_may_have_been_done_in_an_earlier_one() {
     let mut eras = Eras::default();
-    eras.note(0, Era::named(1));
-    eras.note(10_000, Era::named(2));
+    eras.record(0, Era::named(1));
+    eras.record(10_000, Era::named(2));
     assert!(!eras.is_certainly_after_restore(9_000_000));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
     assert!(!eras.is_certainly_after_restore(1_003_999));
@@ -82,7 +82,7 @@
 #[test]
 fn an_era_that_may_be_the_first_one_is_settled_as_late_as_any() {
     let mut eras = Eras::default();
-    eras.note(0, Era::named(1));
+    eras.record(0, Era::named(1));
     eras.set_origin(10, Era::named(1), Origin { age: 0, ..READ_FROM_ROW });
     assert!(!eras.is_settled(2_009));
     assert!(eras.is_settled(2_010));
@@ -92,8 +92,8 @@
 #[test]
 fn a_node_that_saw_a_return_does_not_take_the_era_for_the_first_one() {
     let mut eras = Eras::default();
-    eras.note(0, Era::named(1));
-    eras.note(10_000, Era::named(2));
+    eras.record(0, Era::named(1));
+    eras.record(10_000, Era::named(2));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
     assert!(!eras.is_settled(10_100));
     assert!(!eras.is_certainly_after_restore(0));
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -168,7 +168,7 @@
 pub(super) fn note_era(node: &Node, era: Era) {
     let now = node.now();
     let begun = node.with(|state| {
-        let begun = state.eras.note(now, era)?;
+        let begun = state.eras.record(now, era)?;
         state.lease.begin_era(era);
         if begun.before.is_some() {
             state.directory.record_table_restored(now);
