--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -136,7 +136,7 @@
     }
 
     /// Records that the operator has rewritten its configuration of an earlier era.
-    pub fn note_configuration_rewritten(&mut self) {
+    pub fn record_configuration_rewritten(&mut self) {
         if let Some(current) = &mut self.current {
             current.is_rewritten = true;
         }
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -59,7 +59,7 @@
     let mut eras = Eras::default();
     eras.record(0, Era::named(1));
     eras.record(10_000, Era::named(2));
-    eras.note_configuration_rewritten();
+    eras.record_configuration_rewritten();
     assert!(eras.is_configuration_current(10_100));
     assert!(!eras.is_settled(10_100));
     eras.record(10_200, Era::named(3));
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -50,7 +50,7 @@
         }
         match read(&node, TableName::Configuration).await {
             Ok(rows) => {
-                note_configuration_rewritten(&node, &rows.rows);
+                record_configuration_rewritten(&node, &rows.rows);
                 adopt_and_push(&node, &rows.rows);
                 if let Err(error) = confirm_configuration(&node, now).await {
                     note_failure("era", &error);
@@ -78,7 +78,7 @@
     let hold = part_of(node.settings.bounds.config_apply_ms, CONFIGURATION_HOLD_PART);
     let watch = Watch { table, hold, gather: None, is_wanted: is_reader };
     follow(node, &watch, from, |rows, _| {
-        note_configuration_rewritten(node, &rows.rows);
+        record_configuration_rewritten(node, &rows.rows);
         adopt_and_push(node, &rows.rows);
     })
     .await;
@@ -134,7 +134,7 @@
         },
         None => read(node, TableName::Configuration).await?.rows,
     };
-    note_configuration_rewritten(node, &rows);
+    record_configuration_rewritten(node, &rows);
     adopt_and_push(node, &rows);
     rollouts::take_deferred(node);
     confirm_configuration(node, asked_at).await
@@ -158,7 +158,7 @@
 
 /// Notes that the operator has written again after the table service's return: the row of the configuration
 /// has another number than before, and no older content.
-fn note_configuration_rewritten(node: &Node, rows: &[Row]) {
+fn record_configuration_rewritten(node: &Node, rows: &[Row]) {
     let Some(known) = node.with(|state| state.configuration_row.clone()) else { return };
     let is_rewritten = |row: &&Row| {
         let (new, old) = (row.version, known.row_version);
@@ -166,7 +166,7 @@
         is_written_since && row.key == known.key && read_version(node, row) >= Some(known.version)
     };
     if rows.iter().any(|row| is_rewritten(&row)) {
-        node.with(|state| state.eras.note_configuration_rewritten());
+        node.with(|state| state.eras.record_configuration_rewritten());
     }
 }
 
