--- a/crates/core/src/serving/directory/departures.rs
+++ b/crates/core/src/serving/directory/departures.rs
@@ -43,7 +43,7 @@
 
 impl Departures {
     /// Records that an incarnation of a server is leaving; returns `true` if that was not known.
-    pub fn note(&mut self, now: Millis, id: &str, incarnation: u64) -> bool {
+    pub fn record(&mut self, now: Millis, id: &str, incarnation: u64) -> bool {
         if self.by_id.get(id).is_some_and(|known| known.incarnation >= incarnation) {
             return false;
         }
@@ -58,7 +58,7 @@
 
     /// Records that an incarnation of a server is leaving, and lists it for other nodes again.
     pub fn repeat(&mut self, now: Millis, id: &str, incarnation: u64) {
-        self.note(now, id, incarnation);
+        self.record(now, id, incarnation);
         if let Some(record) = self.by_id.get_mut(id) {
             record.noted_at = now;
         }
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -212,12 +212,12 @@
         Some(changes)
     }
 
-    /// Notes that the table service did not answer.
+    /// Records that the table service did not answer.
     pub fn record_table_unavailable(&mut self) {
         self.is_table_unavailable = true;
     }
 
-    /// Notes that the list is current again after it was out of date.
+    /// Records that the list is current again after it was out of date.
     ///
     /// Lapsed entries get time to come back only if the table service was unavailable. A list may
     /// also be out of date while servers leave, and those must not get new work.
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Notes that the table service was restored from an older copy.
+    /// Records that the table service was restored from an older copy.
     ///
     /// The copy may lack the entries of running servers, which get time to rewrite them.
     pub fn record_table_restored(&mut self, now: Millis) {
@@ -256,7 +256,7 @@
 
     fn remove(&mut self, id: &str, version: TableVersion) -> Option<Change> {
         let server = self.delist(id)?;
-        self.removals.note(&server, version);
+        self.removals.record(&server, version);
         if self.lapsing_until.is_some() && !server.is_leaving {
             self.lapsed.insert(id.to_owned(), server);
             return None;
@@ -271,7 +271,7 @@
         id: &str,
         incarnation: u64,
     ) -> DepartureOutcome {
-        let is_news = self.departures.note(now, id, incarnation);
+        let is_news = self.departures.record(now, id, incarnation);
         DepartureOutcome { is_news, change: self.record_leaving(id, incarnation) }
     }
 
--- a/crates/core/src/serving/directory/removals.rs
+++ b/crates/core/src/serving/directory/removals.rs
@@ -30,7 +30,7 @@
 
 impl Removals {
     /// Records the removal of a server.
-    pub fn note(&mut self, server: &Server, version: TableVersion) {
+    pub fn record(&mut self, server: &Server, version: TableVersion) {
         let (incarnation, was_leaving) = (server.incarnation, server.is_leaving);
         let removal = Removal { incarnation, was_leaving, version };
         self.by_id.insert(server.id.clone(), removal);
--- a/crates/core/src/serving/duty_lease.rs
+++ b/crates/core/src/serving/duty_lease.rs
@@ -112,8 +112,8 @@
     ) -> Step {
         let ends_at = clock.latest_at(now) + self.length;
         let Some(row) = row else {
-            return match self.length.checked_sub(era_age).filter(|left| *left > 0) {
-                Some(left) => Step::Wait(left),
+            return match self.length.checked_sub(era_age).filter(|remaining| *remaining > 0) {
+                Some(remaining) => Step::Wait(remaining),
                 None => Step::Write(self.make_row(1, ends_at)),
             };
         };
@@ -140,8 +140,8 @@
             self.held = None;
             return false;
         }
-        let left = row.ends_at.saturating_sub(clock.table_time);
-        let until = (clock.asked_at + left).saturating_sub(self.margin);
+        let remaining = row.ends_at.saturating_sub(clock.table_time);
+        let until = (clock.asked_at + remaining).saturating_sub(self.margin);
         self.held = Some(Held { term: row.term, until });
         true
     }
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -321,8 +321,8 @@
         }
         if let Some(member) = self.known.get_mut(name) {
             // A summary from another region is older than its sender states, by the transit time.
-            let is_near = self.topology.is_near(&member.entry.data_centre);
-            let transit = if is_near { 0 } else { 2 * self.transit.one_way };
+            let is_local = self.topology.is_near(&member.entry.data_centre);
+            let transit = if is_local { 0 } else { 2 * self.transit.one_way };
             member.group = group;
             member.group_age = group_age + transit;
         }
--- a/crates/core/src/serving/members/ranking.rs
+++ b/crates/core/src/serving/members/ranking.rs
@@ -112,14 +112,14 @@
     topology: &Topology,
     aggregators: &[&'a Entry],
 ) -> Option<&'a Entry> {
-    let only = |is_near: &dyn Fn(&Entry) -> bool| -> Vec<&'a Entry> {
-        aggregators.iter().filter(|entry| is_near(entry)).copied().collect()
+    let only = |is_local: &dyn Fn(&Entry) -> bool| -> Vec<&'a Entry> {
+        aggregators.iter().filter(|entry| is_local(entry)).copied().collect()
     };
     let same_data_centre = only(&|entry| entry.data_centre == own.data_centre);
-    let near = only(&|entry| topology.is_near(&entry.data_centre));
+    let local = only(&|entry| topology.is_near(&entry.data_centre));
     let all = aggregators.to_vec();
     let candidates =
-        [same_data_centre, near, all].into_iter().find(|entries| !entries.is_empty())?;
+        [same_data_centre, local, all].into_iter().find(|entries| !entries.is_empty())?;
     let owner = succession::owner(&own.name, candidates.iter().map(|entry| entry.name.as_str()))?;
     candidates.into_iter().find(|entry| entry.name == owner)
 }
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -213,8 +213,8 @@
 
     /// Returns the region of a node if it differs from the region of this node.
     pub(super) fn get_remote_region(&self, entry: &Entry) -> Option<&str> {
-        let is_near = self.topology.is_near(&entry.data_centre);
-        self.topology.get_region(&entry.data_centre).filter(|_| !is_near)
+        let is_local = self.topology.is_near(&entry.data_centre);
+        self.topology.get_region(&entry.data_centre).filter(|_| !is_local)
     }
 
     /// Returns how much longer a report takes from another region than from this node's own region.
--- a/crates/core/src/serving/members/view.rs
+++ b/crates/core/src/serving/members/view.rs
@@ -300,8 +300,8 @@
     /// hears no aggregators, and considers all that it ranks.
     fn list_readers(&self, now: Millis, is_aggregator: bool) -> Vec<String> {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
-        let near = others.filter(|member| self.topology.is_near(&member.entry.data_centre));
-        let candidates = near.filter(|member| !is_aggregator || self.is_heard(now, member));
+        let local = others.filter(|member| self.topology.is_near(&member.entry.data_centre));
+        let candidates = local.filter(|member| !is_aggregator || self.is_heard(now, member));
         let mut candidates: Vec<&Entry> = candidates.map(|member| &member.entry).collect();
         if is_aggregator {
             candidates.push(&self.own);
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Notes that this node or its aggregator has received nothing from a whole region for several
+    /// Records that this node or its aggregator has received nothing from a whole region for several
     /// report periods.
     ///
     /// The nodes of that region then use units that no report contains. Until all nodes count them
--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -44,12 +44,12 @@
     /// Records that this node has frozen a window or has found its row; returns `true` if that was
     /// not known. The counts that were recorded first are kept.
     pub fn record_own(&mut self, window: WindowNumber, counts: &Counts) -> bool {
-        self.note(window, counts, COUNT_REPORTS)
+        self.record(window, counts, COUNT_REPORTS)
     }
 
     /// Records that another node has frozen a window. The counts that were recorded first are kept.
     pub fn record_remote(&mut self, window: WindowNumber, counts: &Counts) {
-        self.note(window, counts, 0);
+        self.record(window, counts, 0);
     }
 
     /// Records that another node knows some windows as frozen.
@@ -60,7 +60,7 @@
         }
     }
 
-    fn note(&mut self, window: WindowNumber, counts: &Counts, remaining_reports: u32) -> bool {
+    fn record(&mut self, window: WindowNumber, counts: &Counts, remaining_reports: u32) -> bool {
         if self.known.contains_key(&window) {
             return false;
         }
