--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -10,10 +10,10 @@
 use keeljunction_core::serving::choice::{Candidate, Criteria, choose, shortlist};
 use keeljunction_core::serving::directory::{Batch, Directory, Entry, Server};
 use keeljunction_core::serving::era::Era;
-use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, RequestCost, short_id};
 use keeljunction_core::serving::members::{self, Members};
 use keeljunction_core::serving::quarantine::{
-    Book, Content, Crash, Fingerprint, Run, Standing, Verdict,
+    Content, Crash, Fingerprint, InterruptedRequest, Standing, Tracker, Verdict,
 };
 use keeljunction_core::serving::quota::{
     AccountUsage, Limit, Quotas, Reachability, Report, Source, Tolerance,
@@ -81,7 +81,7 @@
     };
     for (nodes, count) in SIZES {
         let servers = servers(count);
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         let is_grouped = members(nodes).is_grouped();
         let reporting = if is_grouped { 0 } else { nodes };
         for node in 0..reporting {
@@ -136,7 +136,7 @@
             continue;
         }
         let servers = servers(count);
-        let book = LoadBook::default();
+        let book = LoadTracker::default();
         let weigh = |server| Candidate {
             server,
             load: book.total(&server.id),
@@ -148,7 +148,7 @@
         criterion.bench_function(&name, |bencher| {
             bencher.iter(|| {
                 random += 1;
-                let near = servers.iter().filter(|server| topology.is_near(&server.data_centre));
+                let near = servers.iter().filter(|server| topology.is_local(&server.data_centre));
                 let listed = shortlist(near, &criteria, random, false, |_| true);
                 let candidates: Vec<Candidate<'_>> = listed.into_iter().map(weigh).collect();
                 let choice = choose(&candidates, &criteria, random);
@@ -232,8 +232,8 @@
             });
         });
     }
-    let mut book = LoadBook::default();
-    let work = Work { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
+    let mut book = LoadTracker::default();
+    let work = RequestCost { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
     criterion.bench_function("one load told and read", |bencher| {
         bencher.iter(|| {
             book.merge_server(u64::MAX, "node", 7, Load { requests: 1, ..Load::default() });
@@ -276,7 +276,7 @@
     criterion.bench_function("quarantine, fingerprint of 4 KB", |bencher| {
         bencher.iter(|| black_box(Fingerprint::new(&content)));
     });
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     for number in 0..256 {
         let verdict = Verdict {
             fingerprint: Fingerprint::from_number(number * 7),
@@ -289,12 +289,15 @@
     }
     criterion.bench_function("quarantine, a request beside a full list", |bencher| {
         bencher.iter(|| {
-            black_box(book.get_refused_for(2_000, Fingerprint::from_number(8)));
-            black_box(book.note_answered(2_000, Fingerprint::from_number(8)))
+            black_box(book.get_quarantine_left(2_000, Fingerprint::from_number(8)));
+            black_box(book.record_completion(2_000, Fingerprint::from_number(8)))
         });
     });
     let end = |server: u64| {
-        let run = |number| Run { fingerprint: Fingerprint::from_number(number), ran_for: 50 };
+        let run = |number| InterruptedRequest {
+            fingerprint: Fingerprint::from_number(number),
+            ran_for: 50,
+        };
         Crash {
             service: 1,
             server,
@@ -303,13 +306,13 @@
         }
     };
     for server in 0..512 {
-        book.take_report(10_000 + server, &end(server));
+        book.merge_report(10_000 + server, &end(server));
     }
     let mut server = 512;
     criterion.bench_function("quarantine, an end at a full keeper", |bencher| {
         bencher.iter(|| {
             server += 1;
-            book.take_report(20_000 + server, &end(server));
+            book.merge_report(20_000 + server, &end(server));
             black_box(book.judge(20_000 + server))
         });
     });
--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -4,7 +4,7 @@
 
 use super::{Member, State};
 use crate::Millis;
-use crate::rumor::Queue;
+use crate::gossip::TransmitQueue;
 
 /// The times that membership goes by, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// How long a suspect has to refute before it counts as dead.
     pub suspicion: Millis,
     /// How long a dead node is remembered, so that late news cannot bring it back.
-    pub memory: Millis,
+    pub dead_retention: Millis,
 }
 
 /// The nodes that one node knows, itself included.
@@ -20,7 +20,7 @@
 pub struct List {
     me: Member,
     others: BTreeMap<String, Entry>,
-    news: Queue<Member>,
+    news: TransmitQueue<Member>,
     round: Vec<String>,
     timing: Timing,
 }
@@ -35,13 +35,13 @@
 impl List {
     /// Starts a list with the node itself.
     pub fn new(me: Member, timing: Timing) -> Self {
-        let mut news = Queue::new();
+        let mut news = TransmitQueue::new();
         news.push(&me.name, me.clone());
         Self { me, others: BTreeMap::new(), news, round: Vec::new(), timing }
     }
 
     /// Returns the node itself.
-    pub fn get_me(&self) -> &Member {
+    pub fn get_local(&self) -> &Member {
         &self.me
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Walks the nodes that may be given work: alive ones, and suspects that may yet refute.
-    pub fn usable(&self) -> impl Iterator<Item = &Member> {
+    pub fn iter_usable(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| matches!(member.state, State::Alive | State::Suspect))
     }
 
@@ -103,7 +103,12 @@
     }
 
     /// Picks up to `count` nodes to probe `target` on this node's behalf.
-    pub fn helpers(&self, target: &str, count: usize, random: &mut fastrand::Rng) -> Vec<Member> {
+    pub fn pick_helpers(
+        &self,
+        target: &str,
+        count: usize,
+        random: &mut fastrand::Rng,
+    ) -> Vec<Member> {
         let fit = self.probable().filter(|m| m.name != target && m.state == State::Alive);
         let mut fit: Vec<Member> = fit.cloned().collect();
         random.shuffle(&mut fit);
@@ -112,14 +117,14 @@
     }
 
     /// Notes that a node answered.
-    pub fn answered(&mut self, name: &str) {
+    pub fn record_answer(&mut self, name: &str) {
         if let Some(entry) = self.others.get_mut(name) {
             entry.missed_since = None;
         }
     }
 
     /// Notes that a node answered neither directly nor through others.
-    pub fn missed(&mut self, now: Millis, name: &str) {
+    pub fn record_missed_probe(&mut self, now: Millis, name: &str) {
         let Some(entry) = self.others.get_mut(name) else { return };
         entry.missed_since.get_or_insert(now);
         if entry.member.state == State::Alive {
@@ -134,7 +139,8 @@
     /// Declares silent nodes dead, forgets the long dead, and returns those newly dead.
     pub fn expire(&mut self, now: Millis) -> Vec<Member> {
         let timing = self.timing;
-        self.others.retain(|_, e| e.member.state != State::Dead || now < e.since + timing.memory);
+        self.others
+            .retain(|_, e| e.member.state != State::Dead || now < e.since + timing.dead_retention);
         let is_over = |entry: &&Entry| match entry.member.state {
             State::Suspect => now >= entry.since + timing.suspicion,
             State::Leaving => entry.missed_since.is_some_and(|at| now >= at + timing.suspicion),
@@ -156,7 +162,7 @@
     }
 
     /// Takes up to `most` pieces of news for one message.
-    pub fn take_news(&mut self, most: usize) -> Vec<Member> {
+    pub fn take_updates(&mut self, most: usize) -> Vec<Member> {
         let nodes = self.others.len() + 1;
         self.news.take(most, nodes)
     }
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -321,7 +321,7 @@
         }
         if let Some(member) = self.known.get_mut(name) {
             // A summary from another region is older than its sender states, by the transit time.
-            let is_local = self.topology.is_near(&member.entry.data_centre);
+            let is_local = self.topology.is_local(&member.entry.data_centre);
             let transit = if is_local { 0 } else { 2 * self.transit.one_way };
             member.group = group;
             member.group_age = group_age + transit;
--- a/crates/core/src/serving/members/owner.rs
+++ b/crates/core/src/serving/members/owner.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use super::Members;
-use crate::succession;
+use crate::rendezvous;
 
 /// The aggregator that tracks the load of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
             let address = self.find_owner(server)?;
             return Some(LoadOwner { address, remote_region: None });
         }
-        let own = self.topology.get_own();
+        let own = self.topology.get_own_region();
         let region = self.topology.get_region(data_centre).unwrap_or(own);
         let owner = self.find_owner_in(server, region).or_else(|| self.find_owner_in(server, own));
         let entry = &self.known.get(owner?)?.entry;
@@ -53,7 +53,7 @@
     /// `benches/serving.rs` measures the lookup: 0.17 us among 83 nodes, 0.28 us among 1,000.
     fn find_owner_in(&self, key: u64, region: &str) -> Option<&str> {
         let names = self.view.ranking.by_region.get(region)?;
-        succession::owner_of_number(key, names.iter().map(String::as_str))
+        rendezvous::owner_of_hash(key, names.iter().map(String::as_str))
     }
 
     /// Returns how many nodes of this node's region may be serving, this one included.
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -8,7 +8,7 @@
 use super::{GONE_TIMEOUT, Member, Members, Overview, Role};
 use crate::serving::load::short_id;
 use crate::serving::quota::Reachability;
-use crate::{Millis, succession};
+use crate::{Millis, rendezvous};
 
 /// The time between two reports.
 ///
@@ -159,7 +159,7 @@
         let known = names.into_iter().filter_map(|name| self.known.get(name));
         let is_using_carriers = self.is_using_carriers();
         let known =
-            known.filter(|m| !is_using_carriers || self.topology.is_near(&m.entry.data_centre));
+            known.filter(|m| !is_using_carriers || self.topology.is_local(&m.entry.data_centre));
         let mut addresses: Vec<SocketAddr> = known.map(|member| member.entry.address).collect();
         for seed in &self.seeds {
             if !self.known.values().any(|member| member.entry.address == *seed) {
@@ -288,7 +288,7 @@
     pub fn find_owner(&self, key: u64) -> Option<SocketAddr> {
         let own = self.view.ranking.is_aggregator.then_some(self.own.name.as_str());
         let names = self.view.ranking.aggregators.iter().map(String::as_str).chain(own);
-        let owner = succession::owner_of_number(key, names)?;
+        let owner = rendezvous::owner_of_hash(key, names)?;
         self.known.get(owner).map(|member| member.entry.address)
     }
 
--- a/crates/core/src/serving/members/ranking.rs
+++ b/crates/core/src/serving/members/ranking.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 use super::entry::Entry;
+use crate::rendezvous;
 use crate::serving::topology::Topology;
-use crate::succession;
 
 /// The largest number of nodes that report to each other directly, without groups.
 ///
@@ -61,7 +61,7 @@
 /// The order is recomputed whenever a node joins, so only the first nodes are sorted, by sort keys
 /// that are computed once.
 fn take_first_by_link<'a>(key: &str, nodes: Vec<&'a Entry>, count: usize) -> Vec<&'a Entry> {
-    let get_weight = succession::weigher(key);
+    let get_weight = rendezvous::make_weight_fn(key);
     let sort_key =
         |node: &'a Entry| (Reverse((node.link_mbps, get_weight(&node.name), &node.name)), node);
     let mut keyed: Vec<_> = nodes.into_iter().map(sort_key).collect();
@@ -94,7 +94,7 @@
     aggregators: &[&'a Entry],
 ) -> BTreeMap<String, Vec<String>> {
     let mut regions: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
-    for entry in aggregators.iter().filter(|entry| !topology.is_near(&entry.data_centre)) {
+    for entry in aggregators.iter().filter(|entry| !topology.is_local(&entry.data_centre)) {
         let region = topology.get_region(&entry.data_centre).unwrap_or_default();
         regions.entry(region).or_default().push(entry);
     }
@@ -116,10 +116,10 @@
         aggregators.iter().filter(|entry| is_local(entry)).copied().collect()
     };
     let same_data_centre = only(&|entry| entry.data_centre == own.data_centre);
-    let local = only(&|entry| topology.is_near(&entry.data_centre));
+    let local = only(&|entry| topology.is_local(&entry.data_centre));
     let all = aggregators.to_vec();
     let candidates =
         [same_data_centre, local, all].into_iter().find(|entries| !entries.is_empty())?;
-    let owner = succession::owner(&own.name, candidates.iter().map(|entry| entry.name.as_str()))?;
+    let owner = rendezvous::owner(&own.name, candidates.iter().map(|entry| entry.name.as_str()))?;
     candidates.into_iter().find(|entry| entry.name == owner)
 }
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -71,7 +71,7 @@
     /// Returns the number of aggregators in this node's region, this one included.
     pub fn count_local_aggregators(&self) -> usize {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
-        1 + others.filter(|member| self.topology.is_near(&member.entry.data_centre)).count()
+        1 + others.filter(|member| self.topology.is_local(&member.entry.data_centre)).count()
     }
 
     /// Lists the nodes of other regions by address, with their regions.
@@ -118,7 +118,7 @@
 
     /// Returns `true` if a node that does not hear these regions hears the region of this node.
     pub fn is_own_region_heard(&self, unheard_regions: &[String]) -> bool {
-        !unheard_regions.iter().any(|region| region == self.topology.get_own())
+        !unheard_regions.iter().any(|region| region == self.topology.get_own_region())
     }
 
     /// Returns `true` if a region is overdue: nothing has arrived from it for several periods, but
@@ -213,7 +213,7 @@
 
     /// Returns the region of a node if it differs from the region of this node.
     pub(super) fn get_remote_region(&self, entry: &Entry) -> Option<&str> {
-        let is_local = self.topology.is_near(&entry.data_centre);
+        let is_local = self.topology.is_local(&entry.data_centre);
         self.topology.get_region(&entry.data_centre).filter(|_| !is_local)
     }
 
--- a/crates/core/src/serving/members/view.rs
+++ b/crates/core/src/serving/members/view.rs
@@ -70,7 +70,7 @@
             self.view.ranking.is_aggregator || self.iter_group(now).next().is_some();
         let serving = || self.known.values().filter(|member| !member.is_stopping);
         let nodes = 1 + serving().count();
-        let local = serving().filter(|member| self.topology.is_near(&member.entry.data_centre));
+        let local = serving().filter(|member| self.topology.is_local(&member.entry.data_centre));
         let local_nodes = 1 + local.count();
         self.view.at = now;
         self.view.nodes = nodes;
@@ -300,7 +300,7 @@
     /// hears no aggregators, and considers all that it ranks.
     fn list_readers(&self, now: Millis, is_aggregator: bool) -> Vec<String> {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
-        let local = others.filter(|member| self.topology.is_near(&member.entry.data_centre));
+        let local = others.filter(|member| self.topology.is_local(&member.entry.data_centre));
         let candidates = local.filter(|member| !is_aggregator || self.is_heard(now, member));
         let mut candidates: Vec<&Entry> = candidates.map(|member| &member.entry).collect();
         if is_aggregator {
--- a/crates/core/src/serving/quarantine/book.rs
+++ b/crates/core/src/serving/quarantine/tracker.rs
@@ -3,8 +3,10 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use super::answered::SHOWN_FOR;
-use super::{Answered, Crash, Evidence, Fingerprint, List, Outbox, Standing, Verdict};
+use super::completed_requests::SHOWN_FOR;
+use super::{
+    CompletedRequests, Crash, CrashAnalyzer, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
+};
 use crate::Millis;
 
 /// The most verdicts that wait to be written to the platform's table.
@@ -12,28 +14,28 @@
 
 /// All that a node knows of requests that crash servers.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
-    list: List,
-    answered: Answered,
+pub struct Tracker {
+    list: VerdictCache,
+    answered: CompletedRequests,
     outbox: Outbox,
-    evidence: Evidence,
+    evidence: CrashAnalyzer,
     /// Verdicts of this node, as the keeper, that the platform's table does not hold yet.
     unsaved: VecDeque<Verdict>,
 }
 
 /// What came of a verdict that another node sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Merged {
+pub struct MergeOutcome {
     /// Whether it is news, to be passed on.
     pub is_news: bool,
     /// Whether this node has answered the request whole, which the keeper must be notified of.
     pub is_answered_here: bool,
 }
 
-impl Book {
+impl Tracker {
     /// Notes that a server crashed under requests of this node. Those that were answered whole lately do
     /// not crash servers.
-    pub fn note_crash(&mut self, now: Millis, mut crash: Crash) {
+    pub fn record_crash(&mut self, now: Millis, mut crash: Crash) {
         crash.runs.retain(|run| !self.answered.is_known(now, run.fingerprint));
         if !crash.runs.is_empty() {
             self.outbox.push(now, crash);
@@ -52,21 +54,21 @@
         for (keeper, crash) in due {
             match keeper {
                 Some(keeper) => to_send.push((keeper, crash)),
-                None => self.evidence.note(now, &crash, &self.answered),
+                None => self.evidence.record(now, &crash, &self.answered),
             }
         }
         to_send
     }
 
     /// Takes a report, as the keeper.
-    pub fn take_report(&mut self, now: Millis, crash: &Crash) {
-        self.evidence.note(now, crash, &self.answered);
+    pub fn merge_report(&mut self, now: Millis, crash: &Crash) {
+        self.evidence.record(now, crash, &self.answered);
     }
 
     /// Notes that a server answered a request whole at this node; returns the short name of its service
     /// where the keeper must be notified, once.
-    pub fn note_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
-        self.answered.note(now, fingerprint);
+    pub fn record_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
+        self.answered.record(now, fingerprint);
         let verdict = self.list.get(now, fingerprint)?;
         if verdict.standing == Standing::Cleared {
             return None;
@@ -77,9 +79,9 @@
 
     /// Takes the word of a node that a request was answered whole, as the keeper; returns the verdict
     /// that all nodes are notified of.
-    pub fn take_answered(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
-        self.answered.note(now, fingerprint);
-        if !self.evidence.note_answered(fingerprint) {
+    pub fn merge_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
+        self.answered.record(now, fingerprint);
+        if !self.evidence.record_completion(fingerprint) {
             return None;
         }
         let known = self.list.get(now, fingerprint)?;
@@ -102,7 +104,7 @@
 
     /// Keeps all requests that are refused to be written to the platform's table again, which has lost rows.
     pub fn save_all(&mut self, now: Millis) {
-        let refused: Vec<Verdict> = self.list.iter_refused(now).collect();
+        let refused: Vec<Verdict> = self.list.iter_quarantined(now).collect();
         refused.into_iter().for_each(|verdict| self.save(verdict));
     }
 
@@ -124,29 +126,29 @@
     }
 
     /// Takes over a verdict of another node, or of the platform's table.
-    pub fn merge(&mut self, now: Millis, verdict: Verdict) -> Merged {
+    pub fn merge(&mut self, now: Millis, verdict: Verdict) -> MergeOutcome {
         let is_answered_here = self.answered.is_known(now, verdict.fingerprint);
         let is_news = self.list.merge(now, verdict);
         if is_news {
             self.evidence.note_refused(now, &verdict);
         }
         let is_doubted = is_news && verdict.standing != Standing::Cleared;
-        Merged { is_news, is_answered_here: is_answered_here && is_doubted }
+        MergeOutcome { is_news, is_answered_here: is_answered_here && is_doubted }
     }
 
     /// Returns the milliseconds for which a request is still refused; `None` where it is served.
-    pub fn get_refused_for(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
-        self.list.get_refused_for(now, fingerprint)
+    pub fn get_quarantine_left(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
+        self.list.get_quarantine_left(now, fingerprint)
     }
 
     /// Lists some verdicts for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Verdict> {
-        self.list.list_some(now, turn)
+    pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Verdict> {
+        self.list.get_gossip_batch(now, turn)
     }
 
     /// Counts the requests that are refused.
-    pub fn count_refused(&self, now: Millis) -> usize {
-        self.list.count_refused(now)
+    pub fn count_quarantined(&self, now: Millis) -> usize {
+        self.list.count_quarantined(now)
     }
 }
 
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -8,7 +8,7 @@
 use super::report::Source;
 use super::{MIN_AVAILABLE, NEW_NODE_PERIOD, Quotas, get_raised_fraction};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// The fraction of the local share that is admitted, before the reduction that pays back units
 /// admitted over the limit.
@@ -39,7 +39,7 @@
     pub fn discard_local_share_savings(&mut self, now: Millis, account: &str) {
         if let Some(bucket) = self.local_share.get_mut(account) {
             // Units admitted in advance are still paid back.
-            bucket.stop_saving(now);
+            bucket.stop_accumulating(now);
         }
     }
 
@@ -109,8 +109,8 @@
         // request too many.
         let debt = (units - share.advance).max(0.0);
         let bucket = self.local_share.entry(account.to_owned());
-        let bucket = bucket.or_insert(Bucket::new(now, -debt));
-        bucket.set(now, share.rate, share.rate.max(MIN_AVAILABLE));
+        let bucket = bucket.or_insert(TokenBucket::new(now, -debt));
+        bucket.set_limits(now, share.rate, share.rate.max(MIN_AVAILABLE));
         if bucket.available < MIN_AVAILABLE {
             return Err(get_wait(MIN_AVAILABLE - bucket.available, share.rate));
         }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -31,7 +31,7 @@
 
 use self::report::{RATE_VALID_FOR, Rates};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// The units that must be available for a request to be admitted.
 const MIN_AVAILABLE: f64 = 1.0;
@@ -82,8 +82,8 @@
 pub struct Quotas {
     started_at: Millis,
     tolerance: Tolerance,
-    whole: BTreeMap<String, Bucket>,
-    local_share: BTreeMap<String, Bucket>,
+    whole: BTreeMap<String, TokenBucket>,
+    local_share: BTreeMap<String, TokenBucket>,
     /// The time up to which units are booked for refused callers, by client account.
     booked_until: BTreeMap<String, f64>,
     own: Report,
@@ -394,7 +394,7 @@
         }
         let Some(bucket) = self.whole.get_mut(account) else { return 0.0 };
         bucket.release(reserved);
-        bucket.set(now, rate, capacity);
+        bucket.set_limits(now, rate, capacity);
         if charged > 0.0 {
             bucket.available -= charged;
             unreported -= charged;
@@ -411,9 +411,9 @@
     }
 
     /// Creates the bucket of a client account that has not sent a request to this node before.
-    fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> Bucket {
+    fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> TokenBucket {
         if now >= self.started_at + NEW_NODE_PERIOD {
-            return Bucket::new(now, limit.get_capacity());
+            return TokenBucket::new(now, limit.get_capacity());
         }
         let restart_units = self.get_restart_units(limit);
         let reports = |is_older: bool| {
@@ -424,7 +424,7 @@
             Some(level) => restart_units.min(level as f64),
             None => restart_units - reports(false).map(|last| last.admitted as f64).sum::<f64>(),
         };
-        Bucket::new(now, level - reserved).reserve(reserved)
+        TokenBucket::new(now, level - reserved).reserve(reserved)
     }
 
     /// Returns `true` if a report for many nodes is overdue: the available units are then too
@@ -481,7 +481,7 @@
 /// Nodes that were out of reach used a fraction of the rate with which this bucket was not
 /// refilled. Their report for a long time may be many times the burst, so the debt is limited to
 /// the burst and the tolerated excess.
-fn charge(tolerance: Tolerance, bucket: &mut Bucket, admitted: i64) {
+fn charge(tolerance: Tolerance, bucket: &mut TokenBucket, admitted: i64) {
     let admitted = admitted as f64;
     let Some((rate, capacity)) = bucket.get_limits() else {
         bucket.available -= admitted;
@@ -492,7 +492,7 @@
     bucket.available = (bucket.available - admitted).max(least);
 }
 
-fn refund_all(buckets: &mut BTreeMap<String, Bucket>, units: BTreeMap<String, f64>) {
+fn refund_all(buckets: &mut BTreeMap<String, TokenBucket>, units: BTreeMap<String, f64>) {
     for (account, units) in units {
         if let Some(bucket) = buckets.get_mut(&account) {
             bucket.available += units;
--- a/crates/core/src/serving/distance.rs
+++ b/crates/core/src/serving/round_trip.rs
@@ -23,7 +23,7 @@
 
 /// Round trips from this node to the other regions.
 #[derive(Clone, Debug, Default)]
-pub struct Distances {
+pub struct RoundTrips {
     by_region: BTreeMap<String, Estimate>,
 }
 
@@ -34,9 +34,9 @@
     deviation: f64,
 }
 
-impl Distances {
+impl RoundTrips {
     /// Notes the time between a question to a node of a region and its answer.
-    pub fn note(&mut self, region: &str, round_trip: Millis) {
+    pub fn record(&mut self, region: &str, round_trip: Millis) {
         let newest = round_trip as f64;
         let Some(known) = self.by_region.get_mut(region) else {
             let first = Estimate { round_trip: newest, deviation: newest / 2.0 };
@@ -55,7 +55,7 @@
 
     /// Returns how long to wait for an answer from a node of another region; `least` where that is
     /// longer.
-    pub fn get_wait(&self, region: &str, least: Millis) -> Millis {
+    pub fn get_timeout(&self, region: &str, least: Millis) -> Millis {
         let known = self.by_region.get(region);
         let wait = known.map_or(UNMEASURED as f64 * 1.5, |known| {
             known.round_trip + DEVIATIONS * known.deviation
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::quota::{
     Decision, Limit, Quotas, Reachability, Report, Source, Tolerance,
 };
+use keeljunction_core::serving::report_log::{ReportLog, Snapshot};
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
 
@@ -42,7 +42,7 @@
 struct Node {
     number: usize,
     quotas: Quotas,
-    handover: Handover,
+    handover: ReportLog,
     ledger: Ledger,
     aggregator: usize,
     heard_at: u64,
@@ -60,7 +60,7 @@
         Self {
             number,
             quotas: Quotas::new(now, TOLERANCE),
-            handover: Handover::new(incarnation),
+            handover: ReportLog::new(incarnation),
             ledger: Ledger::default(),
             aggregator: number % GROUPS,
             heard_at: now,
@@ -110,7 +110,7 @@
     /// Turns to another aggregator, or begins anew with one that has started again.
     fn turn(&mut self, now: u64, to: usize, number: u64) {
         let former = self.handover.get_incarnation().clone();
-        let arrived = self.handover.begin(number);
+        let arrived = self.handover.begin_incarnation(number);
         let next = self.handover.get_incarnation().clone();
         self.quotas.hand_over(now, &arrived.quota);
         self.ledger.hand_over(&former, &next, &arrived.usage, false);
@@ -286,7 +286,7 @@
             }
             node.heard_at = now;
             node.heard_elsewhere = heard;
-            let arrived = answers.and_then(|at| node.handover.confirm(at).cloned());
+            let arrived = answers.and_then(|at| node.handover.acknowledge(at).cloned());
             if let Some(arrived) = arrived {
                 node.quotas.merge_total(now, (&run.0, run.1), &total, &arrived.quota);
             }
@@ -539,17 +539,17 @@
         usage: BTreeMap::from([(WINDOW, Counts::from([("acme".to_owned(), count)]))]),
         ..Snapshot::default()
     };
-    let mut handover = Handover::new(incarnation(1));
+    let mut handover = ReportLog::new(incarnation(1));
     handover.record(400, snapshot(3));
     handover.record(800, snapshot(5));
     handover.record(1_200, snapshot(9));
-    assert_eq!(handover.confirm(800), Some(&snapshot(5)));
+    assert_eq!(handover.acknowledge(800), Some(&snapshot(5)));
     // An older confirmation that was late changes nothing.
-    assert_eq!(handover.confirm(400), None);
-    assert_eq!(handover.get_arrived(), Some(&snapshot(5)));
-    assert_eq!(handover.begin(2), snapshot(5));
+    assert_eq!(handover.acknowledge(400), None);
+    assert_eq!(handover.get_acknowledged(), Some(&snapshot(5)));
+    assert_eq!(handover.begin_incarnation(2), snapshot(5));
     assert_eq!(handover.get_incarnation(), &incarnation(2));
     // Reports of the former incarnation are confirmed no more.
-    assert_eq!(handover.confirm(1_200), None);
-    assert_eq!(handover.begin(3), Snapshot::default());
+    assert_eq!(handover.acknowledge(1_200), None);
+    assert_eq!(handover.begin_incarnation(3), Snapshot::default());
 }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use keeljunction_core::serving::crossing::Crossing;
-use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::load::short_id;
 use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Overview, Role};
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Report, Source, Tolerance};
+use keeljunction_core::serving::report_log::{ReportLog, Snapshot};
+use keeljunction_core::serving::summary_pacer::SummaryPacer;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
@@ -84,10 +84,10 @@
     members: Members,
     quotas: Quotas,
     ledger: Ledger,
-    handover: Handover,
+    handover: ReportLog,
     /// The aggregator that it reports to; `None` where it aggregates.
     audience: Option<String>,
-    pace: Crossing,
+    pace: SummaryPacer,
     crossed: u64,
     sent: usize,
     /// The newest report of each node that arrived here, by its time there.
@@ -190,8 +190,8 @@
             members,
             quotas: Quotas::new(now, TOLERANCE),
             ledger: Ledger::default(),
-            handover: Handover::new(incarnation),
-            pace: Crossing::new(scenario.control_kbps),
+            handover: ReportLog::new(incarnation),
+            pace: SummaryPacer::new(scenario.control_kbps),
             crossed: 0,
             sent: 0,
             newest: BTreeMap::new(),
@@ -213,7 +213,7 @@
 
     fn begin(&mut self, now: u64, was_own_sum: bool) {
         let former = self.handover.get_incarnation().clone();
-        let arrived = self.handover.begin(now + 1_000_000);
+        let arrived = self.handover.begin_incarnation(now + 1_000_000);
         let next = self.handover.get_incarnation().clone();
         self.quotas.hand_over(now, &arrived.quota);
         self.ledger.hand_over(&former, &next, &arrived.usage, was_own_sum);
@@ -252,7 +252,7 @@
                 *newest = (*newest).max(sent_at);
             }
             Datagram::Summary(summary) => {
-                let is_near = self.members.get_topology().is_near(&summary.entry.data_centre);
+                let is_near = self.members.get_topology().is_local(&summary.entry.data_centre);
                 let is_new = is_near || self.note(now, &summary);
                 if is_near {
                     self.take_summary(now, summary.clone());
@@ -292,7 +292,7 @@
         if told.is_region_overdue {
             self.quotas.record_overdue_region(now);
         }
-        let arrived = told.answers.and_then(|at| self.handover.confirm(at).cloned());
+        let arrived = told.answers.and_then(|at| self.handover.acknowledge(at).cloned());
         if let Some(arrived) = arrived {
             self.quotas.merge_total(now, (name, told.incarnation), &told.total, &arrived.quota);
         }
@@ -360,7 +360,7 @@
         if !self.pace.is_due(now, self.crossed, senders) {
             return Vec::new();
         }
-        self.pace.note_sent(now);
+        self.pace.record_sent(now);
         self.sent += 1;
         self.members.pick_carriers(now, self.sent)
     }
--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -11,13 +11,13 @@
 use keeljunction_core::serving::choice::Criteria;
 use keeljunction_core::serving::configuration::{Account, Configuration, QuotaUnit, Route};
 use keeljunction_core::serving::demand::DemandTotals;
-use keeljunction_core::serving::load::{PRIORITIES, Work};
+use keeljunction_core::serving::load::{PRIORITIES, RequestCost};
 use keeljunction_core::serving::quarantine::{Content, Fingerprint};
 use keeljunction_core::serving::refusal::Refusal;
 
 use super::respond::{Record, Refused};
 use super::upload::{Arriving, Bounds, Upload};
-use crate::node::cut_runs::CutRun;
+use crate::node::interrupted_attempts::InterruptedAttempt;
 use crate::node::{self, Node};
 use crate::port::{Prompt, RequestHead};
 use crate::runtime::lock;
@@ -54,7 +54,7 @@
     /// When the final answer is due.
     pub due: Millis,
     /// The size of the request for a server.
-    pub work: Work,
+    pub work: RequestCost,
     /// What bears on the choice of a server.
     pub criteria: Criteria,
     /// Names the request's content.
@@ -87,7 +87,7 @@
             configuration.ok_or(refuse(Refusal::NotConfigured, KNOWLEDGE_RETRY_AFTER))?;
         record.version = Some(configuration.version);
         record.age = age;
-        let is_fresh = node.is_fresh();
+        let is_fresh = node.is_configuration_fresh();
         if head.id.is_none() {
             return Err(refuse(Refusal::BadRequest, 0));
         }
@@ -112,7 +112,7 @@
         let urgency = priority * PRIORITY_STEP + route.priority;
         let bounds = Bounds {
             bytes: configuration.limits.body_bytes as u64,
-            window: configuration.limits.head_within,
+            window: configuration.limits.head_timeout,
             within: deadline.min(route.timeout),
         };
         let id = record.id.clone();
@@ -127,7 +127,7 @@
             upload.read(arriving).await.map_err(|rejection| rejection.with_left(deadline))?;
         let fingerprint = compute_fingerprint(&parts, name, &body);
         record.fingerprint = Some(fingerprint);
-        if let Some(refused_for) = node.get_quarantine(fingerprint) {
+        if let Some(refused_for) = node.get_quarantine_remaining(fingerprint) {
             return Err(refuse(Refusal::Quarantined, refused_for));
         }
         let prompt = head.prompt.as_ref();
@@ -173,11 +173,16 @@
     /// since when its answer came.
     pub fn cut_run(
         &self,
-        cut_at: Millis,
-        began_at: Millis,
-        answering_since: Option<Millis>,
-    ) -> CutRun {
-        CutRun { fingerprint: self.fingerprint, began_at, cut_at, answering_since }
+        interrupted_at: Millis,
+        sent_at: Millis,
+        response_started_at: Option<Millis>,
+    ) -> InterruptedAttempt {
+        InterruptedAttempt {
+            fingerprint: self.fingerprint,
+            sent_at,
+            interrupted_at,
+            response_started_at,
+        }
     }
 
     /// Gives the client account's units back where the request did not run.
@@ -264,7 +269,7 @@
     if configuration.accounts.is_none() {
         return Ok(None);
     }
-    let account = head.key.as_deref().and_then(|key| configuration.find_account(key));
+    let account = head.api_key.as_deref().and_then(|key| configuration.find_account(key));
     match account {
         Some(account) => Ok(Some(account)),
         None if route.allow_anonymous => Ok(None),
@@ -324,8 +329,8 @@
     "content-length",
 ];
 
-fn size_work(prompt: Option<&Prompt>, urgency: u32) -> Work {
-    prompt.map_or(Work::default(), |prompt| Work {
+fn size_work(prompt: Option<&Prompt>, urgency: u32) -> RequestCost {
+    prompt.map_or(RequestCost::default(), |prompt| RequestCost {
         prompt_tokens: own_tokens(prompt),
         priority: (urgency as usize).min(PRIORITIES - 1),
         memory_tokens: prompt.input_tokens + prompt.output_tokens,
@@ -339,7 +344,7 @@
 }
 
 /// Counts the request as demand of the service.
-fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &Work) {
+fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &RequestCost) {
     let request = DemandTotals {
         requests: 1,
         prompt_tokens: work.prompt_tokens,
@@ -348,7 +353,7 @@
     node.with(|state| state.demand.count(service, &request));
 }
 
-fn make_criteria(prompt: Option<&Prompt>, work: &Work, route: &Route) -> Criteria {
+fn make_criteria(prompt: Option<&Prompt>, work: &RequestCost, route: &Route) -> Criteria {
     let shared = prompt.and_then(|prompt| prompt.parts.split_last()?.1.last());
     Criteria {
         shared_prefix: shared.map(|part| part.id),
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -5,8 +5,8 @@
 use keeljunction_core::serving::directory::{Departure, Server};
 
 use crate::event::{self, Event};
-use crate::node::{News, Node, watch};
-use crate::port::{AnswerHead, UnreadableHeader};
+use crate::node::{Node, Notification, watch};
+use crate::port::{ResponseHead, UnreadableHeader};
 
 /// How a server answered.
 pub(super) struct Answered {
@@ -22,8 +22,8 @@
 ///
 /// Only an answer to a request that ran ends a limit: what rejects a request may know less than what
 /// runs it. What an earlier start of the server said holds no more.
-pub(super) fn note(node: &Node, server: &Server, answered: &Answered, head: &AnswerHead) {
-    let AnswerHead { signal, unreadable, .. } = head;
+pub(super) fn note(node: &Node, server: &Server, answered: &Answered, head: &ResponseHead) {
+    let ResponseHead { signal, unreadable, .. } = head;
     let Answered { sent_at, status, is_run } = *answered;
     note_unreadable(node, server, unreadable);
     let is_superseded = node.with(|state| state.directory.is_superseded(server));
@@ -33,14 +33,14 @@
     node.metrics.count_signal(signal);
     let now = node.now();
     let noted = node.with(|state| {
-        let noted = state.backpressure.note(now, sent_at, server, signal);
+        let noted = state.backpressure.record(now, sent_at, server, signal);
         if let Some(until) = noted.back_off_until {
-            state.health.note_back_off(&server.id, until);
+            state.health.record_back_off(&server.id, until);
         }
         noted
     });
     let departure = Departure { server: server.id.clone(), incarnation: server.incarnation };
-    let departs = signal.is_leaving && watch::take_departure(node, &departure);
+    let departs = signal.is_leaving && watch::apply_departure(node, &departure);
     if noted.limit.is_some() || noted.back_off_until.is_some() || departs {
         event::emit(&Event::ServerSignal {
             server: &server.id,
@@ -52,16 +52,16 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.push(News::LimitSeen(sighting));
+        node.notify_peers(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(News::ServerDeparts(departure));
+        node.notify_peers(Notification::ServerLeaving(departure));
     }
 }
 
 /// Logs headers that cannot be read, once for each server.
 fn note_unreadable(node: &Node, server: &Server, unreadable: &[UnreadableHeader]) {
-    if unreadable.is_empty() || !node.with(|state| state.backpressure.note_unreadable(server)) {
+    if unreadable.is_empty() || !node.with(|state| state.backpressure.record_unreadable(server)) {
         return;
     }
     for UnreadableHeader { name, value } in unreadable {
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -15,13 +15,13 @@
 use hyper::body::{Body as HttpBody, Incoming};
 use hyper::header::EXPECT;
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, Kind};
+use keeljunction_core::serving::memory::{Kind, Requester};
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::upload::Pace;
+use keeljunction_core::serving::upload::RateMonitor;
 
 use super::rejection::Rejection;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::node::memory::Reservation;
@@ -85,7 +85,7 @@
             Some(0) => None,
             Some(length) if length > bounds.bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
-                let claim = Claim { kind: Kind::RequestBody, account, urgency };
+                let claim = Requester { kind: Kind::RequestBody, account, urgency };
                 let mut reservation = Reservation::for_claim(node, &claim);
                 grow(&mut reservation, length.unwrap_or(LEAST_STEP.min(bounds.bytes))).await?;
                 Some(reservation)
@@ -127,16 +127,16 @@
                 Next::Evicted => return Err(self.evict(received, NO_MEMORY)),
             }
         }
-        reservation.note_whole();
+        reservation.note_complete();
         Ok(Bytes::from_owner(Held { content, _reservation: reservation }))
     }
 
     fn begin_wait(&self, reservation: &mut Reservation) -> Wait {
-        let pace = Pace::new(self.bounds.window, self.length);
+        let pace = RateMonitor::new(self.bounds.window, self.length);
         let within = Duration::from_millis(self.bounds.within);
         Wait {
-            stop: reservation.watch(),
-            tick: Timer::after(Duration::from_millis(pace.get_tick())),
+            stop: reservation.watch_eviction(),
+            tick: Timer::after(Duration::from_millis(pace.get_tick_interval())),
             due: Box::pin(runtime::sleep(within)),
             pace,
         }
@@ -179,23 +179,23 @@
 
 /// What ends the wait for more of a body. Most bodies come with their head and need none.
 struct Wait {
-    stop: Stop,
+    stop: StopSignal,
     /// Only wakes the wait: a tick that comes late, after a suspension too, counts as one.
     tick: Timer,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
-    pace: Pace,
+    pace: RateMonitor,
 }
 
 impl Wait {
     /// Notes a tick, and returns `true` if too little has come.
     fn note_tick(&mut self, received: u64) -> bool {
-        self.tick.set_after(Duration::from_millis(self.pace.get_tick()));
-        self.pace.note_tick(received)
+        self.tick.set_after(Duration::from_millis(self.pace.get_tick_interval()));
+        self.pace.record_tick(received)
     }
 
     async fn end(&mut self) -> Next {
         let stopped = async {
-            self.stop.given().await;
+            self.stop.wait().await;
             Next::Evicted
         };
         let due = async {
@@ -304,7 +304,7 @@
         runtime::spawn(async move {
             let drained = async { while let Some(Ok(_)) = body.frame().await {} };
             // After that the body is dropped, which closes the connection.
-            let _ = runtime::within(DRAIN_WITHIN, drained).await;
+            let _ = runtime::timeout(DRAIN_WITHIN, drained).await;
         });
     }
 }
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -7,8 +7,8 @@
 mod server;
 mod socket;
 
-pub use body::{Body, read};
-pub use client::{Client, Failure, Reply};
-pub use peer::Peer;
-pub use server::{Limits, Open, Server, Stop};
-pub use socket::{Socket, Writes, drive};
+pub use body::{Body, read_body};
+pub use client::{Client, ResponseBody, SendError};
+pub use peer::ConnectionHandle;
+pub use server::{ConnectionCount, Limits, Server, StopSignal};
+pub use socket::{Socket, WriteState, drive};
--- a/crates/gateway/src/http/server.rs
+++ b/crates/gateway/src/http/server.rs
@@ -17,11 +17,11 @@
 use hyper::{Request, Response};
 use smol_hyper::rt::SmolTimer;
 
-use super::{Body, Peer, Socket, drive};
+use super::{Body, ConnectionHandle, Socket, drive};
 use crate::runtime;
 
 /// Returns how long a connection may rest before the next request's head is whole.
-pub type HeadWithin = Arc<dyn Fn() -> Duration + Send + Sync>;
+pub type HeadTimeout = Arc<dyn Fn() -> Duration + Send + Sync>;
 
 /// Time for a request's head to arrive where no other time is set.
 const HEAD_WITHIN: Duration = Duration::from_secs(10);
@@ -47,12 +47,12 @@
 
 /// A signal that is given once, and that any number of tasks wait for.
 #[derive(Clone, Debug)]
-pub struct Stop {
+pub struct StopSignal {
     sender: async_channel::Sender<Infallible>,
     receiver: async_channel::Receiver<Infallible>,
 }
 
-impl Stop {
+impl StopSignal {
     /// Makes a signal that has not been given.
     pub fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
@@ -60,17 +60,17 @@
     }
 
     /// Gives the signal, once and for all.
-    pub fn give(&self) {
+    pub fn send(&self) {
         self.sender.close();
     }
 
     /// Waits until the signal is given.
-    pub async fn given(&self) {
+    pub async fn wait(&self) {
         let _ = self.receiver.recv().await;
     }
 }
 
-impl Default for Stop {
+impl Default for StopSignal {
     fn default() -> Self {
         Self::new()
     }
@@ -78,9 +78,9 @@
 
 /// A count of open connections.
 #[derive(Clone, Debug, Default)]
-pub struct Open(Arc<AtomicUsize>);
+pub struct ConnectionCount(Arc<AtomicUsize>);
 
-impl Open {
+impl ConnectionCount {
     /// Returns how many connections are open.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::SeqCst)
@@ -91,9 +91,9 @@
 pub struct Server {
     listener: TcpListener,
     limits: Limits,
-    head_within: HeadWithin,
-    stop: Stop,
-    open: Open,
+    head_within: HeadTimeout,
+    stop: StopSignal,
+    open: ConnectionCount,
 }
 
 impl Server {
@@ -102,14 +102,14 @@
     /// # Errors
     ///
     /// Returns the system's error where the address cannot be had.
-    pub async fn bind(address: SocketAddr, limits: Limits, stop: Stop) -> io::Result<Self> {
+    pub async fn bind(address: SocketAddr, limits: Limits, stop: StopSignal) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let head_within: HeadWithin = Arc::new(|| HEAD_WITHIN);
-        Ok(Self { listener, limits, head_within, stop, open: Open::default() })
+        let head_within: HeadTimeout = Arc::new(|| HEAD_WITHIN);
+        Ok(Self { listener, limits, head_within, stop, open: ConnectionCount::default() })
     }
 
     /// Sets how long connections that come from now on may rest; the closure runs for each of them.
-    pub fn with_head_within(self, head_within: HeadWithin) -> Self {
+    pub fn with_head_timeout(self, head_within: HeadTimeout) -> Self {
         Self { head_within, ..self }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Returns the count of open connections.
-    pub fn get_open(&self) -> Open {
+    pub fn get_connection_count(&self) -> ConnectionCount {
         self.open.clone()
     }
 
@@ -135,7 +135,7 @@
     {
         loop {
             let accepted = future::or(async { Some(self.listener.accept().await) }, async {
-                self.stop.given().await;
+                self.stop.wait().await;
                 None
             });
             match accepted.await {
@@ -198,14 +198,14 @@
     answer: F,
     limits: Limits,
     head_within: Duration,
-    stop: Stop,
+    stop: StopSignal,
 ) where
     F: Fn(Request<Incoming>) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
     let watched = stream.clone();
-    let peer = Peer::new(&stream);
+    let peer = ConnectionHandle::new(&stream);
     let service = service_fn(|mut request: Request<Incoming>| {
         request.extensions_mut().insert(peer.clone());
         let response = answer(request);
@@ -216,9 +216,9 @@
     builder.timer(SmolTimer::new()).header_read_timeout(head_within);
     builder.max_buf_size(limits.head_bytes.max(8192));
     let socket = Socket::new(stream);
-    let writes = socket.get_writes();
+    let writes = socket.get_write_state();
     let mut connection = pin!(builder.serve_connection(socket, service));
-    let stopping = pin!(stop.given());
+    let stopping = pin!(stop.wait());
     let ended = async {
         let _ = drive(connection.as_mut(), &writes).await;
         false
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -30,8 +30,8 @@
     }
     let far = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
-        let others = regions.filter(|region| *region != node.topology.get_own());
-        let farthest = others.map(|region| state.distances.get_round_trip(region)).max();
+        let others = regions.filter(|region| *region != node.topology.get_own_region());
+        let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
         let period = state.carrying.pace.get_period();
         state.members.set_transit_delay(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
@@ -65,7 +65,7 @@
         if !state.carrying.pace.is_due(now, crossed, senders) {
             return Vec::new();
         }
-        state.carrying.pace.note_sent(now);
+        state.carrying.pace.record_sent(now);
         state.carrying.sent += 1;
         let turn = state.carrying.sent;
         summary.totals.throughputs = std::mem::take(&mut state.carrying.samples);
@@ -92,7 +92,7 @@
         return;
     }
     let reported = summary.versions;
-    if node.topology.is_near(&summary.sender.entry.data_centre) {
+    if node.topology.is_local(&summary.sender.entry.data_centre) {
         report::take_summary(node, asked_at, summary);
         return versions::take(node, from, asked_at, &reported);
     }
@@ -154,5 +154,5 @@
     let Some(asked_at) = asked_at.filter(|_| is_answer) else { return };
     let Some(region) = node.link.get_far_region(from) else { return };
     let round_trip = node.now().saturating_sub(asked_at);
-    node.with(|state| state.distances.note(&region, round_trip));
+    node.with(|state| state.round_trips.record(&region, round_trip));
 }
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -49,7 +49,7 @@
 
 /// Asks for the loads of some servers, and returns once they are known or the time for that is
 /// over; `false` where nobody answered.
-pub(crate) async fn ask(node: &Node, servers: &[String]) -> bool {
+pub(crate) async fn query(node: &Node, servers: &[String]) -> bool {
     let by_owner = node.with(|state| {
         let requested = servers.iter().map(|id| {
             let server = state.directory.get(id);
@@ -67,7 +67,7 @@
         let message = Message::AskLoads { question, node: node.incarnation.node.clone(), servers };
         node.link.send(node.now(), owner, &message).await;
     }
-    if runtime::within(within, waiting.done.recv()).await.is_none() {
+    if runtime::timeout(within, waiting.done.recv()).await.is_none() {
         node.metrics.unanswered_load_questions.inc();
     }
     waiting.is_any_answered()
@@ -77,7 +77,8 @@
 fn get_wait(node: &Node, by_owner: &BTreeMap<SocketAddr, Kept>) -> Duration {
     let near = ANSWERS_WITHIN.as_millis() as Millis;
     let far = by_owner.values().filter_map(|kept| kept.far_region.as_deref());
-    let longest = node.with(|state| far.map(|region| state.distances.get_wait(region, near)).max());
+    let longest =
+        node.with(|state| far.map(|region| state.round_trips.get_timeout(region, near)).max());
     longest.map_or(ANSWERS_WITHIN, Duration::from_millis)
 }
 
@@ -185,7 +186,7 @@
         let mut is_urgent = first.is_urgent;
         while !is_urgent {
             let left = Duration::from_millis(until.saturating_sub(node.now()));
-            let Some(Ok(next)) = runtime::within(left, changes.recv()).await else { break };
+            let Some(Ok(next)) = runtime::timeout(left, changes.recv()).await else { break };
             servers.insert(next.server, next.data_centre);
             is_urgent = next.is_urgent;
         }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -9,9 +9,10 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::handover::Snapshot;
+
 use keeljunction_core::serving::members::{Heartbeat, Role};
 use keeljunction_core::serving::quota::{Limit, Source};
+use keeljunction_core::serving::report_log::Snapshot;
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
 use super::audience::{Audience, Samples, pass_on};
@@ -99,11 +100,11 @@
 /// Begins to count from what did not arrive where this node reported until now.
 fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
     let former = state.handover.get_incarnation().clone();
-    let arrived = state.handover.begin(fastrand::u64(..));
+    let arrived = state.handover.begin_incarnation(fastrand::u64(..));
     let next = state.handover.get_incarnation().clone();
     state.quotas.hand_over(now, &arrived.quota);
     state.usage.hand_over(&former, &next, &arrived.usage, was_own_sum);
-    state.rollouts.hand_over();
+    state.rollouts.reset_counts();
     state.samples.clear();
 }
 
@@ -139,7 +140,7 @@
         let usage = get_own_usage(state);
         let snapshot =
             Snapshot { quota: quota.accounts.clone(), usage: usage.iter().cloned().collect() };
-        if let Some(arrived) = state.handover.get_arrived() {
+        if let Some(arrived) = state.handover.get_acknowledged() {
             quota.accounts.retain(|account, units| arrived.quota.get(account) != Some(units));
         }
         state.handover.record(now, snapshot);
@@ -189,8 +190,8 @@
             is_region_overdue,
             aggregators: state.members.list_aggregator_ids(),
             roster: state.members.get_roster_summary(),
-            verdicts: state.quarantine.list_some(now, turn as usize),
-            limits: state.backpressure.list_some(now, turn as usize),
+            verdicts: state.quarantine.get_gossip_batch(now, turn as usize),
+            limits: state.backpressure.get_gossip_batch(now, turn as usize),
             departures: state.directory.list_departures(now, turn as usize),
             versions,
         };
@@ -317,7 +318,7 @@
     });
     quarantine::take_verdicts(node, verdicts);
     permits::take_sightings(node, &limits);
-    watch::take_departures(node, &departures);
+    watch::apply_departures(node, &departures);
 }
 
 /// Takes over what this node's aggregator says of the whole.
@@ -354,7 +355,7 @@
     });
     quarantine::take_verdicts(node, verdicts);
     permits::take_sightings(node, &limits);
-    watch::take_departures(node, &departures);
+    watch::apply_departures(node, &departures);
     versions::take(node, from, asked_at, &versions);
 }
 
@@ -387,5 +388,5 @@
             begin_incarnation(state, now, false);
         }
     }
-    state.handover.confirm(asked_at?).cloned()
+    state.handover.acknowledge(asked_at?).cloned()
 }
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -25,7 +25,7 @@
 use super::{Node, era_origin, peers, table};
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, DutyHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
+    Condition, LeaseHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
 };
 use crate::runtime;
 
@@ -102,7 +102,7 @@
         if fence == self.fence {
             return true;
         }
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN);
         let Ok(rows) = reading.await else { return false };
         if let Err(error) = era_origin::find(node).await {
             event::emit(&Event::TableCallFailed { what: "era", error: error.to_string() });
@@ -179,7 +179,7 @@
         if kept.is_empty() {
             return;
         }
-        let name = TableName::Own(TABLE);
+        let name = TableName::Internal(TABLE);
         let key = usage_rows::make_running_key(self.era);
         let (version, value) = (self.running.version, usage_rows::encode_running(&kept));
         match table::replace(node, name, &key, version, value, CALL_WITHIN).await {
@@ -217,7 +217,7 @@
 
     /// Makes the transaction that freezes a window, and removes rows that are no longer needed.
     fn make_transaction(&self, node: &Node, window: WindowNumber, counts: &Counts) -> Transaction {
-        let (table, version) = (TableName::Own(TABLE), TableVersion::absent(self.era));
+        let (table, version) = (TableName::Internal(TABLE), TableVersion::absent(self.era));
         let key = FrozenKey { window, era: self.era }.encode();
         let condition = Condition { table, key: key.clone(), version };
         let write = Write { table, key, value: serde_json::to_vec(counts).ok() };
@@ -234,15 +234,15 @@
         let Some(counts) = self.frozen.get(&window).cloned() else { return false };
         remember(node, self.era, window, &counts);
         if self.era != Era::UNNAMED && self.announced.insert(window) {
-            peers::news::send_frozen(node, window, &counts).await;
+            peers::notifications::send_frozen(node, window, &counts).await;
         }
         let Some(fence) = node.with(|state| state.lease.get_fence(node.now())) else {
             return false;
         };
-        let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
+        let holder = LeaseHolder { name: node.incarnation.node.clone(), fence };
         let total: u64 = counts.values().sum();
         let calling = (node.platform.control.report_usage)(holder, UsageReport { window, counts });
-        let status = runtime::within(CALL_WITHIN, calling).await.flatten();
+        let status = runtime::timeout(CALL_WITHIN, calling).await.flatten();
         event::emit(&Event::UsageReported { window, requests: total, fence, status });
         if !status.is_some_and(|status| (200..300).contains(&status)) {
             return false;
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -6,12 +6,12 @@
 
 use futures_lite::future;
 use keeljunction_core::attempt::End;
-use keeljunction_core::stream::{Cursor, Verdict};
+use keeljunction_core::stream::{Cursor, Disposition};
 
 use super::answer::{Attempt, done};
 use super::{Answer, Node, ending, grant};
 use crate::backend::{Engine, Piece, Plain, Send, Tokens};
-use crate::http::Failure;
+use crate::http::SendError;
 use crate::runtime;
 
 /// Returns the engine at an address.
@@ -59,8 +59,8 @@
             );
             End::Finished
         }
-        Err(Failure::NotSent(why)) => not_sent(&why),
-        Err(Failure::MaybeSent(why)) => broken(&why),
+        Err(SendError::NotSent(why)) => not_sent(&why),
+        Err(SendError::MaybeSent(why)) => broken(&why),
     }
 }
 
@@ -104,8 +104,8 @@
             ending::finish_plain(node, answer, &attempt.id, end);
             End::Finished
         }
-        Err(Failure::NotSent(why)) => not_sent(&why),
-        Err(Failure::MaybeSent(why)) => broken(&why),
+        Err(SendError::NotSent(why)) => not_sent(&why),
+        Err(SendError::MaybeSent(why)) => broken(&why),
     }
 }
 
@@ -125,17 +125,17 @@
             Err(end) => return end,
         };
         let Piece::Token { attempt: named, offset, text } = piece else {
-            if cursor.is_missing() {
+            if cursor.has_gap() {
                 return broken("tokens are missing");
             }
             ending::finish_model(node, answer, attempt);
             return End::Finished;
         };
         match cursor.take(&named, offset, &text) {
-            Verdict::Accept(tokens) => answer.push(tokens),
-            Verdict::Held => node.metric.count("tokens_held", 1),
-            Verdict::Repeated | Verdict::Foreign => node.metric.count("tokens_dropped", 1),
-            Verdict::Gap(_) => return broken("tokens are missing"),
+            Disposition::Accept(tokens) => answer.push(tokens),
+            Disposition::Buffered => node.metric.count("tokens_held", 1),
+            Disposition::Duplicate | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
+            Disposition::Gap(_) => return broken("tokens are missing"),
         }
         if let Some(grant) = unread.take() {
             grant::first_token(node, grant);
@@ -148,17 +148,17 @@
     let left = answer.request.deadline.saturating_sub(node.now());
     let idle = node.settings.limits.idle_ms;
     let piece = async { Ok(tokens.next().await) };
-    let steered = async { Err(End::Steered(answer.steered().await)) };
+    let steered = async { Err(End::Drained(answer.steered().await)) };
     let late = async {
         runtime::sleep(Duration::from_millis(left.min(idle))).await;
-        Err(if left <= idle { End::Late } else { broken("the engine fell silent") })
+        Err(if left <= idle { End::DeadlineExceeded } else { broken("the engine fell silent") })
     };
     future::or(piece, future::or(steered, late)).await
 }
 
 /// Notes that bytes may have reached the server, unless it is certain that none did.
-fn note_sent(answer: &Answer, failure: Option<&Failure>) {
-    if !failure.is_some_and(Failure::is_not_sent) {
+fn note_sent(answer: &Answer, failure: Option<&SendError>) {
+    if !failure.is_some_and(SendError::is_not_sent) {
         answer.set_sent();
     }
 }
@@ -170,5 +170,5 @@
 
 fn broken(why: &str) -> End {
     log::info!("a backend server broke a request off: {why}");
-    End::Broken
+    End::Interrupted
 }
--- a/crates/standin/src/harness/call.rs
+++ b/crates/standin/src/harness/call.rs
@@ -7,7 +7,7 @@
 use futures_lite::StreamExt;
 use http_body_util::BodyDataStream;
 use hyper::{Method, Request};
-use keeljunction::http::{Body, Client, Failure, read};
+use keeljunction::http::{Body, Client, SendError, read_body};
 use keeljunction::runtime;
 use serde_json::{Value, json};
 use std::pin::Pin;
@@ -108,8 +108,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Failure`] where there is no response at all.
-    pub async fn send(&self, client: &Client, to: SocketAddr) -> Result<Answer, Failure> {
+    /// Returns the [`SendError`] where there is no response at all.
+    pub async fn send(&self, client: &Client, to: SocketAddr) -> Result<Answer, SendError> {
         let mut stream = self.open(client, to).await?;
         while stream.next().await {}
         Ok(stream.answer)
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Failure`] where there is no response at all.
-    pub async fn open(&self, client: &Client, to: SocketAddr) -> Result<Stream, Failure> {
+    /// Returns the [`SendError`] where there is no response at all.
+    pub async fn open(&self, client: &Client, to: SocketAddr) -> Result<Stream, SendError> {
         let started = Instant::now();
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -130,7 +130,7 @@
             request = request.header(name, value);
         }
         let request = request.body(Body::from(self.body.clone()));
-        let request = request.map_err(|error| Failure::NotSent(error.to_string()))?;
+        let request = request.map_err(|error| SendError::NotSent(error.to_string()))?;
         let response = client.send(to, request).await?;
         let header = |name: &str| {
             response.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned)
@@ -144,7 +144,7 @@
         };
         let is_stream = header("content-type").is_some_and(|kind| kind == "text/event-stream");
         if !is_stream {
-            let body = read(response.into_body(), MAX_ANSWER).await;
+            let body = read_body(response.into_body(), MAX_ANSWER).await;
             answer.is_whole = body.is_some() && answer.status < 400;
             answer.body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
             return Ok(Stream { answer, started, events: None });
@@ -226,7 +226,7 @@
 async fn exchange(client: &Client, to: SocketAddr, request: Request<Body>) -> Option<Value> {
     let path = request.uri().path().to_owned();
     let started = Instant::now();
-    let answer = runtime::within(ANSWER_WITHIN, try_exchange(client, to, request)).await;
+    let answer = runtime::timeout(ANSWER_WITHIN, try_exchange(client, to, request)).await;
     let answer = answer.unwrap_or_else(|| Err("no answer in time".to_owned()));
     answer
         .inspect_err(|why| eprintln!("{to}{path} failed after {:?}: {why}", started.elapsed()))
@@ -240,6 +240,6 @@
 ) -> Result<Value, String> {
     let response = client.send(to, request).await.map_err(|failure| failure.to_string())?;
     let status = response.status();
-    let body = read(response.into_body(), MAX_ANSWER).await.ok_or("the body broke off")?;
+    let body = read_body(response.into_body(), MAX_ANSWER).await.ok_or("the body broke off")?;
     serde_json::from_slice(&body).map_err(|error| format!("{status}, not JSON: {error}"))
 }
