--- a/crates/core/tests/serving/main.rs
+++ b/crates/core/tests/serving/main.rs
@@ -1,4 +1,4 @@
-//! Decisions for relayed exchanges, by behaviour and by properties.
+//! Unit and property tests of the decisions for relayed exchanges.
 
 mod backpressure;
 mod capacity;
--- a/crates/core/tests/serving/owner.rs
+++ b/crates/core/tests/serving/owner.rs
@@ -1,10 +1,10 @@
-//! What a node does with the decision of a client account's owner.
+//! How a node acts on the decision of a client account's owner.
 
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Reachability};
 
-/// Follows the owner's decision about a request of "acme", or decides by the local share; returns
-/// `true` if the request is admitted.
-pub fn follow(
+/// Applies the owner's decision on a request of "acme", or decides by the local share if there is
+/// none; returns `true` if the request is admitted.
+pub fn apply_decision(
     quotas: &mut Quotas,
     decision: Decision,
     now: u64,
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -14,7 +14,7 @@
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
 
-use crate::owner::follow;
+use crate::owner::apply_decision;
 
 const LIMIT: Limit = Limit { rate_per_second: 500_000.0, burst: 500_000.0 };
 /// An account of which most nodes get less than one request a second.
@@ -505,7 +505,7 @@
                 false => quotas.decide(now, "acme", size, self.limit, reach),
             };
         }
-        follow(&mut nodes[number].quotas, decision, now, size, self.limit, reach)
+        apply_decision(&mut nodes[number].quotas, decision, now, size, self.limit, reach)
     }
 }
 
--- a/crates/core/tests/serving/support.rs
+++ b/crates/core/tests/serving/support.rs
@@ -1,15 +1,15 @@
-//! What several tests need.
+//! Helpers shared by several tests.
 
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::table_version::TableVersion;
 
-/// Makes a version of a table service that names no eras.
+/// Returns a version of a table service without eras.
 pub fn at(number: u64) -> TableVersion {
     TableVersion::new(Era::UNNAMED, number)
 }
 
-/// Makes a server that takes work.
+/// Creates a server that gets new work.
 pub fn server(id: &str, data_centre: &str) -> Server {
     Server {
         id: id.to_owned(),
