--- a/crates/core/tests/serving/directory.rs
+++ b/crates/core/tests/serving/directory.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_whole_list_replaces_what_was_known() {
+fn a_full_list_replaces_the_known_servers() {
     let mut directory = Directory::default();
     directory.replace(at(5), vec![server("a", "z1"), server("b", "z1")]);
     let changes = directory.replace(at(6), vec![server("b", "z1"), server("c", "z1")]);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_and_never_comes_back() {
+fn a_leaving_server_gets_no_work_and_never_comes_back() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     let mut leaving = server("a", "z1");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_answer_that_shows_another_server_takes_the_old_one_out() {
+fn a_response_of_another_server_removes_the_old_one() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     assert!(directory.record_leaving("a", 0).is_some());
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_batch_after_a_gap_is_not_taken() {
+fn a_batch_after_a_gap_is_rejected() {
     let mut directory = Directory::default();
     directory.replace(at(7), Vec::new());
     assert_eq!(directory.apply_batch(listed(9, server("a", "z1"))), None);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_answer_without_changes_leaves_the_version() {
+fn an_empty_batch_keeps_the_version() {
     let mut directory = Directory::default();
     directory.replace(at(7), vec![server("a", "z1")]);
     let nothing = Batch { after: at(7), version: at(900), entries: Vec::new() };
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_while_the_table_service_was_away_have_time_to_come_back() {
+fn entries_that_lapsed_during_an_outage_have_time_to_come_back() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1"), server("b", "z1"), server("c", "z1")]);
     directory.record_table_unavailable();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn peers_are_not_told_of_servers_whose_entries_lapsed() {
+fn servers_with_lapsed_entries_are_not_sent_to_peers() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.record_table_unavailable();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_server_that_had_begun_to_leave_does_not_lapse() {
+fn a_server_that_had_started_to_leave_does_not_lapse() {
     let mut directory = Directory::default();
     let leaving = Server { is_leaving: true, ..server("a", "z1") };
     directory.replace(at(1), vec![leaving.clone()]);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_server_whose_entry_lapsed_is_gone_once_another_answers_in_its_place() {
+fn a_server_with_a_lapsed_entry_is_gone_once_another_responds_in_its_place() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1")]);
     directory.record_table_unavailable();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_server_that_left_while_the_list_grew_old_gets_nothing() {
+fn a_server_that_left_while_the_list_was_out_of_date_gets_no_work() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![server("a", "z1"), server("b", "z1")]);
     directory.record_table_recovered(10_000);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_server_that_starts_again_joins_anew_and_its_late_entries_change_nothing() {
+fn a_restarted_server_joins_again_and_late_entries_are_ignored() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
     let leaving = Server { is_leaving: true, ..started(10) };
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_server_that_starts_again_while_its_entry_had_lapsed_takes_the_place_of_the_old_one() {
+fn a_server_restarted_with_a_lapsed_entry_replaces_the_old_one() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
     directory.record_table_unavailable();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn batches_in_any_order_leave_the_newest_start() {
+fn batches_in_any_order_keep_the_latest_incarnation() {
     let entry =
         |version, server| Entry { id: "a".to_owned(), version: at(version), server: Some(server) };
     for [first, second] in [[10, 20], [20, 10]] {
@@ -209,8 +209,8 @@
     }
 }
 
-/// A list of so many servers, read whole at version 1.
-fn of_size(count: usize) -> Directory {
+/// Returns a directory of `count` servers, read in full at version 1.
+fn directory_of(count: usize) -> Directory {
     let mut directory = Directory::default();
     directory
         .replace(at(1), (0..count).map(|number| server(&format!("s{number}"), "z1")).collect());
@@ -218,9 +218,9 @@
 }
 
 #[test]
-fn what_a_peer_lacks_grows_with_the_changes_and_not_with_the_list() {
+fn an_update_grows_with_the_changes_and_not_with_the_list() {
     for count in [1_000, 10_000, 20_000] {
-        let mut directory = of_size(count);
+        let mut directory = directory_of(count);
         for number in 0..30 {
             directory.apply_batch(removed(2 + 2 * number, &format!("s{number}")));
             let mut leaving = server(&format!("s{}", number + 100), "z1");
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_node_without_a_list_or_with_one_from_before_what_is_remembered_gets_the_whole() {
+fn a_node_without_a_list_or_with_a_very_old_one_gets_the_full_list() {
     let mut directory = Directory::default();
     directory.replace(at(7), vec![server("a", "z1")]);
     for after in [None, Some(6)] {
@@ -251,10 +251,10 @@
 }
 
 #[test]
-fn a_peer_that_takes_what_it_lacks_knows_the_same_servers() {
+fn a_peer_that_applies_updates_knows_the_same_servers() {
     let mut random = fastrand::Rng::with_seed(7);
-    let mut known = of_size(400);
-    let mut peer = of_size(400);
+    let mut known = directory_of(400);
+    let mut peer = directory_of(400);
     for version in 2..600 {
         let id = format!("s{}", random.usize(..500));
         match random.bool() {
@@ -269,9 +269,9 @@
 }
 
 #[test]
-fn a_peer_that_was_away_while_most_servers_were_replaced_knows_the_same_servers() {
-    let mut known = of_size(1_000);
-    let mut peer = of_size(1_000);
+fn a_peer_that_was_down_while_most_servers_were_replaced_knows_the_same_servers() {
+    let mut known = directory_of(1_000);
+    let mut peer = directory_of(1_000);
     for number in 0..2_000 {
         known.apply_batch(removed(2 + 2 * number, &format!("s{number}")));
         known.apply_batch(listed(3 + 2 * number, server(&format!("s{}", number + 1_000), "z1")));
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_long_batch_is_split_into_parts_that_follow_each_other() {
+fn a_long_batch_is_split_into_consecutive_parts() {
     let entry = |version, number: usize| Entry {
         id: format!("s{number}"),
         version: at(version),
@@ -294,7 +294,7 @@
     assert!(parts.iter().all(|part| part.entries.len() <= 66));
     assert_eq!((parts[0].after, parts[151].version), (at(1), at(5_000)));
     assert!(parts.windows(2).all(|pair| pair[0].version == pair[1].after));
-    let mut directory = of_size(10_000);
+    let mut directory = directory_of(10_000);
     for part in parts {
         directory.apply_batch(part).expect("no gap");
     }
@@ -303,18 +303,18 @@
 
 #[test]
 fn a_service_with_few_servers_is_listed_without_the_others() {
-    let mut directory = of_size(10_000);
+    let mut directory = directory_of(10_000);
     let other = Server { service: "api".to_owned(), ..server("x", "z1") };
     directory.apply_batch(listed(2, other));
     assert_eq!(directory.iter_ready("api").count(), 1);
     assert_eq!(directory.iter_ready("llm").count(), 10_000);
 }
 
-/// A peer that stayed behind by such a change would ask for it again and again.
+/// Guards against a peer that misses the version of such a change and requests it again and again.
 #[test]
-fn a_change_without_effect_brings_a_peer_up_to_date_too() {
-    let mut known = of_size(10);
-    let mut peer = of_size(10);
+fn a_change_without_effect_updates_the_version_of_a_peer() {
+    let mut known = directory_of(10);
+    let mut peer = directory_of(10);
     known.apply_batch(removed(2, "never-listed"));
     known.apply_batch(listed(3, server("s1", "z1")));
     assert_eq!(known.get_version(), at(3));
@@ -322,38 +322,38 @@
     assert_eq!(peer.get_version(), at(3));
 }
 
-/// Guards against a server that gets requests again after it said that it leaves, because its entry was
-/// missing for a while and came back as ready.
+/// Guards against a server that gets requests again after it announced that it is leaving, because
+/// its entry was missing for a while and came back as ready.
 #[test]
-fn the_word_of_a_server_that_it_leaves_outlives_its_entry() {
+fn a_departure_overrides_the_entry_of_the_server() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
     let departed = directory.record_departure(1_000, "a", 10);
     assert!(departed.is_news && departed.change.is_some());
     assert!(!directory.record_departure(1_100, "a", 10).is_news);
-    // Its entry is written again, is missing from a whole list, and comes back.
+    // The entry is rewritten, is missing from a full list, and comes back.
     directory.apply_batch(listed(2, started(10)));
     assert!(ready(&directory).is_empty());
     directory.replace(at(3), Vec::new());
     directory.apply_batch(listed(4, started(10)));
     assert!(ready(&directory).is_empty());
-    // It lapses while the table service is away.
+    // The entry lapses while the table service is unavailable.
     directory.record_table_unavailable();
     directory.record_table_recovered(2_000);
     directory.replace(at(5), Vec::new());
     assert!(ready(&directory).is_empty());
     directory.replace(at(6), vec![started(10)]);
     assert!(ready(&directory).is_empty());
-    // Its next start is another server.
+    // The next incarnation is another server.
     directory.apply_batch(listed(7, started(11)));
     assert_eq!(ready(&directory), ["a"]);
-    // A late answer of the start before changes nothing.
+    // A late response of the former incarnation changes nothing.
     assert!(!directory.record_departure(3_000, "a", 10).is_news);
     assert_eq!(ready(&directory), ["a"]);
 }
 
 #[test]
-fn the_word_of_a_server_that_it_leaves_may_come_before_its_entry_and_goes_to_peers_with_it() {
+fn a_departure_may_precede_the_entry_and_is_sent_to_peers_with_it() {
     let mut directory = Directory::default();
     assert!(directory.record_departure(0, "a", 10).is_news);
     directory.replace(at(1), vec![started(10)]);
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn departures_are_forgotten_in_the_end_and_bounded() {
+fn departures_expire_and_are_bounded() {
     let mut directory = Directory::default();
     directory.record_departure(0, "a", 10);
     directory.expire_departures(599_999);
@@ -374,7 +374,7 @@
     directory.replace(at(2), Vec::new());
     directory.replace(at(3), vec![started(10)]);
     assert_eq!(ready(&directory), ["a"]);
-    // Of more than a thousand the latest are kept.
+    // Of more than a thousand departures, the latest are kept.
     for number in 0..1_030 {
         assert!(directory.record_departure(700_000 + number, &format!("s-{number}"), 1).is_news);
     }
@@ -382,10 +382,10 @@
     assert!(!directory.record_departure(800_000, "s-1029", 1).is_news);
 }
 
-/// Guards against a node that missed the news of a departure, and against reports that grow with the number
-/// of departures.
+/// Guards against a node that missed a departure, and against reports that grow with the number of
+/// departures.
 #[test]
-fn departures_are_repeated_by_turns_for_a_while() {
+fn departures_are_repeated_in_turns_for_a_while() {
     let mut directory = Directory::default();
     assert!(directory.list_departures(0, 0).is_empty());
     (0..9).for_each(|number| drop(directory.record_departure(0, &format!("s-{number}"), 1)));
@@ -398,8 +398,8 @@
     assert!(directory.list_departures(30_000, 0).is_empty());
 }
 
-/// A version of the table service's second era, after a return from an older copy.
-fn returned(number: u64) -> TableVersion {
+/// Returns a version of the table service's second era, after a restore from an older copy.
+fn restored(number: u64) -> TableVersion {
     TableVersion::new(Era::named(2), number)
 }
 
@@ -412,46 +412,47 @@
     }
 }
 
-// Guards against a list that stands still after a return: versions are given out again, and lower ones are newer.
+// Guards against a list that is no longer updated after a restore: versions are reused, and lower
+// ones are newer.
 #[test]
 fn a_lower_version_of_a_later_era_is_newer() {
     let mut directory = Directory::default();
     directory.replace(at(900), vec![started(10)]);
     directory.record_table_restored(1_000);
-    directory.replace(returned(700), vec![started(10)]);
+    directory.replace(restored(700), vec![started(10)]);
     let leaving = Server { is_leaving: true, ..started(10) };
-    let changes = directory.apply_batch(changed(returned(701), leaving.clone()));
+    let changes = directory.apply_batch(changed(restored(701), leaving.clone()));
     assert_eq!(changes, Some(vec![Change::Leaving(leaving)]));
-    assert_eq!(directory.get_version(), returned(701));
+    assert_eq!(directory.get_version(), restored(701));
 }
 
-// Guards against late answers and peers that have not heard of the return.
+// Guards against late responses and peers that have not heard of the restore.
 #[test]
-fn what_is_of_an_earlier_era_changes_nothing() {
+fn updates_of_an_earlier_era_are_ignored() {
     let mut directory = Directory::default();
-    directory.replace(returned(5), vec![started(10)]);
+    directory.replace(restored(5), vec![started(10)]);
     assert_eq!(directory.replace(at(900), Vec::new()), []);
     assert_eq!(directory.apply_batch(removed(901, "a")), Some(Vec::new()));
     let mut peer = Directory::default();
     peer.replace(at(900), Vec::new());
     directory.apply_update(peer.get_update(None));
     assert_eq!(ready(&directory), ["a"]);
-    assert_eq!(directory.get_version(), returned(5));
+    assert_eq!(directory.get_version(), restored(5));
 }
 
 #[test]
-fn changes_of_a_later_era_are_not_taken_without_its_whole_list() {
+fn changes_of_a_later_era_are_rejected_without_its_full_list() {
     let mut directory = Directory::default();
     directory.replace(at(900), vec![started(10)]);
-    assert_eq!(directory.apply_batch(changed(returned(6), started(20))), None);
+    assert_eq!(directory.apply_batch(changed(restored(6), started(20))), None);
     assert_eq!(directory.get_version(), at(900));
 }
 
 #[test]
-fn a_peer_that_knows_an_earlier_era_gets_the_whole_list() {
+fn a_peer_of_an_earlier_era_gets_the_full_list() {
     let mut known = Directory::default();
     known.replace(at(900), vec![started(10)]);
-    known.replace(returned(5), vec![started(20)]);
+    known.replace(restored(5), vec![started(20)]);
     let mut peer = Directory::default();
     peer.replace(at(900), vec![started(10)]);
     let update = known.get_update(Some(peer.get_version()));
@@ -459,27 +460,27 @@
     peer.apply_update(update);
     assert_eq!(peer.get("a"), known.get("a"));
     assert_eq!(
-        known.get_update(Some(returned(5))),
-        Update::Delta(Batch { after: returned(5), version: returned(5), entries: Vec::new() })
+        known.get_update(Some(restored(5))),
+        Update::Delta(Batch { after: restored(5), version: restored(5), entries: Vec::new() })
     );
 }
 
-// Guards against the loss of servers that have not written their entries again yet.
+// Guards against the loss of servers that have not rewritten their entries yet.
 #[test]
-fn servers_that_an_older_copy_lacks_get_work_until_they_had_time_to_write_again() {
+fn servers_missing_from_an_older_copy_get_work_while_they_rewrite_entries() {
     let mut directory = Directory::default();
     directory.replace(at(900), vec![server("a", "z1"), server("b", "z1")]);
     directory.record_table_restored(1_000);
-    assert_eq!(directory.replace(returned(700), vec![server("a", "z1")]), []);
+    assert_eq!(directory.replace(restored(700), vec![server("a", "z1")]), []);
     assert_eq!(ready(&directory), ["a", "b"]);
-    directory.apply_batch(changed(returned(701), server("b", "z1")));
+    directory.apply_batch(changed(restored(701), server("b", "z1")));
     assert_eq!(directory.expire_lapsed(3_000), []);
     assert_eq!(ready(&directory), ["a", "b"]);
 }
 
 // Guards against servers that get requests again because an older copy lists them as ready.
 #[test]
-fn a_server_that_left_before_a_return_is_not_ready_again() {
+fn a_server_that_left_before_a_restore_is_not_ready_again() {
     let leaving = Server { is_leaving: true, ..started(10) };
     for is_removed in [false, true] {
         let mut directory = Directory::default();
@@ -499,22 +500,24 @@
     }
 }
 
-// A server that was cut off from the table service has lapsed, and lives: it writes again once it is back.
+// A server that was partitioned from the table service has lapsed but is running, and rewrites its
+// entry once it is connected again.
 #[test]
-fn a_server_that_was_removed_before_a_return_is_ready_once_it_writes_again() {
+fn a_server_removed_before_a_restore_is_ready_once_it_rewrites_its_entry() {
     let mut directory = Directory::default();
     directory.replace(at(1), vec![started(10)]);
     directory.apply_batch(removed(2, "a"));
     directory.record_table_restored(1_000);
-    directory.replace(returned(1), vec![started(10)]);
+    directory.replace(restored(1), vec![started(10)]);
     assert_eq!(ready(&directory), Vec::<&str>::new());
-    directory.apply_batch(changed(returned(2), started(10)));
+    directory.apply_batch(changed(restored(2), started(10)));
     assert_eq!(ready(&directory), ["a"]);
 }
 
-// Guards against requests of a node that starts after a return to a server that left before it.
+// Guards against requests to a server that left before a restore, from a node that started after
+// it.
 #[test]
-fn servers_that_left_and_that_an_older_copy_lists_as_ready_are_named_to_other_nodes() {
+fn departed_servers_that_an_older_copy_lists_as_ready_are_announced_again() {
     let departed = |directory: &Directory, now| -> Vec<String> {
         let departures = directory.list_departures(now, 0).into_iter();
         departures.map(|departure| departure.server).collect()
@@ -533,7 +536,7 @@
         directory.replace(TableVersion::new(Era::named(era), 1), servers());
         assert_eq!(departed(&directory, now), ["a", "b"], "era {era}");
     }
-    // One that had not begun to leave may live.
+    // A server that had not started to leave may be running.
     directory.apply_batch(changed(TableVersion::new(Era::named(3), 2), server("c", "z1")));
     assert_eq!(ready(&directory), ["c", "d"]);
 }
--- a/crates/core/tests/serving/duty_lease.rs
+++ b/crates/core/tests/serving/duty_lease.rs
@@ -7,7 +7,7 @@
 const LENGTH: u64 = 3_000;
 const MARGIN: u64 = 600;
 /// The age of an era that began long ago.
-const ALWAYS: u64 = u64::MAX;
+const OLD_ERA_AGE: u64 = u64::MAX;
 
 fn lease(node: &str) -> DutyLease {
     DutyLease::new(node.to_owned(), 1, LENGTH, MARGIN)
@@ -24,18 +24,18 @@
 #[test]
 fn a_free_lease_is_taken_with_a_higher_term() {
     let lease = lease("a");
-    assert_eq!(lease.decide(0, None, clock(0, 100), ALWAYS), Step::Write(row("a", 1, 3_100)));
+    assert_eq!(lease.decide(0, None, clock(0, 100), OLD_ERA_AGE), Step::Write(row("a", 1, 3_100)));
     let lapsed = row("b", 4, 90);
     assert_eq!(
-        lease.decide(0, Some(&lapsed), clock(0, 100), ALWAYS),
+        lease.decide(0, Some(&lapsed), clock(0, 100), OLD_ERA_AGE),
         Step::Write(row("a", 5, 3_100))
     );
 }
 
 #[test]
-fn a_held_lease_is_waited_for() {
+fn a_node_waits_for_a_held_lease() {
     assert_eq!(
-        lease("a").decide(0, Some(&row("b", 4, 900)), clock(0, 100), ALWAYS),
+        lease("a").decide(0, Some(&row("b", 4, 900)), clock(0, 100), OLD_ERA_AGE),
         Step::Wait(800)
     );
 }
@@ -44,13 +44,13 @@
 fn a_holder_renews_under_the_same_term() {
     let mine = row("a", 4, 900);
     assert_eq!(
-        lease("a").decide(50, Some(&mine), clock(0, 100), ALWAYS),
+        lease("a").decide(50, Some(&mine), clock(0, 100), OLD_ERA_AGE),
         Step::Write(row("a", 4, 3_150))
     );
 }
 
 #[test]
-fn a_holder_stops_a_margin_before_the_end_counted_from_before_it_asked() {
+fn a_holder_stops_a_margin_before_the_end_counted_from_its_request() {
     let mut lease = lease("a");
     assert!(lease.confirm(Era::UNNAMED, &row("a", 4, 3_100), clock(1_000, 100)));
     assert_eq!(lease.get_fence(3_399), Some(4));
@@ -66,17 +66,17 @@
 }
 
 #[test]
-fn a_node_that_started_again_takes_its_lease_over_under_a_higher_term() {
+fn a_restarted_node_takes_over_its_lease_under_a_higher_term() {
     let mut old = row("a", 4, 9_000);
     old.incarnation = 7;
     assert_eq!(
-        lease("a").decide(0, Some(&old), clock(0, 100), ALWAYS),
+        lease("a").decide(0, Some(&old), clock(0, 100), OLD_ERA_AGE),
         Step::Write(row("a", 5, 3_100))
     );
 }
 
 #[test]
-fn the_first_lease_of_an_era_is_taken_a_lease_after_it_began() {
+fn the_first_lease_of_an_era_is_taken_one_lease_length_after_its_start() {
     let lease = lease("a");
     assert_eq!(lease.decide(0, None, clock(0, 100), 0), Step::Wait(3_000));
     assert_eq!(lease.decide(0, None, clock(0, 100), 2_900), Step::Wait(100));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_holder_that_sees_another_era_holds_nothing_and_its_next_fence_is_higher() {
+fn a_holder_that_sees_another_era_loses_the_lease_and_its_next_fence_is_higher() {
     let mut lease = lease("a");
     lease.begin_era(Era::named(1));
     assert!(lease.confirm(Era::named(1), &row("a", 700, 3_100), clock(0, 100)));
@@ -97,7 +97,7 @@
     assert!(lease.get_fence(40) > Some(before));
 }
 
-/// One step of a node: it reads, may pause, and writes what it decided; the answer may be lost.
+/// A step of a node: it reads, may pause, and writes what it decided; the response may be lost.
 #[derive(Clone, Debug)]
 struct Move {
     node: usize,
@@ -122,8 +122,9 @@
 }
 
 proptest! {
-    /// Whatever the delays, pauses and lost answers: no two nodes hold the lease at one moment,
-    /// terms only rise with the holder, and a holder that comes back does so after the length.
+    /// For any delays, pauses and lost responses: no two nodes hold the lease at the same time,
+    /// terms only rise with the holder, and a returning holder returns only after the length of the
+    /// lease.
     #[test]
     fn never_two_holders(moves in moves()) {
         let names = ["a", "b", "c"];
@@ -135,7 +136,7 @@
             now += step.wait;
             let asked_at = now;
             now += step.to_table;
-            // The table's clock is another one: 5,000 ms ahead of the nodes'.
+            // The table's clock is another one, 5,000 ms ahead of the nodes' clock.
             let read_clock = clock(asked_at, now + 5_000);
             let read = table.clone();
             now += step.back;
@@ -143,7 +144,7 @@
             if let Some((_, row)) = &read {
                 lease.confirm(Era::UNNAMED, row, read_clock);
             }
-            let decided = lease.decide(now, read.as_ref().map(|(_, row)| row), read_clock, ALWAYS);
+            let decided = lease.decide(now, read.as_ref().map(|(_, row)| row), read_clock, OLD_ERA_AGE);
             now += step.pause;
             if let Step::Write(row) = decided {
                 let write_asked_at = now;
@@ -180,18 +181,18 @@
     }
 }
 
-/// A table service that may come back from an older copy.
+/// A simulated table service that may be restored from an older copy.
 #[derive(Clone, Default)]
 struct Service {
     era: u64,
     version: u64,
     /// The lease of each era.
     rows: BTreeMap<u64, (u64, LeaseRow)>,
-    /// When each era was seen first.
+    /// When each era was first seen.
     origins: BTreeMap<u64, u64>,
 }
 
-/// A node with what it knows.
+/// A node and its state.
 struct Node {
     name: &'static str,
     incarnation: u64,
@@ -205,8 +206,8 @@
         Self { name, incarnation, lease, eras: Eras::default() }
     }
 
-    /// Notes the era of an answer, and reads or writes its origin where that is not known.
-    fn note(&mut self, now: u64, service: &mut Service) {
+    /// Records the era of a response, and reads or writes its origin if that is not known.
+    fn record_era(&mut self, now: u64, service: &mut Service) {
         let era = Era::named(service.era);
         if self.eras.record(now, era).is_some() {
             self.lease.begin_era(era);
@@ -217,40 +218,41 @@
     }
 }
 
-/// A step of a node, and what happens before it.
+/// A step of a node, and the fault that precedes it.
 #[derive(Clone, Debug)]
-struct Trouble {
+struct Fault {
     step: Move,
-    /// The table service comes back from the copy taken so many steps ago.
-    comes_back: Option<usize>,
+    /// The table service is restored from the copy taken this many steps ago.
+    restored_from: Option<usize>,
     starts_again: bool,
 }
 
-fn troubles() -> impl Strategy<Value = Vec<Trouble>> {
-    let comes_back = prop_oneof![8 => Just(None), 1 => (0usize..6).prop_map(Some)];
-    let one = (moves(), comes_back, prop::bool::weighted(0.1));
-    let one = one.prop_map(|(steps, comes_back, starts_again)| Trouble {
+fn faults() -> impl Strategy<Value = Vec<Fault>> {
+    let restored_from = prop_oneof![8 => Just(None), 1 => (0usize..6).prop_map(Some)];
+    let one = (moves(), restored_from, prop::bool::weighted(0.1));
+    let one = one.prop_map(|(steps, restored_from, starts_again)| Fault {
         step: steps[0].clone(),
-        comes_back,
+        restored_from,
         starts_again,
     });
     proptest::collection::vec(one, 1..80)
 }
 
 proptest! {
-    /// Guards against two holders of one fence, or one after the other too soon, over returns from older
-    /// copies, restarts, and writes that arrive in a later era than they were sent in.
+    /// Guards against two holders of the same fencing token, and against holders that follow each
+    /// other too soon, across restores from older copies, restarts, and writes that arrive in a
+    /// later era than they were sent in.
     #[test]
-    fn never_two_holders_over_returns_from_older_copies(troubles in troubles()) {
+    fn never_two_holders_across_restores_from_older_copies(faults in faults()) {
         let mut service = Service { era: 1, ..Service::default() };
         let mut copies: Vec<Service> = Vec::new();
         let mut nodes: Vec<Node> = ["a", "b", "c"].map(|name| Node::start(name, 1)).into();
         let mut now = 10_000u64;
         let mut acts: Vec<(&str, u64, u64)> = Vec::new();
-        for Trouble { step, comes_back, starts_again } in troubles {
+        for Fault { step, restored_from, starts_again } in faults {
             now += step.wait;
             copies.push(service.clone());
-            if let Some(ago) = comes_back {
+            if let Some(ago) = restored_from {
                 let era = service.era + 1;
                 service = copies[copies.len().saturating_sub(ago + 1)].clone();
                 service.era = era;
@@ -261,7 +263,7 @@
             }
             let asked_at = now;
             now += step.to_table;
-            node.note(asked_at, &mut service);
+            node.record_era(asked_at, &mut service);
             let era = service.era;
             let read_clock = clock(asked_at, now + 5_000);
             let read = service.rows.get(&era).cloned();
@@ -272,8 +274,8 @@
             let age = node.eras.get_age(now).unwrap_or(0);
             let decided = node.lease.decide(now, read.as_ref().map(|r| &r.1), read_clock, age);
             now += step.pause;
-            // A return may come between the reading and the writing, too.
-            if let Some(ago) = comes_back.filter(|_| step.is_lost) {
+            // A restore may also happen between the read and the write.
+            if let Some(ago) = restored_from.filter(|_| step.is_lost) {
                 service = copies[copies.len().saturating_sub(ago + 1)].clone();
                 service.era = era + 1;
             }
@@ -305,14 +307,15 @@
     }
 }
 
-// Guards against two holders where the copy is from before the first write: a node that has seen no earlier era took
-// the lease at once, though its holder of the era before had not heard of the return.
+// Guards against two holders if the copy is from before the first write: a node that had seen no
+// earlier era took the lease at once, although the holder of the previous era had not heard of the
+// restore.
 #[test]
-fn a_lease_is_not_taken_at_once_by_a_node_that_saw_no_era_before() {
+fn a_node_that_saw_no_earlier_era_does_not_take_the_lease_at_once() {
     let mut service = Service { era: 1, ..Service::default() };
     let empty = service.clone();
     let mut holder = Node::start("a", 1);
-    holder.note(10_000, &mut service);
+    holder.record_era(10_000, &mut service);
     let row = |holder: &str| LeaseRow {
         holder: holder.to_owned(),
         incarnation: 1,
@@ -322,7 +325,7 @@
     assert!(holder.lease.confirm(Era::named(1), &row("a"), clock(10_000, 15_000)));
     service = Service { era: 2, ..empty };
     let mut other = Node::start("b", 1);
-    other.note(10_000, &mut service);
+    other.record_era(10_000, &mut service);
     let decided = |now: u64| {
         let age = other.eras.get_age(now).unwrap_or(0);
         other.lease.decide(now, None, clock(now, now + 5_000), age)
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -3,7 +3,7 @@
 const READ_FROM_ROW: Origin = Origin { age: 500, unix_ms: 1_000_000 };
 
 #[test]
-fn an_era_is_news_once_and_an_earlier_one_never() {
+fn an_era_is_new_once_and_an_earlier_one_never() {
     let mut eras = Eras::default();
     assert_eq!(eras.record(0, Era::named(2)), Some(EraChange { era: Era::named(2), before: None }));
     assert_eq!(eras.record(10, Era::named(2)), None);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_service_that_names_no_eras_is_settled_from_the_beginning() {
+fn a_service_without_eras_is_settled_from_the_start() {
     let mut eras = Eras::default();
     assert!(eras.is_settled(0));
     eras.record(0, Era::UNNAMED);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_node_that_starts_later_knows_nothing_of_an_eras_age_until_it_reads_its_origin() {
+fn a_node_that_starts_later_does_not_know_the_age_of_an_era_until_it_reads_its_origin() {
     let mut eras = Eras::default();
     eras.record(10_000, Era::named(2));
     assert_eq!(eras.get_age(60_000), None);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_origin_of_another_era_changes_nothing() {
+fn an_origin_of_another_era_is_ignored() {
     let mut eras = Eras::default();
     eras.record(10_000, Era::named(2));
     eras.set_origin(10_100, Era::named(1), READ_FROM_ROW);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_operators_word_settles_its_own_rows_alone() {
+fn a_rewritten_configuration_settles_only_the_operators_rows() {
     let mut eras = Eras::default();
     eras.record(0, Era::named(1));
     eras.record(10_000, Era::named(2));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_could_be_done_before_an_era_may_have_been_done_in_an_earlier_one() {
+fn work_that_could_start_before_an_era_may_have_been_done_in_an_earlier_one() {
     let mut eras = Eras::default();
     eras.record(0, Era::named(1));
     eras.record(10_000, Era::named(2));
@@ -77,8 +77,8 @@
     assert!(eras.is_certainly_after_restore(1_004_000));
 }
 
-// Guards against a node that takes an era for the deployment's first one, in which nothing was lost: a copy from before
-// the first write holds no origin of an earlier era either.
+// Guards against a node that takes an era for the first one of the deployment, in which nothing was
+// lost: a copy from before the first write holds no origin of an earlier era either.
 #[test]
 fn an_era_that_may_be_the_first_one_is_settled_as_late_as_any() {
     let mut eras = Eras::default();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_node_that_saw_a_return_does_not_take_the_era_for_the_first_one() {
+fn a_node_that_saw_a_restore_does_not_take_the_era_for_the_first_one() {
     let mut eras = Eras::default();
     eras.record(0, Era::named(1));
     eras.record(10_000, Era::named(2));
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_total_sums_all_lives_of_all_nodes() {
+fn the_total_sums_all_incarnations_of_all_nodes() {
     let mut ledger = Ledger::default();
     ledger.count(3, &incarnation("a", 1), "acme");
     ledger.count(3, &incarnation("a", 2), "acme");
@@ -36,7 +36,7 @@
 }
 
 proptest! {
-    /// Messages may come late, twice and out of order: the total is that of the latest counts.
+    /// Messages may arrive late, twice and out of order: the total is that of the latest counts.
     #[test]
     fn merging_does_not_depend_on_order(order in Just((1u64..=9).collect::<Vec<_>>()).prop_shuffle()) {
         let mut ledger = Ledger::default();
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn counts_settle_for_a_fifth_of_the_time_until_they_are_due() {
+fn counts_settle_for_a_fifth_of_the_time_to_the_due_time() {
     assert!(!is_settled(1_999, 10_000, false));
     assert!(is_settled(2_000, 10_000, false));
 }
 
 #[test]
-fn counts_of_a_node_that_is_cut_off_are_waited_for_until_the_report_must_go() {
+fn a_report_waits_for_the_counts_of_a_partitioned_node_as_long_as_possible() {
     assert!(!is_settled(6_499, 10_000, true));
     assert!(is_settled(6_500, 10_000, true));
 }
 
 #[test]
-fn counts_that_were_kept_count_once_beside_those_that_nodes_still_tell() {
+fn counts_of_a_snapshot_are_not_added_to_those_that_nodes_report() {
     let mut before = Ledger::default();
     before.count(6, &incarnation("a", 1), "acme");
     before.count(7, &incarnation("a", 1), "acme");
@@ -76,18 +76,19 @@
     assert_eq!(after.get_first_window(), Some(7));
 }
 
-/// Counts of so many client accounts.
-fn of_accounts(count: usize, each: u64) -> Counts {
+/// Returns the counts of `count` client accounts.
+fn counts_of_accounts(count: usize, each: u64) -> Counts {
     (0..count).map(|number| (format!("account-{number}"), each)).collect()
 }
 
-/// The load of many client accounts: an aggregator sends its counts to all others five times a second.
+/// Guards against the traffic of many client accounts: an aggregator sends its counts to all others
+/// five times per second.
 #[test]
-fn windows_that_have_ended_are_repeated_for_two_seconds_and_then_seldom() {
+fn ended_windows_are_repeated_for_two_seconds_and_then_rarely() {
     let mut outgoing = ReportFilter::default();
     let windows = |now: u64| {
-        let ended = (1..4).map(|window| (window, of_accounts(333, window)));
-        ended.chain([(4, of_accounts(333, now))]).collect::<Vec<_>>()
+        let ended = (1..4).map(|window| (window, counts_of_accounts(333, window)));
+        ended.chain([(4, counts_of_accounts(333, now))]).collect::<Vec<_>>()
     };
     for turn in 1..10 {
         assert_eq!(outgoing.select(turn, windows(turn)), windows(turn));
@@ -100,9 +101,9 @@
 fn a_window_that_changes_late_is_reported_again() {
     let mut outgoing = ReportFilter::default();
     for turn in 1..40 {
-        outgoing.select(turn, vec![(1, of_accounts(3, 1)), (2, of_accounts(3, 2))]);
+        outgoing.select(turn, vec![(1, counts_of_accounts(3, 1)), (2, counts_of_accounts(3, 2))]);
     }
-    let late = vec![(1, of_accounts(3, 7)), (2, of_accounts(3, 2))];
+    let late = vec![(1, counts_of_accounts(3, 7)), (2, counts_of_accounts(3, 2))];
     for turn in 41..50 {
         assert_eq!(outgoing.select(turn, late.clone()), late[..1]);
     }
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn a_frozen_window_stays_as_it_was_frozen_first() {
+fn a_frozen_window_keeps_its_first_counts() {
     let counts = |count| Counts::from([("acme".to_owned(), count)]);
     let mut frozen = FrozenWindows::new(8);
     frozen.record_remote(7, &counts(3));
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn the_node_that_froze_a_window_lists_it_in_a_few_reports_and_all_do_so_once_after_a_return() {
+fn the_node_that_froze_a_window_reports_it_a_few_times_and_all_do_once_after_a_restore() {
     let mut own = FrozenWindows::new(8);
     own.record_own(7, &Counts::new());
     assert_eq!((0..5).map(|_| own.list_due().len()).collect::<Vec<_>>(), [1, 1, 1, 0, 0]);
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_report_lists_a_few_frozen_windows_the_latest_first() {
+fn a_report_contains_a_few_frozen_windows_latest_first() {
     let mut frozen = FrozenWindows::new(8);
     (1..=5).for_each(|window| frozen.record_remote(window, &Counts::new()));
     frozen.repeat();
@@ -148,15 +149,16 @@
 }
 
 #[test]
-fn all_windows_that_are_due_are_kept() {
+fn all_windows_that_are_due_are_retained() {
     assert_eq!(count_retained_windows(10_000, 5_000), 8);
     assert_eq!(count_retained_windows(10_000, 500), 26);
     assert_eq!(count_retained_windows(500, 5_000), 7);
 }
 
-// Guards against a window that is counted anew because the counts that it was frozen with got lost on their way.
+// Guards against a window that is counted again because the counts that it was frozen with were
+// lost in transit.
 #[test]
-fn a_window_that_another_node_knows_as_frozen_is_named_without_its_counts() {
+fn a_window_that_another_node_froze_is_announced_without_its_counts() {
     let mut own = FrozenWindows::new(8);
     [3, 7, 9].into_iter().for_each(|window| assert!(own.record_own(window, &Counts::new())));
     let mut other = FrozenWindows::new(8);
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn a_set_of_windows_holds_those_near_the_last_one() {
+fn a_window_set_contains_the_windows_shortly_before_the_last_one() {
     let windows: WindowSet = [100, 37, 36, 0].into_iter().collect();
     assert_eq!(windows.iter().collect::<Vec<_>>(), [100, 37]);
     assert_eq!(WindowSet::default().iter().count(), 0);
