--- a/crates/core/src/serving/duty_lease.rs
+++ b/crates/core/src/serving/duty_lease.rs
@@ -69,11 +69,11 @@
     margin: Millis,
     /// The era of the row that is read and written.
     era: Era,
-    held: Option<Held>,
+    held: Option<HeldLease>,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldLease {
     term: u64,
     until: Millis,
 }
@@ -142,7 +142,7 @@
         }
         let remaining = row.ends_at.saturating_sub(clock.table_time);
         let until = (clock.asked_at + remaining).saturating_sub(self.margin);
-        self.held = Some(Held { term: row.term, until });
+        self.held = Some(HeldLease { term: row.term, until });
         true
     }
 
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -111,7 +111,7 @@
     /// The last overview of this node's aggregator, and when it arrived.
     overview: Option<(Millis, Overview)>,
     /// Nodes that this node's aggregator reports as silent, by short name.
-    silent_elsewhere: BTreeSet<u64>,
+    silent_by_aggregator: BTreeSet<u64>,
     /// When this node began to report to its current aggregator.
     member_since: Millis,
     /// Regions of which no node is heard.
@@ -189,7 +189,7 @@
             holder_heard_at: None,
             restarted_at: None,
             overview: None,
-            silent_elsewhere: BTreeSet::new(),
+            silent_by_aggregator: BTreeSet::new(),
             member_since: now,
             unreachable_regions: BTreeSet::new(),
             aggregating_since: None,
@@ -335,7 +335,7 @@
     pub fn apply_overview(&mut self, now: Millis, from: &str, overview: Overview, silent: &[u64]) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
             self.overview = Some((now, overview));
-            self.silent_elsewhere = silent.iter().copied().collect();
+            self.silent_by_aggregator = silent.iter().copied().collect();
         }
     }
 }
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -263,12 +263,12 @@
     ///
     /// All nodes that hear each other select the same readers.
     pub fn is_table_reader(&self, now: Millis) -> bool {
-        self.is_settled(now) && self.view.readers.contains(&self.own.name)
+        self.is_settled(now) && self.view.table_readers.contains(&self.own.name)
     }
 
     /// Lists the addresses of the other nodes that read the platform's tables for all nodes.
     pub fn list_table_readers(&self) -> Vec<SocketAddr> {
-        let readers = self.view.readers.iter().filter_map(|name| self.known.get(name));
+        let readers = self.view.table_readers.iter().filter_map(|name| self.known.get(name));
         readers.map(|member| member.entry.address).collect()
     }
 
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -154,9 +154,9 @@
     }
 
     /// Sets the regions that this node's aggregator does not hear.
-    pub fn set_unreachable_regions(&mut self, from: &str, lost: Vec<String>) {
+    pub fn set_unreachable_regions(&mut self, from: &str, regions: Vec<String>) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
-            self.unreachable_regions = lost.into_iter().collect();
+            self.unreachable_regions = regions.into_iter().collect();
         }
     }
 
@@ -200,9 +200,9 @@
         }
         let has_heard_all = now >= since + self.get_heard_timeout();
         let silent = is_any_heard.into_iter().filter(|(_, is_heard)| !is_heard);
-        let lost = silent
+        let unreachable = silent
             .filter(|(region, _)| has_heard_all || self.unreachable_regions.contains(*region));
-        lost.map(|(region, _)| region.to_owned()).collect()
+        unreachable.map(|(region, _)| region.to_owned()).collect()
     }
 
     /// Returns `true` if a node is in an unreachable region.
--- a/crates/core/src/serving/members/view.rs
+++ b/crates/core/src/serving/members/view.rs
@@ -35,7 +35,7 @@
     /// The digest of the known nodes.
     pub digest: u64,
     /// The nodes that read the platform's tables for all nodes, which may include this one.
-    pub readers: Vec<String>,
+    pub table_readers: Vec<String>,
 }
 
 /// The aggregators, which are recomputed only if the nodes have changed.
@@ -80,7 +80,7 @@
         let since = self.aggregating_since.unwrap_or(now);
         self.aggregating_since = is_aggregating.then_some(since);
         self.view.heard = self.count_heard(now, is_aggregating);
-        self.view.readers = self.list_readers(now, is_aggregating);
+        self.view.table_readers = self.select_table_readers(now, is_aggregating);
         self.view.digest = self.compute_digest();
     }
 
@@ -198,11 +198,11 @@
             if has_become_aggregator {
                 // Until now, this node's aggregator tracked which nodes are gone or silent.
                 member.known_at = now;
-                member.is_silent |= self.silent_elsewhere.contains(&member.short);
+                member.is_silent |= self.silent_by_aggregator.contains(&member.short);
             }
         }
         if has_become_aggregator {
-            self.silent_elsewhere.clear();
+            self.silent_by_aggregator.clear();
         }
         self.view.ranking = ranking;
     }
@@ -225,9 +225,9 @@
     /// Marks aggregators that have fallen silent.
     fn mark_silent(&mut self, now: Millis) {
         let timeout = self.get_heard_timeout();
-        let lost = std::mem::take(&mut self.unreachable_regions);
+        let unreachable = std::mem::take(&mut self.unreachable_regions);
         for member in self.known.values_mut() {
-            if self.topology.is_in_any(&lost, &member.entry.data_centre) {
+            if self.topology.is_in_any(&unreachable, &member.entry.data_centre) {
                 continue;
             }
             let expected_since = member.ranked_since.map(|since| since.max(member.entered_at));
@@ -236,7 +236,7 @@
                 member.is_silent = true;
             }
         }
-        self.unreachable_regions = lost;
+        self.unreachable_regions = unreachable;
         let periods = (self.get_period() * OVERVIEW_TIMEOUT_PERIODS).as_millis() as Millis;
         let last = self.overview.map_or(self.member_since, |(at, _)| at.max(self.member_since));
         if now < last + periods {
@@ -253,7 +253,7 @@
 
     /// Returns `true` if a node is eligible as an aggregator.
     fn is_eligible(&self, now: Millis, member: &Member) -> bool {
-        let is_silent = member.is_silent || self.silent_elsewhere.contains(&member.short);
+        let is_silent = member.is_silent || self.silent_by_aggregator.contains(&member.short);
         !member.is_stopping && !is_silent && !self.is_quiet(now, member)
     }
 
@@ -298,7 +298,7 @@
     /// They are the heard aggregators of the region with the widest links, ordered by rendezvous
     /// hashing, because a reader sends what it reads to all nodes. A node that is not an aggregator
     /// hears no aggregators, and considers all that it ranks.
-    fn list_readers(&self, now: Millis, is_aggregator: bool) -> Vec<String> {
+    fn select_table_readers(&self, now: Millis, is_aggregator: bool) -> Vec<String> {
         let others = self.view.ranking.aggregators.iter().filter_map(|name| self.known.get(name));
         let local = others.filter(|member| self.topology.is_local(&member.entry.data_centre));
         let candidates = local.filter(|member| !is_aggregator || self.is_heard(now, member));
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -14,9 +14,9 @@
 //! In groups (see [`super::members`]), an aggregator sums the usage of its group, exchanges the
 //! sums with other aggregators, and reports the usage of all other nodes to each node of its group.
 //!
-//! A node that starts does not know what was admitted before. It takes over the level from a peer
-//! that has run for longer. If no such peer exists, all nodes may have restarted and the burst may
-//! be spent. They then start with a part of the tolerated excess, shared by all nodes.
+//! A node that starts does not know what was admitted before. It adopts the level of a peer that
+//! has run for longer. If no such peer exists, all nodes may have restarted and the burst may be
+//! spent. They then start with a part of the tolerated excess, shared by all nodes.
 
 mod decision;
 mod limit;
@@ -42,7 +42,7 @@
 const MAX_LOW_WATER_FRACTION: f64 = 0.4;
 /// How long a node counts as new.
 ///
-/// A new node has not seen what others admitted before, so the burst may be spent, also if all
+/// A new node has not seen what others admitted before, so the burst may be spent, even if all
 /// nodes restarted.
 const NEW_NODE_PERIOD: Millis = 3_000;
 /// The fraction of the tolerated excess by which the limit is raised.
@@ -59,7 +59,7 @@
 /// The age range in which the last report of a group is overdue.
 ///
 /// It starts after some report periods, and ends when the group has been charged for and has long
-/// counted as out of reach.
+/// counted as unreachable.
 const OVERDUE_AGES: std::ops::Range<Millis> = 700..5_000;
 /// The age from which a report is overdue, in sixths of the report delay, if that is longer.
 ///
@@ -127,7 +127,7 @@
     /// report periods.
     ///
     /// The nodes of that region then use units that no report contains. Until all nodes count them
-    /// as out of reach, this node admits only its share of the rate, and takes over the level that
+    /// as unreachable, this node admits only its share of the rate, and adopts the level that
     /// its aggregator estimates.
     pub fn record_overdue_region(&mut self, now: Millis) {
         self.region_overdue_until = now + REGION_OVERDUE_PERIOD;
@@ -478,9 +478,9 @@
 
 /// Charges units that others admitted.
 ///
-/// Nodes that were out of reach used a fraction of the rate with which this bucket was not
-/// refilled. Their report for a long time may be many times the burst, so the debt is limited to
-/// the burst and the tolerated excess.
+/// Unreachable nodes used a fraction of the rate with which this bucket was not refilled. Their
+/// report for a long time may be many times the burst, so the debt is limited to the burst and the
+/// tolerated excess.
 fn charge(tolerance: Tolerance, bucket: &mut TokenBucket, admitted: i64) {
     let admitted = admitted as f64;
     let Some((rate, capacity)) = bucket.get_limits() else {
--- a/crates/core/src/serving/quota/report.rs
+++ b/crates/core/src/serving/quota/report.rs
@@ -55,7 +55,7 @@
 /// How long a reported rate is assumed to continue.
 pub(super) const RATE_VALID_FOR: Millis = 2_000;
 /// How long requests to other nodes count if a single aggregator reports them: a node must not take
-/// the whole rate as its share before it counts the others as out of reach.
+/// the whole rate as its share before it counts the others as unreachable.
 const AGGREGATE_VALID_FOR: Millis = 3_000;
 /// The weight of the newest sample of a rate.
 const SMOOTHING_FACTOR: f64 = 0.5;
