--- a/crates/core/src/serving/capacity/mod.rs
+++ b/crates/core/src/serving/capacity/mod.rs
@@ -152,18 +152,18 @@
 ) -> BTreeMap<&'a str, u32> {
     let mut moved: BTreeMap<&str, u32> =
         snapshots.keys().map(|region| (region.as_str(), 0)).collect();
-    let count_places = |snapshot: &Snapshot<'_>| match snapshot.count_accepting() {
+    let count_room = |snapshot: &Snapshot<'_>| match snapshot.count_accepting() {
         0 => 0,
         _ => scaling.max * snapshot.inventory.len() as u32,
     };
     for (from, lacking) in snapshots {
-        let mut left = lacking.need.saturating_sub(count_places(lacking)).min(lacking.spillable);
+        let mut remaining = lacking.need.saturating_sub(count_room(lacking)).min(lacking.spillable);
         for (to, snapshot) in snapshots.iter().filter(|(to, _)| *to != from) {
             let taken = moved.entry(to).or_default();
-            let room = count_places(snapshot).saturating_sub(snapshot.need + *taken);
-            let moves = left.min(room);
+            let room = count_room(snapshot).saturating_sub(snapshot.need + *taken);
+            let moves = remaining.min(room);
             *taken += moves;
-            left -= moves;
+            remaining -= moves;
         }
     }
     moved
--- a/crates/core/src/serving/capacity/placement.rs
+++ b/crates/core/src/serving/capacity/placement.rs
@@ -33,14 +33,14 @@
     let parts = data_centres.len().saturating_sub(1).max(MIN_DATA_CENTRES) as u32;
     let part = count.div_ceil(parts);
     let mut filled = BTreeMap::new();
-    let mut left = count;
+    let mut remaining = count;
     for data_centre in data_centres {
         let room = most.saturating_sub(taken.get(*data_centre).copied().unwrap_or(0));
-        let held = part.min(room).min(left);
+        let held = part.min(room).min(remaining);
         filled.insert((*data_centre).to_owned(), held);
-        left -= held;
+        remaining -= held;
     }
-    if left > 0 { spread(data_centres, count, most, taken) } else { filled }
+    if remaining > 0 { spread(data_centres, count, most, taken) } else { filled }
 }
 
 /// Spreads servers over data centres in turn, the cheapest first.
@@ -54,18 +54,18 @@
 ) -> BTreeMap<String, u32> {
     let mut spread: BTreeMap<String, u32> =
         data_centres.iter().map(|data_centre| ((*data_centre).to_owned(), 0)).collect();
-    let mut left = count;
-    while left > 0 {
-        let before = left;
+    let mut remaining = count;
+    while remaining > 0 {
+        let before = remaining;
         for data_centre in data_centres {
             let held = spread.entry((*data_centre).to_owned()).or_default();
             let room = most.saturating_sub(taken.get(*data_centre).copied().unwrap_or(0));
-            if left > 0 && *held < room {
+            if remaining > 0 && *held < room {
                 *held += 1;
-                left -= 1;
+                remaining -= 1;
             }
         }
-        if left == before {
+        if remaining == before {
             break;
         }
     }
--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -92,10 +92,10 @@
         }
         let limit = self.tolerance.raise(limit, get_raised_fraction(reach));
         self.own.accounts.entry(account.to_owned()).or_default().requested += units;
-        let left = self.refill_whole(now, account, limit, reach);
+        let available = self.refill_whole(now, account, limit, reach);
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
         let capacity = limit.get_capacity();
-        let is_low = left < self.get_low_water(now, account, capacity, reach);
+        let is_low = available < self.get_low_water(now, account, capacity, reach);
         let is_large = reach.known > 1 && units as f64 > capacity * LARGE_REQUEST_FRACTION;
         if is_overdue || is_low || is_large {
             return false;
@@ -141,14 +141,14 @@
         // Estimates of unreported usage are left out: near the limit, other nodes use what this
         // node admits, and a single large prompt would look like a rate.
         let level = self.whole.get(account).map_or(0.0, |bucket| bucket.available);
-        let left = level + self.get_headroom(now, limit, reach);
+        let available = level + self.get_headroom(now, limit, reach);
         let required = self.get_required_units(now, units, limit);
-        if left >= required {
+        if available >= required {
             self.admit(account, units);
             return Decision::Admitted;
         }
         let rate = limit.rate_per_second * reach.get_fraction();
-        let retry_after = self.book(now, account, required - left, units, rate);
+        let retry_after = self.book(now, account, required - available, units, rate);
         Decision::Refused { retry_after }
     }
 
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -58,40 +58,40 @@
     ) -> Result<(), Millis> {
         let limit = self.tolerance.raise(limit, get_raised_fraction(reach));
         let rate = limit.rate_per_second * reach.get_fraction();
-        let left = self.refill_whole(now, account, limit, reach);
+        let available = self.refill_whole(now, account, limit, reach);
         if reach.known == 1 {
-            return Err(get_wait(MIN_AVAILABLE - left, rate));
+            return Err(get_wait(MIN_AVAILABLE - available, rate));
         }
         let is_overdue = reach.is_grouped && self.is_any_overdue(now, reach);
         let low_water = self.get_low_water(now, account, limit.get_capacity(), reach);
-        if !is_overdue && left >= units as f64 + low_water {
+        if !is_overdue && available >= units as f64 + low_water {
             // The bucket holds this large request, but the owner could not be reached.
             self.admit(account, units);
             return Ok(());
         }
-        let share = self.compute_share(now, account, left, limit, reach);
+        let share = self.compute_share(now, account, available, limit, reach);
         self.consume_share(now, account, units, &share)?;
         self.admit(account, units);
         Ok(())
     }
 
-    /// Computes this node's share of a client account whose bucket holds `left` units.
+    /// Computes this node's share of a client account whose bucket holds `available` units.
     fn compute_share(
         &self,
         now: Millis,
         account: &str,
-        left: f64,
+        available: f64,
         limit: Limit,
         reach: Reachability,
     ) -> LocalShare {
         let whole_rate = limit.rate_per_second * reach.get_fraction();
-        let excess_bursts = (-left / limit.get_capacity()).max(0.0);
+        let excess_bursts = (-available / limit.get_capacity()).max(0.0);
         let admitted =
             (ADMITTED_FRACTION - PAY_BACK_FRACTION * excess_bursts).max(MIN_ADMITTED_FRACTION);
         LocalShare {
             rate: admitted * whole_rate * self.get_share(now, account, reach),
             advance: self.tolerance.slack * ADVANCE_FRACTION / reach.known as f64,
-            max_request: left + self.get_headroom(now, limit, reach),
+            max_request: available + self.get_headroom(now, limit, reach),
             whole_rate,
         }
     }
--- a/crates/core/tests/serving/demand.rs
+++ b/crates/core/tests/serving/demand.rs
@@ -102,8 +102,9 @@
     tracker.merge(11_000, false, ("other", 1), &[report("east", 3, 1), report("west", 100, 8)]);
     tracker.sample(12_000, "llm");
 
-    let asked = BTreeMap::from([("east".to_owned(), totals(8)), ("west".to_owned(), totals(120))]);
-    assert_eq!(tracker.get_recent(12_000, "llm", 4_000), Some((asked, 2_000)));
+    let requested =
+        BTreeMap::from([("east".to_owned(), totals(8)), ("west".to_owned(), totals(120))]);
+    assert_eq!(tracker.get_recent(12_000, "llm", 4_000), Some((requested, 2_000)));
     assert_eq!(tracker.get_in_flight(12_000, "llm"), in_flight([("east", 2), ("west", 10)]));
     // Reports from other aggregators are not passed on.
     assert_eq!(tracker.sum_group(12_000), [report("east", 5, 1), report("west", 20, 2)]);
--- a/crates/core/tests/serving/duty_lease.rs
+++ b/crates/core/tests/serving/duty_lease.rs
@@ -99,7 +99,7 @@
 
 /// A step of a node: it reads, may pause, and writes what it decided; the response may be lost.
 #[derive(Clone, Debug)]
-struct Move {
+struct NodeStep {
     node: usize,
     wait: u64,
     to_table: u64,
@@ -108,9 +108,9 @@
     is_lost: bool,
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
+fn steps() -> impl Strategy<Value = Vec<NodeStep>> {
     let one = (0usize..3, 0u64..2_500, 0u64..400, 0u64..4_000, 0u64..400, any::<bool>());
-    let one = one.prop_map(|(node, wait, to_table, pause, back, is_lost)| Move {
+    let one = one.prop_map(|(node, wait, to_table, pause, back, is_lost)| NodeStep {
         node,
         wait,
         to_table,
@@ -126,13 +126,13 @@
     /// terms only rise with the holder, and a returning holder returns only after the length of the
     /// lease.
     #[test]
-    fn never_two_holders(moves in moves()) {
+    fn never_two_holders(steps in steps()) {
         let names = ["a", "b", "c"];
         let mut leases: Vec<DutyLease> = names.iter().map(|name| lease(name)).collect();
         let mut table: Option<(u64, LeaseRow)> = None;
         let mut now = 10_000u64;
         let mut acts: Vec<(u64, usize, u64)> = Vec::new();
-        for (version, step) in (1u64..).zip(moves) {
+        for (version, step) in (1u64..).zip(steps) {
             now += step.wait;
             let asked_at = now;
             now += step.to_table;
@@ -221,19 +221,19 @@
 /// A step of a node, and the fault that precedes it.
 #[derive(Clone, Debug)]
 struct Fault {
-    step: Move,
+    step: NodeStep,
     /// The table service is restored from the copy taken this many steps ago.
     restored_from: Option<usize>,
-    starts_again: bool,
+    is_restarted: bool,
 }
 
 fn faults() -> impl Strategy<Value = Vec<Fault>> {
     let restored_from = prop_oneof![8 => Just(None), 1 => (0usize..6).prop_map(Some)];
-    let one = (moves(), restored_from, prop::bool::weighted(0.1));
-    let one = one.prop_map(|(steps, restored_from, starts_again)| Fault {
+    let one = (steps(), restored_from, prop::bool::weighted(0.1));
+    let one = one.prop_map(|(steps, restored_from, is_restarted)| Fault {
         step: steps[0].clone(),
         restored_from,
-        starts_again,
+        is_restarted,
     });
     proptest::collection::vec(one, 1..80)
 }
@@ -249,7 +249,7 @@
         let mut nodes: Vec<Node> = ["a", "b", "c"].map(|name| Node::start(name, 1)).into();
         let mut now = 10_000u64;
         let mut acts: Vec<(&str, u64, u64)> = Vec::new();
-        for Fault { step, restored_from, starts_again } in faults {
+        for Fault { step, restored_from, is_restarted } in faults {
             now += step.wait;
             copies.push(service.clone());
             if let Some(ago) = restored_from {
@@ -258,7 +258,7 @@
                 service.era = era;
             }
             let node = &mut nodes[step.node];
-            if starts_again {
+            if is_restarted {
                 *node = Node::start(node.name, node.incarnation + 1);
             }
             let asked_at = now;
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -85,29 +85,29 @@
 /// five times per second.
 #[test]
 fn ended_windows_are_repeated_for_two_seconds_and_then_rarely() {
-    let mut outgoing = ReportFilter::default();
+    let mut filter = ReportFilter::default();
     let windows = |now: u64| {
         let ended = (1..4).map(|window| (window, counts_of_accounts(333, window)));
         ended.chain([(4, counts_of_accounts(333, now))]).collect::<Vec<_>>()
     };
     for turn in 1..10 {
-        assert_eq!(outgoing.select(turn, windows(turn)), windows(turn));
+        assert_eq!(filter.select(turn, windows(turn)), windows(turn));
     }
-    let counts = (11..111).map(|turn| outgoing.select(turn, windows(turn)).len());
+    let counts = (11..111).map(|turn| filter.select(turn, windows(turn)).len());
     assert_eq!(counts.sum::<usize>(), 90 + 10 * 4);
 }
 
 #[test]
 fn a_window_that_changes_late_is_reported_again() {
-    let mut outgoing = ReportFilter::default();
+    let mut filter = ReportFilter::default();
     for turn in 1..40 {
-        outgoing.select(turn, vec![(1, counts_of_accounts(3, 1)), (2, counts_of_accounts(3, 2))]);
+        filter.select(turn, vec![(1, counts_of_accounts(3, 1)), (2, counts_of_accounts(3, 2))]);
     }
     let late = vec![(1, counts_of_accounts(3, 7)), (2, counts_of_accounts(3, 2))];
     for turn in 41..50 {
-        assert_eq!(outgoing.select(turn, late.clone()), late[..1]);
+        assert_eq!(filter.select(turn, late.clone()), late[..1]);
     }
-    assert_eq!(outgoing.select(50, late.clone()), late);
+    assert_eq!(filter.select(50, late.clone()), late);
 }
 
 #[test]
