--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -171,10 +171,10 @@
 pub(super) fn record_era(node: &Node, era: Era) {
     let now = node.now();
     let new_era = node.with(|state| {
-        let new_era = state.eras.note(now, era)?;
+        let new_era = state.eras.record(now, era)?;
         state.lease.begin_era(era);
         if new_era.before.is_some() {
-            state.directory.note_table_restored(now);
+            state.directory.record_table_restored(now);
             state.frozen_usage.repeat();
         }
         Some(new_era)
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -177,7 +177,7 @@
         is_written_since && row.key == known.key && read_version(node, row) >= Some(known.version)
     };
     if rows.iter().any(|row| is_rewritten(&row)) {
-        node.with(|state| state.eras.note_configuration_rewritten());
+        node.with(|state| state.eras.record_configuration_rewritten());
     }
 }
 
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -65,7 +65,7 @@
             }
             Err(error) => {
                 emit_failure("servers", &error);
-                node.with(|state| state.directory.note_table_unavailable());
+                node.with(|state| state.directory.record_table_unavailable());
             }
         }
         back_off.wait().await;
@@ -138,7 +138,7 @@
     if staleness::is_servers_stale(node) {
         node.with(|state| {
             if state.directory.is_known() {
-                state.directory.note_table_recovered(now);
+                state.directory.record_table_recovered(now);
             }
         });
     }
@@ -167,7 +167,7 @@
     let now = node.now();
     let Departure { server, incarnation } = departure;
     let DepartureOutcome { is_news, change } =
-        node.with(|state| state.directory.note_departure(now, server, *incarnation));
+        node.with(|state| state.directory.record_departure(now, server, *incarnation));
     apply(node, change.into_iter().collect());
     is_news
 }
