--- a/crates/core/src/serving/choice.rs
+++ b/crates/core/src/serving/choice.rs
@@ -130,9 +130,7 @@
 pub fn choose<'a>(candidates: &[Candidate<'a>], criteria: &Criteria, random: u64) -> Choice<'a> {
     let healthy: Vec<&Candidate<'a>> = candidates.iter().filter(|c| !c.is_ejected).collect();
     let usable = if healthy.is_empty() { candidates.iter().collect() } else { healthy };
-    let Some(least) = find_least_loaded(&usable, criteria, random) else {
-        return Choice::None;
-    };
+    let Some(least) = find_least_loaded(&usable, criteria, random) else { return Choice::None };
     if let Some(wait) = get_retry_wait(least, criteria) {
         return Choice::Busy(wait);
     }
