--- a/crates/core/src/serving/backpressure/back_offs.rs
+++ b/crates/core/src/serving/backpressure/back_offs.rs
@@ -1,14 +1,14 @@
-//! Which servers take no requests from this node for a time.
+//! Servers that accept no requests from this node for a time.
 
 use std::collections::BTreeMap;
 
 use super::InstanceKey;
 use crate::Millis;
 
-/// Servers that take no requests from this node for a time.
+/// The back-offs that servers requested from this node.
 #[derive(Clone, Debug, Default)]
 pub struct BackOffs {
-    /// By the servers' short names.
+    /// By the servers' short ids.
     servers: BTreeMap<u64, BackOff>,
 }
 
@@ -19,9 +19,11 @@
 }
 
 impl BackOffs {
-    /// Notes that a server requests a back-off; returns its end where it is later than the one known.
+    /// Records a back-off that a server requested. Returns its end if it is later than the known
+    /// one.
     ///
-    /// Neither an answer that was sent before, nor a shorter back-off, nor a good answer ends one early.
+    /// Nothing ends a back-off early: neither an earlier answer, nor a shorter back-off, nor a
+    /// successful answer.
     pub fn record(&mut self, now: Millis, key: InstanceKey, back_off: Millis) -> Option<Millis> {
         let until = now.saturating_add(back_off);
         let known = self.servers.get(&key.server);
@@ -36,24 +38,24 @@
         Some(until)
     }
 
-    /// Returns the time until the end of a server's back-off; `None` where there is none.
+    /// Returns the time until the end of a server's back-off, or `None` if there is none.
     pub fn get_wait(&self, now: Millis, key: InstanceKey) -> Option<Millis> {
         let known = self.servers.get(&key.server);
         let known = known.filter(|known| known.incarnation == key.incarnation)?;
         known.until.checked_sub(now).filter(|wait| *wait > 0)
     }
 
-    /// Returns `true` if no server has requested a back-off lately.
+    /// Returns `true` if there is no recent back-off.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Counts the servers whose back-offs have not ended.
+    /// Returns the number of servers whose back-off has not ended.
     pub fn count(&self, now: Millis) -> usize {
         self.servers.values().filter(|back_off| now < back_off.until).count()
     }
 
-    /// Forgets back-offs that have ended.
+    /// Removes back-offs that have ended.
     pub fn expire(&mut self, now: Millis) {
         self.servers.retain(|_, back_off| now < back_off.until);
     }
--- a/crates/core/src/serving/backpressure/instance_key.rs
+++ b/crates/core/src/serving/backpressure/instance_key.rs
@@ -1,16 +1,16 @@
-//! The name of a start of a server, for messages between nodes.
+//! Identifies an incarnation of a server in messages between nodes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::serving::directory::Server;
 use crate::serving::load::short_id;
 
-/// Names a start of a server. What an earlier start said holds no more.
+/// Identifies an incarnation of a server. What an earlier incarnation reported is void.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceKey {
-    /// The server's short name.
+    /// The server's short id.
     pub server: u64,
-    /// Which of its starts it is; a later one has a higher number.
+    /// The server's incarnation; a later start has a higher number.
     pub incarnation: u64,
 }
 
--- a/crates/core/src/serving/backpressure/mod.rs
+++ b/crates/core/src/serving/backpressure/mod.rs
@@ -1,25 +1,26 @@
-//! Backpressure: what servers say in their answers about the requests that follow.
+//! Backpressure: rate limits and back-offs that servers report in their answers.
 //!
-//! A server may name a rate limit: the requests a second that it takes from all nodes together. One node,
-//! the server's owner, has the bucket of that limit and gives permits to all others; a node sends nothing
-//! to a limited server without one. So the limit holds over any number of nodes, and what it costs depends
-//! on the requests for limited servers alone.
+//! A server may report a rate limit: the requests per second that it accepts from all nodes
+//! together. One node, the server's owner, holds the token bucket of that limit and grants permits
+//! to the others; a node sends nothing to a rate-limited server without a permit. The limit thus
+//! holds for any number of nodes, and its cost depends only on the requests to rate-limited
+//! servers.
 //!
-//! A server may also request a back-off of a node: it takes no request from this node for a time. That a server
-//! leaves is kept with the list of servers ([`super::directory`]).
+//! A server may also request a back-off from a node: for a time it accepts no request from this
+//! node. Whether a server is leaving is kept in the server directory ([`super::directory`]).
 //!
-//! What a server says bars it from being a candidate at all. Ejection ([`super::health`]) is a preference:
-//! an ejected server is used where no other is left.
+//! Backpressure excludes a server from the candidates. Ejection ([`super::health`]) is only a
+//! preference: an ejected server is used if no other is left.
 //!
-//! | module | does |
+//! | module | content |
 //! |---|---|
-//! | `signal` | says what one answer says |
-//! | `instance_key` | names a start of a server |
-//! | `observation` | says what a node saw of a server's limit |
-//! | `rate_limits` | holds which servers are limited, at each node |
-//! | `back_offs` | holds which servers take no requests from this node for a time |
-//! | `permits` | gives permits for limited servers, at their owners |
-//! | `tracker` | holds all of it, at each node |
+//! | `signal` | the backpressure of one answer |
+//! | `instance_key` | identifies an incarnation of a server |
+//! | `observation` | a rate limit as nodes gossip it |
+//! | `rate_limits` | rate-limited servers, at each node |
+//! | `back_offs` | servers that accept no requests from this node for a time |
+//! | `permits` | grants permits for rate-limited servers, at their owners |
+//! | `tracker` | the whole backpressure state of a node |
 
 mod back_offs;
 mod instance_key;
--- a/crates/core/src/serving/backpressure/observation.rs
+++ b/crates/core/src/serving/backpressure/observation.rs
@@ -1,16 +1,17 @@
-//! What a node saw of a server's rate limit.
+//! An observed rate limit, as nodes gossip it.
 
 use serde::{Deserialize, Serialize};
 
 use super::InstanceKey;
 use crate::Millis;
 
-/// What an answer of a server said of its rate limit, as nodes pass it on.
+/// The rate limit in an answer of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// The server.
+    /// The incarnation of the server.
     pub key: InstanceKey,
-    /// Requests a second from all nodes together; `None` where it names no limit any more.
+    /// Requests per second from all nodes together, or `None` if the server no longer reports a
+    /// limit.
     pub rate: Option<f64>,
     /// The time since the answer, in milliseconds.
     pub age: Millis,
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -1,4 +1,4 @@
-//! Gives permits for limited servers, at the node that owns them.
+//! Grants permits for rate-limited servers, at the node that owns them.
 
 use std::collections::BTreeMap;
 
@@ -9,50 +9,53 @@
 use crate::bucket::Bucket;
 use crate::serving::quota::Reach;
 
-/// The lowest rate at which permits are given, in requests a second: only an answer shows that a limit
-/// has ended.
-const LOWEST_RATE: f64 = 0.1;
-/// The seconds of a limit that an unused bucket saves up.
-const SAVED_SECONDS: f64 = 0.25;
-/// The permits that a full bucket holds at the least: a permit is not lost because no request comes in the
-/// moment in which it is there.
-const LEAST_SAVED: f64 = 2.0;
-/// The longest time for which a node is denied, but for the one until the next permit, in milliseconds:
-/// it may find no request for the server when its turn comes.
-const LONGEST_TURN: Millis = 2_000;
-/// The longest time for which a node is denied, in milliseconds: more nodes may be heard by then, and
-/// the limit may have ended.
-const LONGEST_DENIAL: Millis = 10_000;
-/// Added to the time until a node's turn, in milliseconds: a permit is there then in spite of rounding.
+/// The lowest rate at which permits are granted, in requests per second: only an answer can show
+/// that a limit has ended.
+const MIN_RATE_PER_SECOND: f64 = 0.1;
+/// The burst of a bucket, in seconds of its rate.
+const BURST_SECONDS: f64 = 0.25;
+/// The minimum burst of a bucket: a permit must not be lost because no request arrives at the very
+/// moment it becomes available.
+const MIN_BURST_PERMITS: f64 = 2.0;
+/// The longest denial because of other nodes in the queue, in milliseconds. The node may have no
+/// request for the server when its turn comes. The time until the next permit may be longer.
+const MAX_QUEUE_WAIT: Millis = 2_000;
+/// The longest denial, in milliseconds: by then more nodes may have joined, and the limit may have
+/// ended.
+const MAX_DENIAL: Millis = 10_000;
+/// Added to the time until a node's turn, in milliseconds, so that rounding does not make it retry
+/// before the permit is available.
 const TURN_SLACK: Millis = 5;
-/// How long a bucket is kept that nobody uses, in milliseconds. A new one begins empty.
-const KEPT: Millis = 60_000;
+/// How long an unused bucket is kept, in milliseconds. A new bucket starts empty.
+const IDLE_TTL: Millis = 60_000;
 
-/// What the owner of a server decides about a request to it.
+/// The decision of a server's owner on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Decision {
     /// The request may be sent.
     Granted,
     /// The server is at its limit.
     Denied {
-        /// The time in milliseconds after which the node may ask again, behind those denied before it.
+        /// The time in milliseconds after which the node may retry, behind the nodes denied before
+        /// it.
         retry_after: Millis,
     },
-    /// The server names no limit any more.
+    /// The server no longer reports a limit.
     Unlimited {
-        /// The time since the answer that showed it, in milliseconds.
+        /// The time since the answer that showed this, in milliseconds.
         age: Millis,
     },
     /// The node is not the owner.
     Undecided,
 }
 
-/// The buckets of the limited servers that a node owns.
+/// The token buckets of the rate-limited servers that a node owns.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
-    /// Random, from 0 to 1. Nodes that hear few others give their first permits at different times.
+    /// Random, from 0 to 1, so that nodes that are connected to few others grant their first
+    /// permits at different times.
     draw: f64,
-    /// By the servers' short names.
+    /// By the servers' short ids.
     pools: BTreeMap<u64, Pool>,
 }
 
@@ -60,30 +63,30 @@
 struct Pool {
     incarnation: u64,
     bucket: Bucket,
-    /// Nodes that were denied and have not got a permit since.
+    /// Nodes that were denied and have not been granted a permit since.
     queued: u32,
-    /// When the last of them has its turn.
+    /// The turn of the last queued node.
     last_turn: Millis,
     used_at: Millis,
 }
 
 impl Permits {
-    /// Makes the state of a node that owns no server yet; `draw` is random, from 0 to 1.
+    /// Creates the permits of a node that owns no server yet. `draw` is random, from 0 to 1.
     pub fn new(draw: f64) -> Self {
         Self { draw, pools: BTreeMap::new() }
     }
 
-    /// Decides about a request to a server that takes `rate` requests a second from all nodes.
+    /// Decides on a request to a server that accepts `rate` requests per second from all nodes.
     ///
-    /// A node that hears a part of the others only gives that part of the rate: those that it does not
-    /// hear may have an owner of their own. A bucket begins empty, because another node may have given
+    /// A node that hears only a fraction of the others grants only that fraction of the rate: the
+    /// rest may have another owner. A bucket starts empty, because another node may have granted
     /// permits until now.
     pub fn decide(&mut self, now: Millis, key: InstanceKey, rate: f64, reach: Reach) -> Decision {
         let fraction = reach.get_fraction();
-        let rate = rate.max(LOWEST_RATE) * fraction;
+        let rate = rate.max(MIN_RATE_PER_SECOND) * fraction;
         let pool = self.get_pool(now, key, -self.draw * (1.0 - fraction));
         pool.used_at = now;
-        pool.bucket.set(now, rate, (rate * SAVED_SECONDS).max(LEAST_SAVED));
+        pool.bucket.set(now, rate, (rate * BURST_SECONDS).max(MIN_BURST_PERMITS));
         match pool.bucket.take(now) {
             Ok(()) => {
                 pool.queued = pool.queued.saturating_sub(1);
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Takes back the permit of a request that was not sent.
+    /// Returns the permit of a request that was not sent.
     pub fn return_permit(&mut self, key: InstanceKey) {
         let pool = self.pools.get_mut(&key.server);
         if let Some(pool) = pool.filter(|pool| pool.incarnation == key.incarnation) {
@@ -101,36 +104,36 @@
         }
     }
 
-    /// Forgets buckets that nobody uses.
+    /// Removes buckets that are unused.
     pub fn expire(&mut self, now: Millis) {
-        self.pools.retain(|_, pool| now < pool.used_at.saturating_add(KEPT));
+        self.pools.retain(|_, pool| now < pool.used_at.saturating_add(IDLE_TTL));
     }
 
-    /// Returns the bucket of a server; a new one begins at a level.
+    /// Returns the bucket of a server. A new one starts at `level`.
     fn get_pool(&mut self, now: Millis, key: InstanceKey, level: f64) -> &mut Pool {
-        let fresh = Pool {
+        let new_pool = Pool {
             incarnation: key.incarnation,
             bucket: Bucket::new(now, level),
             queued: 0,
             last_turn: now,
             used_at: now,
         };
-        let pool = self.pools.entry(key.server).or_insert(fresh);
+        let pool = self.pools.entry(key.server).or_insert(new_pool);
         if pool.incarnation < key.incarnation {
-            *pool = fresh;
+            *pool = new_pool;
         }
         pool
     }
 }
 
 impl Pool {
-    /// Queues a node that is denied; returns the time until its turn.
+    /// Queues a node that is denied. Returns the time until its turn.
     fn queue(&mut self, now: Millis, wait: Millis, rate: f64) -> Millis {
         if self.last_turn < now {
             self.queued = 0;
         }
         let behind = (f64::from(self.queued) / rate * 1_000.0) as Millis;
-        let until_turn = wait.saturating_add(behind).min(wait.clamp(LONGEST_TURN, LONGEST_DENIAL));
+        let until_turn = wait.saturating_add(behind).min(wait.clamp(MAX_QUEUE_WAIT, MAX_DENIAL));
         self.queued += 1;
         self.last_turn = self.last_turn.max(now + until_turn);
         until_turn + TURN_SLACK
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -1,48 +1,49 @@
-//! Which servers are limited, as a node knows it from its own answers and from other nodes.
+//! The rate limits of servers, from this node's answers and from other nodes.
 
 use std::collections::BTreeMap;
 
 use super::{InstanceKey, Observation};
 use crate::Millis;
 
-/// How long a limit is known after the last answer that named it, in milliseconds. An answer without it
-/// ends it at once; a server that gets no requests gives none.
-const LIMIT_KEPT: Millis = 600_000;
-/// How long it is known that a limit has ended, in milliseconds: late sightings of the limit do not
-/// bring it back.
-const END_KEPT: Millis = 60_000;
-/// A rate that differs from the one before by a larger part than this is news for other nodes. Owners hear
-/// of smaller changes with the next request for a permit.
-const CHANGED_PART: f64 = 0.25;
-/// Reports between two that hold sightings, for nodes that start or missed the news: five reports a second
-/// from each aggregator are more than that takes.
-const LISTED_TURNS: usize = 5;
-/// The most sightings in one report.
-const MOST_LISTED: usize = 4;
-
-/// Which servers are limited.
+/// How long a limit is kept after the last answer that reported it, in milliseconds. An answer
+/// without a limit ends it at once, but a server that gets no requests sends no answers.
+const LIMIT_TTL: Millis = 600_000;
+/// How long the end of a limit is remembered, in milliseconds, so that late observations do not
+/// restore the limit.
+const ENDED_TTL: Millis = 60_000;
+/// The relative change of a rate above which it is news for other nodes. Owners learn of smaller
+/// changes with the next request for a permit.
+const MIN_CHANGE_RATIO: f64 = 0.25;
+/// One report in this many carries observations, for nodes that just started or missed the news.
+/// Each aggregator sends five reports per second, which is more often than this needs.
+const GOSSIP_TURNS: usize = 5;
+/// The number of observations in one report.
+const GOSSIP_BATCH_SIZE: usize = 4;
+
+/// The known rate limits of servers.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimits {
-    /// By the servers' short names.
+    /// By the servers' short ids.
     servers: BTreeMap<u64, Record>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
     incarnation: u64,
-    /// Requests a second; `None` where the limit has ended.
+    /// Requests per second, or `None` if the limit has ended.
     rate: Option<f64>,
-    /// When the answer came that said so.
+    /// When the answer with this limit arrived.
     seen_at: Millis,
-    /// Until when this node asks for no further permit.
+    /// The time until which this node requests no further permit.
     denied_until: Millis,
 }
 
 impl RateLimits {
-    /// Notes what the answer to a request said that was sent at `sent_at`; returns a sighting where that
-    /// is news for other nodes.
+    /// Records the limit in an answer to a request that was sent at `sent_at`. Returns an
+    /// observation if it is news for other nodes.
     ///
-    /// An answer without a limit ends one only where its request was sent after the limit was seen.
+    /// An answer without a limit ends a limit only if its request was sent after the limit was
+    /// seen.
     pub fn record(
         &mut self,
         now: Millis,
@@ -55,13 +56,14 @@
         if is_ended && known.is_none_or(|known| known.rate.is_none() || sent_at < known.seen_at) {
             return None;
         }
-        let sighting = Observation { key, rate, age: 0 };
-        self.merge(now, &sighting).then_some(sighting)
+        let observation = Observation { key, rate, age: 0 };
+        self.merge(now, &observation).then_some(observation)
     }
 
-    /// Takes over a sighting, unless a later one is known; returns `true` if it is news for other nodes.
-    pub fn merge(&mut self, now: Millis, sighting: &Observation) -> bool {
-        let Observation { key, rate, age } = *sighting;
+    /// Merges an observation, unless a later one is known. Returns `true` if it is news for other
+    /// nodes.
+    pub fn merge(&mut self, now: Millis, observation: &Observation) -> bool {
+        let Observation { key, rate, age } = *observation;
         let seen_at = now.saturating_sub(age);
         let known = self.servers.get(&key.server).copied();
         if known.is_some_and(|known| known.incarnation > key.incarnation) {
@@ -76,20 +78,20 @@
         self.servers.insert(key.server, record);
         match (known.and_then(|known| known.rate), rate) {
             (None, None) => false,
-            (Some(before), Some(rate)) => (rate - before).abs() > before * CHANGED_PART,
+            (Some(before), Some(rate)) => (rate - before).abs() > before * MIN_CHANGE_RATIO,
             _ => true,
         }
     }
 
-    /// Returns what is known of a server that is limited.
+    /// Returns the rate limit of a server, or `None` if the server has none.
     pub fn get(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
-        Some(record.describe(now, key.server))
+        Some(record.to_observation(now, key.server))
     }
 
-    /// Returns what is known of a server, also where its limit has ended.
+    /// Returns the latest observation of a server, including the end of a limit.
     pub fn get_latest(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
-        self.get_record(key).map(|record| record.describe(now, key.server))
+        self.get_record(key).map(|record| record.to_observation(now, key.server))
     }
 
     /// Returns `true` if nothing is known of any server.
@@ -97,7 +99,7 @@
         self.servers.is_empty()
     }
 
-    /// Notes that a permit was denied for a time.
+    /// Records that a permit was denied, and when to retry.
     pub fn record_denial(&mut self, now: Millis, key: InstanceKey, retry_after: Millis) {
         let record = self.servers.get_mut(&key.server);
         if let Some(record) = record.filter(|record| record.incarnation == key.incarnation) {
@@ -105,38 +107,38 @@
         }
     }
 
-    /// Returns the time until this node may ask for a permit of a server; `None` where it may now.
+    /// Returns the time until this node may request a permit of a server, or `None` if it may now.
     pub fn get_wait(&self, now: Millis, key: InstanceKey) -> Option<Millis> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
         record.denied_until.checked_sub(now).filter(|wait| *wait > 0)
     }
 
-    /// Lists some of the limits for other nodes, once in some turns; each time the next ones.
+    /// Returns the next batch of limits to gossip, once in `GOSSIP_TURNS` turns.
     pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Observation> {
         let limited = || self.servers.iter().filter(|(_, record)| record.rate.is_some());
-        if !turn.is_multiple_of(LISTED_TURNS) {
+        if !turn.is_multiple_of(GOSSIP_TURNS) {
             return Vec::new();
         }
         let count = limited().count();
-        let first = (turn / LISTED_TURNS * MOST_LISTED).checked_rem(count).unwrap_or(0);
-        let next = limited().cycle().skip(first).take(count.min(MOST_LISTED));
-        next.map(|(server, record)| record.describe(now, *server)).collect()
+        let first = (turn / GOSSIP_TURNS * GOSSIP_BATCH_SIZE).checked_rem(count).unwrap_or(0);
+        let next = limited().cycle().skip(first).take(count.min(GOSSIP_BATCH_SIZE));
+        next.map(|(server, record)| record.to_observation(now, *server)).collect()
     }
 
-    /// Counts the servers that are limited.
+    /// Returns the number of rate-limited servers.
     pub fn count(&self) -> usize {
         self.servers.values().filter(|record| record.rate.is_some()).count()
     }
 
-    /// Forgets what is too old.
+    /// Removes expired records.
     pub fn expire(&mut self, now: Millis) {
         self.servers.retain(|_, record| {
-            let kept = if record.rate.is_some() { LIMIT_KEPT } else { END_KEPT };
-            now < record.seen_at.saturating_add(kept)
+            let ttl = if record.rate.is_some() { LIMIT_TTL } else { ENDED_TTL };
+            now < record.seen_at.saturating_add(ttl)
         });
     }
 
-    /// Returns the record of a start of a server.
+    /// Returns the record of an incarnation of a server.
     fn get_record(&self, key: InstanceKey) -> Option<&Record> {
         let record = self.servers.get(&key.server)?;
         (record.incarnation == key.incarnation).then_some(record)
@@ -144,7 +146,7 @@
 }
 
 impl Record {
-    fn describe(&self, now: Millis, server: u64) -> Observation {
+    fn to_observation(&self, now: Millis, server: u64) -> Observation {
         let key = InstanceKey { server, incarnation: self.incarnation };
         Observation { key, rate: self.rate, age: now.saturating_sub(self.seen_at) }
     }
--- a/crates/core/src/serving/backpressure/tracker.rs
+++ b/crates/core/src/serving/backpressure/tracker.rs
@@ -1,4 +1,4 @@
-//! All that a node knows of what servers say about the requests that follow.
+//! The backpressure state of a node.
 
 use std::collections::BTreeSet;
 
@@ -7,36 +7,36 @@
 use crate::serving::directory::Server;
 use crate::serving::quota::Reach;
 
-/// The most servers that are remembered for headers that cannot be read.
-const MOST_UNREADABLE: usize = 1_024;
+/// The number of servers with unreadable headers that are remembered.
+const UNREADABLE_CAPACITY: usize = 1_024;
 
-/// All that a node knows of what servers say about the requests that follow.
+/// Tracks the backpressure of all servers, at one node.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     limits: RateLimits,
     back_offs: BackOffs,
-    /// Of the servers that this node owns.
+    /// Permits of the servers that this node owns.
     permits: Permits,
-    /// Servers, by short name, whose headers could not be read.
+    /// Short ids of servers whose headers could not be read.
     unreadable: BTreeSet<u64>,
 }
 
-/// What came of the signal of an answer.
+/// The changes that a signal made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Update {
-    /// What was seen of the server's limit, where that is news for other nodes.
+    /// The rate limit to gossip, if it is news for other nodes.
     pub limit: Option<Observation>,
-    /// When the server takes requests of this node again, where that is later than was known.
+    /// The end of the server's back-off, if it is later than the known one.
     pub back_off_until: Option<Millis>,
 }
 
 impl Tracker {
-    /// Makes the book of a node that knows nothing yet; `draw` is random, from 0 to 1.
+    /// Creates a tracker without any knowledge. `draw` is random, from 0 to 1.
     pub fn new(draw: f64) -> Self {
         Self { permits: Permits::new(draw), ..Self::default() }
     }
 
-    /// Notes the signal of an answer to a request that was sent at `sent_at`.
+    /// Records the signal of an answer to a request that was sent at `sent_at`.
     pub fn record(
         &mut self,
         now: Millis,
@@ -50,20 +50,20 @@
         Update { limit, back_off_until: back_off }
     }
 
-    /// Notes that a header of a server cannot be read; returns `true` if none could not before.
+    /// Records that a header of a server cannot be read. Returns `true` the first time.
     pub fn record_unreadable(&mut self, server: &Server) -> bool {
-        if self.unreadable.len() == MOST_UNREADABLE {
+        if self.unreadable.len() == UNREADABLE_CAPACITY {
             self.unreadable.clear();
         }
         self.unreadable.insert(InstanceKey::of(server).server)
     }
 
-    /// Takes over what another node saw; returns `true` if it is news, to be passed on.
-    pub fn merge(&mut self, now: Millis, sighting: &Observation) -> bool {
-        self.limits.merge(now, sighting)
+    /// Merges an observation of another node. Returns `true` if it is news, to be gossiped on.
+    pub fn merge(&mut self, now: Millis, observation: &Observation) -> bool {
+        self.limits.merge(now, observation)
     }
 
-    /// Returns the time until a request may be sent to a server; `None` where it may now.
+    /// Returns the time until a request may be sent to a server, or `None` if it may be sent now.
     pub fn get_wait(&self, now: Millis, server: &Server) -> Option<Millis> {
         if self.limits.is_empty() && self.back_offs.is_empty() {
             return None;
@@ -72,22 +72,22 @@
         self.limits.get_wait(now, key).max(self.back_offs.get_wait(now, key))
     }
 
-    /// Returns what is known of a server that takes requests with permits only.
+    /// Returns the rate limit of a server, or `None` if the server has none.
     pub fn get_limit(&self, now: Millis, server: &Server) -> Option<Observation> {
         self.limits.get(now, InstanceKey::of(server))
     }
 
-    /// Decides about a request to a server, as its owner; `sighting` is what the asking node knows.
-    pub fn decide(&mut self, now: Millis, sighting: &Observation, reach: Reach) -> Decision {
-        self.limits.merge(now, sighting);
-        let known = self.limits.get_latest(now, sighting.key).unwrap_or(*sighting);
+    /// Decides on a request to a server, as its owner. `observation` is the requesting node's.
+    pub fn decide(&mut self, now: Millis, observation: &Observation, reach: Reach) -> Decision {
+        self.limits.merge(now, observation);
+        let known = self.limits.get_latest(now, observation.key).unwrap_or(*observation);
         match known.rate {
-            Some(rate) => self.permits.decide(now, sighting.key, rate, reach),
+            Some(rate) => self.permits.decide(now, observation.key, rate, reach),
             None => Decision::Unlimited { age: known.age },
         }
     }
 
-    /// Takes over the decision of a server's owner; returns `true` if the request may be sent.
+    /// Applies the decision of a server's owner. Returns `true` if the request may be sent.
     ///
     /// Without a decision the server gets no request for `undecided_for` milliseconds.
     pub fn apply_decision(
@@ -109,27 +109,27 @@
         false
     }
 
-    /// Takes back the permit of a request that was not sent, as the owner.
+    /// Returns the permit of a request that was not sent, as the owner.
     pub fn return_permit(&mut self, key: InstanceKey) {
         self.permits.return_permit(key);
     }
 
-    /// Lists some of the limits for other nodes; each turn gives the next ones.
+    /// Returns the next batch of rate limits to gossip.
     pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Observation> {
         self.limits.get_gossip_batch(now, turn)
     }
 
-    /// Counts the servers that are limited.
+    /// Returns the number of rate-limited servers.
     pub fn count_limited(&self) -> usize {
         self.limits.count()
     }
 
-    /// Counts the servers that take no request from this node for a time.
+    /// Returns the number of servers that accept no request from this node for a time.
     pub fn count_in_back_off(&self, now: Millis) -> usize {
         self.back_offs.count(now)
     }
 
-    /// Forgets what is too old.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: Millis) {
         self.limits.expire(now);
         self.back_offs.expire(now);
