--- a/crates/core/src/serving/memory/budget.rs
+++ b/crates/core/src/serving/memory/budget.rs
@@ -1,58 +1,58 @@
-//! The accountant: opens holders, and reserves and releases their bytes.
+//! The memory budget: opens, grows and releases reservations.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::eviction::Shortage;
 use super::kind::Kind;
-use super::pressure::draw_level;
+use super::pressure::draw_unready_level;
 use super::release::Releases;
 use super::reservation::{Requester, Reservation, ReservationId};
 use super::share::Share;
 use crate::Millis;
 
-/// The bytes that a node holds, and how many it may hold.
+/// The bytes that a node has reserved, and the bytes that it may reserve.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
-    /// The bytes that may be held while the process takes no others.
+    /// The bytes that may be reserved if the process uses no other memory.
     pub(super) capacity: u64,
-    /// Memory of the process, beyond which it is killed.
+    /// The memory limit of the process, above which it is killed.
     pub(super) limit: u64,
     /// The resident memory in the last sample.
     pub(super) resident: Option<u64>,
-    /// What of the resident memory was not reserved in the last sample.
+    /// The resident memory that was not reserved in the last sample.
     pub(super) unreserved: u64,
     pub(super) held: BTreeMap<Kind, u64>,
-    /// What is held of small bodies.
+    /// Bytes reserved for small bodies.
     pub(super) small_held: u64,
-    pub(super) holders: HashMap<ReservationId, Reservation>,
-    /// What each client account holds and waits for.
+    pub(super) reservations: HashMap<ReservationId, Reservation>,
+    /// The bytes that each client account holds and waits for.
     pub(super) shares: HashMap<String, Share>,
     pub(super) next_id: u64,
     pub(super) releases: Releases,
-    /// The part in use at which the node calls itself not ready.
-    pub(super) leaves_at: f64,
-    pub(super) is_short: bool,
+    /// The utilization at which the node reports that it is not ready.
+    pub(super) unready_at: f64,
+    pub(super) is_under_pressure: bool,
 }
 
 impl MemoryBudget {
-    /// Makes an accountant of a node that may hold so many bytes, and whose process is killed beyond
-    /// `limit` bytes.
+    /// Creates a budget of `capacity` bytes for a process that is killed above `limit` bytes.
     ///
-    /// `draw` is random, from 0 to 1, and sets the level at which this node calls itself not ready.
-    /// The nodes of a data centre thus leave one after another, and half of them never do for their
-    /// memory: balancers fall back to all nodes once half of them are not ready.
+    /// `draw` is random, from 0 to 1, and sets the utilization at which this node reports that it
+    /// is not ready. The nodes of a data centre thus become unready one after another, and half of
+    /// them never do because of memory: load balancers fall back to all nodes once half of them are
+    /// not ready.
     ///
     /// # Examples
     ///
     /// ```
-    /// use keeljunction_core::serving::memory::{MemoryBudget, Requester, Kind};
+    /// use keeljunction_core::serving::memory::{Kind, MemoryBudget, Requester};
     ///
     /// let mut memory = MemoryBudget::new(1_000, 2_500, 0.5);
-    /// let claim = Requester { kind: Kind::RequestBody, account: "acme", urgency: 0 };
-    /// let holder = memory.open(0, &claim);
-    /// assert!(memory.grow(0, holder, 500).is_ok());
-    /// assert!(memory.grow(0, holder, 500).is_err());
-    /// memory.close(0, holder);
+    /// let requester = Requester { kind: Kind::RequestBody, account: "acme", urgency: 0 };
+    /// let reservation = memory.open(0, &requester);
+    /// assert!(memory.grow(0, reservation, 500).is_ok());
+    /// assert!(memory.grow(0, reservation, 500).is_err());
+    /// memory.close(0, reservation);
     /// assert_eq!(memory.get_total(), 0);
     /// ```
     pub fn new(capacity: u64, limit: u64, draw: f64) -> Self {
@@ -63,53 +63,53 @@
             unreserved: 0,
             held: BTreeMap::new(),
             small_held: 0,
-            holders: HashMap::new(),
+            reservations: HashMap::new(),
             shares: HashMap::new(),
             next_id: 0,
             releases: Releases::default(),
-            leaves_at: draw_level(draw),
-            is_short: false,
+            unready_at: draw_unready_level(draw),
+            is_under_pressure: false,
         }
     }
 
-    /// Returns the bytes that are held of a kind.
+    /// Returns the bytes that are reserved for a kind.
     pub fn get_held(&self, kind: Kind) -> u64 {
         self.held.get(&kind).copied().unwrap_or(0)
     }
 
-    /// Returns all bytes that are held.
+    /// Returns all bytes that are reserved.
     pub fn get_total(&self) -> u64 {
         self.held.values().sum()
     }
 
-    /// Begins to count a holder, which holds nothing yet.
-    pub fn open(&mut self, now: Millis, claim: &Requester<'_>) -> ReservationId {
+    /// Opens a reservation without any bytes.
+    pub fn open(&mut self, now: Millis, requester: &Requester<'_>) -> ReservationId {
         let id = ReservationId(self.next_id);
         self.next_id += 1;
-        let holder = Reservation {
-            kind: claim.kind,
-            account: claim.account.to_owned(),
-            urgency: claim.urgency,
+        let reservation = Reservation {
+            kind: requester.kind,
+            account: requester.account.to_owned(),
+            urgency: requester.urgency,
             reserved: 0,
             received: 0,
             progressed_at: now,
-            is_uploading: claim.kind == Kind::RequestBody,
+            is_uploading: requester.kind == Kind::RequestBody,
             is_evicted: false,
-            is_small: claim.kind == Kind::RequestBody,
+            is_small: requester.kind == Kind::RequestBody,
         };
-        self.holders.insert(id, holder);
+        self.reservations.insert(id, reservation);
         id
     }
 
-    /// Reserves more bytes for a holder.
+    /// Adds bytes to a reservation.
     ///
     /// # Errors
     ///
-    /// Returns when to retry where there is no room for them; nothing is reserved then.
+    /// Returns a [`Shortage`] if there is not enough memory; nothing is reserved then.
     pub fn grow(&mut self, now: Millis, id: ReservationId, bytes: u64) -> Result<(), Shortage> {
-        let Some(holder) = self.holders.get(&id) else { return Err(Shortage::default()) };
-        let has_room = self.get_shortfall(now, holder, bytes) == 0;
-        if !has_room || self.is_beyond_share(now, holder, bytes) {
+        let Some(reservation) = self.reservations.get(&id) else { return Err(Shortage::default()) };
+        let has_room = self.get_shortfall(now, reservation, bytes) == 0;
+        if !has_room || self.is_above_share(now, reservation, bytes) {
             return Err(self.refuse(now, id, bytes));
         }
         self.reserve(id, bytes);
@@ -117,58 +117,58 @@
     }
 
     fn reserve(&mut self, id: ReservationId, bytes: u64) {
-        let Some(holder) = self.holders.get_mut(&id) else { return };
-        *self.held.entry(holder.kind).or_default() += bytes;
-        let was_small = holder.is_small;
-        holder.is_small = holder.is_small_with(bytes);
-        if holder.is_small {
+        let Some(reservation) = self.reservations.get_mut(&id) else { return };
+        *self.held.entry(reservation.kind).or_default() += bytes;
+        let was_small = reservation.is_small;
+        reservation.is_small = reservation.is_small_with(bytes);
+        if reservation.is_small {
             self.small_held += bytes;
         } else if was_small {
-            self.small_held -= holder.reserved;
+            self.small_held -= reservation.reserved;
         }
-        holder.reserved += bytes;
-        if holder.kind == Kind::RequestBody {
-            let share = self.shares.entry(holder.account.clone()).or_default();
+        reservation.reserved += bytes;
+        if reservation.kind == Kind::RequestBody {
+            let share = self.shares.entry(reservation.account.clone()).or_default();
             share.held += bytes;
             share.wait = None;
         }
     }
 
-    /// Notes that bytes of a body came.
+    /// Records that bytes of a body arrived.
     pub fn record_received(&mut self, now: Millis, id: ReservationId, bytes: u64) {
-        if let Some(holder) = self.holders.get_mut(&id) {
-            holder.received += bytes;
-            holder.progressed_at = now;
+        if let Some(reservation) = self.reservations.get_mut(&id) {
+            reservation.received += bytes;
+            reservation.progressed_at = now;
         }
     }
 
-    /// Notes that a body is whole: it is not evicted any more.
+    /// Records that a body is complete, so that it can no longer be evicted.
     pub fn complete_upload(&mut self, id: ReservationId) {
-        if let Some(holder) = self.holders.get_mut(&id) {
-            holder.is_uploading = false;
-            // Its memory stays in use for the request, and counts no longer as about to be free.
-            holder.is_evicted = false;
+        if let Some(reservation) = self.reservations.get_mut(&id) {
+            reservation.is_uploading = false;
+            // The request keeps the memory, so it no longer counts as about to be free.
+            reservation.is_evicted = false;
         }
     }
 
-    /// Returns `true` if a holder was picked to make room.
+    /// Returns `true` if a reservation was picked for eviction.
     pub fn is_evicted(&self, id: ReservationId) -> bool {
-        self.holders.get(&id).is_some_and(|holder| holder.is_evicted)
+        self.reservations.get(&id).is_some_and(|reservation| reservation.is_evicted)
     }
 
-    /// Releases some of a holder's bytes.
+    /// Releases some bytes of a reservation.
     pub fn shrink(&mut self, now: Millis, id: ReservationId, bytes: u64) {
-        let Some(holder) = self.holders.get_mut(&id) else { return };
-        let bytes = bytes.min(holder.reserved);
-        holder.reserved -= bytes;
-        if holder.is_small {
+        let Some(reservation) = self.reservations.get_mut(&id) else { return };
+        let bytes = bytes.min(reservation.reserved);
+        reservation.reserved -= bytes;
+        if reservation.is_small {
             self.small_held -= bytes;
         }
-        if let Some(held) = self.held.get_mut(&holder.kind) {
+        if let Some(held) = self.held.get_mut(&reservation.kind) {
             *held -= bytes;
         }
         self.releases.add(now, bytes);
-        let account = (holder.kind == Kind::RequestBody).then(|| holder.account.clone());
+        let account = (reservation.kind == Kind::RequestBody).then(|| reservation.account.clone());
         let Some(account) = account else { return };
         if let Some(share) = self.shares.get_mut(&account) {
             share.held -= bytes;
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Releases all of a holder's bytes and forgets it.
+    /// Releases all bytes of a reservation and removes it.
     pub fn close(&mut self, now: Millis, id: ReservationId) {
         self.shrink(now, id, u64::MAX);
-        self.holders.remove(&id);
+        self.reservations.remove(&id);
     }
 }
--- a/crates/core/src/serving/memory/kind.rs
+++ b/crates/core/src/serving/memory/kind.rs
@@ -1,13 +1,13 @@
-//! What bytes are held for.
+//! The kinds of memory reservations.
 
-/// What bytes are held for.
+/// What bytes are reserved for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// A request's body, until its last attempt has ended.
     RequestBody,
     /// A part of an answer that its caller has not read yet.
     ReadAhead,
-    /// What the node needs to go on serving at all: heads, reports, a drain.
+    /// What the node needs to keep serving: request heads, reports, a drain.
     Control,
 }
 
@@ -15,7 +15,7 @@
     /// All kinds.
     pub const ALL: [Self; 3] = [Self::RequestBody, Self::ReadAhead, Self::Control];
 
-    /// Names the kind in logs and metrics.
+    /// Returns the name of the kind in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RequestBody => "request_body",
--- a/crates/core/src/serving/memory/mod.rs
+++ b/crates/core/src/serving/memory/mod.rs
@@ -1,30 +1,32 @@
-//! How much memory a node may hold for callers and servers, and who gets it when it is short.
+//! The memory budget of a node: how much memory it may hold for callers and servers, and who gets
+//! it under pressure.
 //!
-//! Whoever holds bytes of a request or an answer reserves them first and releases them afterwards.
-//! What is reserved never exceeds the capacity. While it is short,
+//! Every body or answer reserves its bytes before it holds them, and releases them afterwards. The
+//! reservations never exceed the capacity. When the capacity is used up:
 //!
-//! - bodies leave a part to answers under way, these leave one to bodies, and both to control;
-//! - bodies share one pool, of which less urgent ones leave a part to the most urgent; small bodies
-//!   have a pool of their own besides;
-//! - the account that has waited for longest gets what is released first, and one that holds its
-//!   share already gets no more while another one waits;
-//! - an upload that rests is evicted for one that has yet to begin.
+//! - Bodies leave a fraction to answers in progress, answers leave one to bodies, and both leave
+//!   one to control messages.
+//! - Bodies share one pool, in which the less urgent leave a fraction to the most urgent. Small
+//!   bodies have a pool of their own in addition.
+//! - The account that has waited longest gets the memory that is released first. An account that
+//!   holds its share gets no more while another one waits.
+//! - A stalled upload is evicted in favour of a body that has not started yet.
 //!
-//! The process takes more memory than is reserved: for its sockets, and what the allocator keeps.
-//! Samples of its resident memory lower what may be reserved by what they show beyond the sum.
+//! The process uses more memory than is reserved, for its sockets and in its allocator. Samples of
+//! its resident memory reduce the capacity by the memory that is not reserved.
 //!
-//! A node reports each body and read-ahead to the accountant, which decides whether the node is ready.
+//! The budget also decides whether the node is ready.
 //!
-//! | module | holds |
+//! | module | content |
 //! |---|---|
-//! | `budget` | what is reserved, by holder, kind and account |
-//! | `kind` | what bytes are held for |
-//! | `reservation` | who holds them |
-//! | `share` | what each account holds and waits for |
+//! | `budget` | reservations, by kind and account |
+//! | `kind` | what bytes are reserved for |
+//! | `reservation` | one reservation and its owner |
+//! | `share` | the bytes that each account holds and waits for |
 //! | `room` | pools and fair shares |
-//! | `eviction` | refusals, and the uploads that make room |
-//! | `release` | the rate of releases, for `Retry-After` |
-//! | `pressure` | the memory in use, samples, and readiness |
+//! | `eviction` | refusals, and the uploads evicted to make room |
+//! | `release` | the release rate, for `Retry-After` |
+//! | `pressure` | memory usage, samples, and readiness |
 
 mod budget;
 mod eviction;
--- a/crates/core/src/serving/memory/share.rs
+++ b/crates/core/src/serving/memory/share.rs
@@ -1,20 +1,20 @@
-//! What each client account holds and waits for.
+//! The bytes that each client account holds and waits for.
 
-use super::release::MOST_RETRY_AFTER;
+use super::release::MAX_RETRY_AFTER;
 use crate::Millis;
 
 /// How long an account that was refused counts as waiting, in milliseconds: its caller retries
 /// within the longest `Retry-After` and half a second.
-const WAITS_FOR: Millis = MOST_RETRY_AFTER + 500;
+const WAIT_TTL: Millis = MAX_RETRY_AFTER + 500;
 
-/// What an account holds and waits for.
+/// The bytes that an account holds and waits for.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Share {
     pub(super) held: u64,
     pub(super) wait: Option<Wait>,
 }
 
-/// What an account was refused.
+/// A refused growth that an account waits for.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wait {
     pub(super) since: Millis,
@@ -29,9 +29,9 @@
     }
 
     pub(super) fn wait_for(&mut self, now: Millis, bytes: u64) {
-        let before = self.wait.filter(|wait| now < wait.until);
-        let since = before.map_or(now, |wait| wait.since);
-        let bytes = before.map_or(bytes, |wait| wait.bytes.max(bytes));
-        self.wait = Some(Wait { since, until: now + WAITS_FOR, bytes });
+        let earlier = self.wait.filter(|wait| now < wait.until);
+        let since = earlier.map_or(now, |wait| wait.since);
+        let bytes = earlier.map_or(bytes, |wait| wait.bytes.max(bytes));
+        self.wait = Some(Wait { since, until: now + WAIT_TTL, bytes });
     }
 }
