--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -286,7 +286,7 @@
     }
     criterion.bench_function("quarantine, a request beside a full list", |bencher| {
         bencher.iter(|| {
-            black_box(book.get_quarantine_left(2_000, Fingerprint::from_number(8)));
+            black_box(book.get_quarantine_remaining(2_000, Fingerprint::from_number(8)));
             black_box(book.record_completion(2_000, Fingerprint::from_number(8)))
         });
     });
--- a/crates/core/src/serving/quarantine/tracker.rs
+++ b/crates/core/src/serving/quarantine/tracker.rs
@@ -137,8 +137,12 @@
     }
 
     /// Returns the milliseconds for which a request is still refused; `None` where it is served.
-    pub fn get_quarantine_left(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
-        self.list.get_quarantine_left(now, fingerprint)
+    pub fn get_quarantine_remaining(
+        &self,
+        now: Millis,
+        fingerprint: Fingerprint,
+    ) -> Option<Millis> {
+        self.list.get_quarantine_remaining(now, fingerprint)
     }
 
     /// Lists some verdicts for other nodes; each turn gives the next ones.
--- a/crates/core/src/serving/quarantine/verdict_cache.rs
+++ b/crates/core/src/serving/quarantine/verdict_cache.rs
@@ -63,7 +63,11 @@
     }
 
     /// Returns the milliseconds for which a request is still refused; `None` where it is served.
-    pub fn get_quarantine_left(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn get_quarantine_remaining(
+        &self,
+        now: Millis,
+        fingerprint: Fingerprint,
+    ) -> Option<Millis> {
         let verdict = self.get(now, fingerprint)?;
         (verdict.standing == Standing::Quarantined).then_some(verdict.left)
     }
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -46,9 +46,9 @@
         [(1_000, crash(1, &[5, 11])), (2_000, crash(2, &[5, 12])), (3_000, crash(3, &[5, 13]))];
     assert_eq!(judge(&mut keeper, &crashes[..2]), Vec::<u64>::new());
     assert_eq!(judge(&mut keeper, &crashes[2..]), [5]);
-    let refused_for = keeper.get_quarantine_left(4_000, fingerprint(5)).unwrap_or(0);
+    let refused_for = keeper.get_quarantine_remaining(4_000, fingerprint(5)).unwrap_or(0);
     assert!(refused_for > QUARANTINE_PERIOD - 1_000, "{refused_for}");
-    assert_eq!(keeper.get_quarantine_left(4_000, fingerprint(11)), None);
+    assert_eq!(keeper.get_quarantine_remaining(4_000, fingerprint(11)), None);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     // It was running at another server meanwhile.
     let cleared = keeper.merge_completion(4_000, fingerprint(5));
     assert_eq!(cleared.map(|verdict| verdict.standing), Some(Standing::Cleared));
-    assert_eq!(keeper.get_quarantine_left(4_000, fingerprint(5)), None);
+    assert_eq!(keeper.get_quarantine_remaining(4_000, fingerprint(5)), None);
 }
 
 #[test]
@@ -159,10 +159,10 @@
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
     assert_eq!(judge(&mut keeper, &crashes), [5]);
     let later = 3_700 + QUARANTINE_PERIOD;
-    assert_eq!(keeper.get_quarantine_left(later, fingerprint(5)), None);
+    assert_eq!(keeper.get_quarantine_remaining(later, fingerprint(5)), None);
     keeper.merge_report(later, &crash(9, &[5, 11]));
     assert_eq!(list_refused(&keeper.judge(later + SETTLED)), [5]);
-    assert!(keeper.get_quarantine_left(later + SETTLED, fingerprint(5)).is_some());
+    assert!(keeper.get_quarantine_remaining(later + SETTLED, fingerprint(5)).is_some());
 }
 
 #[test]
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -181,7 +181,9 @@
         match self.way {
             Way::EachNode => counted(node),
             Way::Counting => counted(0),
-            Way::Keeper => self.nodes[node].get_quarantine_left(self.now, fingerprint).is_some(),
+            Way::Keeper => {
+                self.nodes[node].get_quarantine_remaining(self.now, fingerprint).is_some()
+            }
         }
     }
 
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -69,7 +69,7 @@
         let fingerprint = Fingerprint::from_number(5);
         let standing = Standing::Quarantined;
         book.merge(SLEEPS_AT, Verdict { fingerprint, service: 1, standing, left: 20_000, servers_crashed: 3 });
-        let left = book.get_quarantine_left(SLEEPS_AT + slept, fingerprint);
+        let left = book.get_quarantine_remaining(SLEEPS_AT + slept, fingerprint);
         prop_assert_eq!(left, 20_000_u64.checked_sub(slept).filter(|left| *left > 0));
     }
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -381,7 +381,7 @@
     /// `None` where it is served.
     pub fn get_quarantine(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
-        self.with(|state| state.quarantine.get_quarantine_left(now, fingerprint))
+        self.with(|state| state.quarantine.get_quarantine_remaining(now, fingerprint))
     }
 
     /// Returns `true` if callers should go to other nodes, for want of memory.
