--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -237,7 +237,7 @@
     }
 
     /// Records whether a region answered the query for the loads of its servers.
-    pub fn record_reply(&mut self, now: Millis, region: &str, is_answered: bool) {
+    pub fn record_response(&mut self, now: Millis, region: &str, is_answered: bool) {
         let unresponsive_until = if is_answered { 0 } else { now + UNRESPONSIVE_PERIOD };
         self.get_or_insert_link(now, region).unresponsive_until = unresponsive_until;
     }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -196,12 +196,12 @@
     let mut links = LinkBudgets::new(8.0);
     assert!(!links.is_unresponsive(0, "b"));
 
-    links.record_reply(100, "b", false);
+    links.record_response(100, "b", false);
     assert!(links.is_unresponsive(1_099, "b"));
     assert!(!links.is_unresponsive(1_100, "b"));
 
-    links.record_reply(1_200, "b", false);
-    links.record_reply(1_300, "b", true);
+    links.record_response(1_200, "b", false);
+    links.record_response(1_300, "b", true);
     assert!(!links.is_unresponsive(1_300, "b"));
 }
 
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -139,7 +139,7 @@
         let listed = list_candidates(node, exchange, is_wide, ramp_draw, is_allowed);
         let is_answered = ask_loads(node, &listed).await;
         if let Some((region, cause)) = place.far {
-            node.with(|state| state.links.record_reply(node.now(), region, is_answered));
+            node.with(|state| state.links.record_response(node.now(), region, is_answered));
             if !is_answered && cause == Cause::Full {
                 return Found::NOTHING;
             }
