--- a/crates/core/src/serving/backpressure/back_offs.rs
+++ b/crates/core/src/serving/backpressure/back_offs.rs
@@ -22,8 +22,8 @@
     /// Records a back-off that a server requested. Returns its end if it is later than the known
     /// one.
     ///
-    /// Nothing ends a back-off early: neither an earlier answer, nor a shorter back-off, nor a
-    /// successful answer.
+    /// Nothing ends a back-off early: neither an earlier response, nor a shorter back-off, nor a
+    /// successful response.
     pub fn record(&mut self, now: Millis, key: InstanceKey, back_off: Millis) -> Option<Millis> {
         let until = now.saturating_add(back_off);
         let known = self.servers.get(&key.server);
--- a/crates/core/src/serving/backpressure/mod.rs
+++ b/crates/core/src/serving/backpressure/mod.rs
@@ -1,4 +1,4 @@
-//! Backpressure: rate limits and back-offs that servers report in their answers.
+//! Backpressure: rate limits and back-offs that servers report in their responses.
 //!
 //! A server may report a rate limit: the requests per second that it accepts from all nodes
 //! together. One node, the server's owner, holds the token bucket of that limit and grants permits
@@ -14,7 +14,7 @@
 //!
 //! | module | content |
 //! |---|---|
-//! | `signal` | the backpressure of one answer |
+//! | `signal` | the backpressure of one response |
 //! | `instance_key` | identifies an incarnation of a server |
 //! | `observation` | a rate limit as nodes gossip it |
 //! | `rate_limits` | rate-limited servers, at each node |
--- a/crates/core/src/serving/backpressure/observation.rs
+++ b/crates/core/src/serving/backpressure/observation.rs
@@ -5,7 +5,7 @@
 use super::InstanceKey;
 use crate::Millis;
 
-/// The rate limit in an answer of a server.
+/// The rate limit in a response of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// The incarnation of the server.
@@ -13,6 +13,6 @@
     /// Requests per second from all nodes together, or `None` if the server no longer reports a
     /// limit.
     pub rate: Option<f64>,
-    /// The time since the answer, in milliseconds.
+    /// The time since the response, in milliseconds.
     pub age: Millis,
 }
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -9,7 +9,7 @@
 use crate::bucket::Bucket;
 use crate::serving::quota::Reach;
 
-/// The lowest rate at which permits are granted, in requests per second: only an answer can show
+/// The lowest rate at which permits are granted, in requests per second: only a response can show
 /// that a limit has ended.
 const MIN_RATE_PER_SECOND: f64 = 0.1;
 /// The burst of a bucket, in seconds of its rate.
@@ -42,7 +42,7 @@
     },
     /// The server no longer reports a limit.
     Unlimited {
-        /// The time since the answer that showed this, in milliseconds.
+        /// The time since the response that showed this, in milliseconds.
         age: Millis,
     },
     /// The node is not the owner.
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -1,12 +1,12 @@
-//! The rate limits of servers, from this node's answers and from other nodes.
+//! The rate limits of servers, from this node's responses and from other nodes.
 
 use std::collections::BTreeMap;
 
 use super::{InstanceKey, Observation};
 use crate::Millis;
 
-/// How long a limit is kept after the last answer that reported it, in milliseconds. An answer
-/// without a limit ends it at once, but a server that gets no requests sends no answers.
+/// How long a limit is kept after the last response that reported it, in milliseconds. A response
+/// without a limit ends it at once, but a server that gets no requests sends no responses.
 const LIMIT_TTL: Millis = 600_000;
 /// How long the end of a limit is remembered, in milliseconds, so that late observations do not
 /// restore the limit.
@@ -32,17 +32,17 @@
     incarnation: u64,
     /// Requests per second, or `None` if the limit has ended.
     rate: Option<f64>,
-    /// When the answer with this limit arrived.
+    /// When the response with this limit arrived.
     seen_at: Millis,
     /// The time until which this node requests no further permit.
     denied_until: Millis,
 }
 
 impl RateLimits {
-    /// Records the limit in an answer to a request that was sent at `sent_at`. Returns an
+    /// Records the limit in a response to a request that was sent at `sent_at`. Returns an
     /// observation if it is news for other nodes.
     ///
-    /// An answer without a limit ends a limit only if its request was sent after the limit was
+    /// A response without a limit ends a limit only if its request was sent after the limit was
     /// seen.
     pub fn record(
         &mut self,
--- a/crates/core/src/serving/backpressure/tracker.rs
+++ b/crates/core/src/serving/backpressure/tracker.rs
@@ -36,7 +36,7 @@
         Self { permits: Permits::new(draw), ..Self::default() }
     }
 
-    /// Records the signal of an answer to a request that was sent at `sent_at`.
+    /// Records the signal of a response to a request that was sent at `sent_at`.
     pub fn record(
         &mut self,
         now: Millis,
--- a/crates/core/src/serving/choice.rs
+++ b/crates/core/src/serving/choice.rs
@@ -9,7 +9,7 @@
 //! server as well. Load is measured in time, so the prompts of slow servers count for more.
 //!
 //! If even the least loaded server would miss the latency objective, the request is refused at
-//! once: a retry that is answered within the objective is better than a late answer, and a refused
+//! once: a retry that is answered within the objective is better than a late response, and a refused
 //! request delays no other.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -28,7 +28,7 @@
     pub server: &'a Server,
     /// The load that all nodes have in flight at the server.
     pub load: Load,
-    /// Whether the server is ejected because of its latest answers.
+    /// Whether the server is ejected because of its latest responses.
     pub is_ejected: bool,
     /// The time the server takes to read a prompt, as a multiple of a typical server's.
     pub slowness: f64,
@@ -109,7 +109,7 @@
 pub enum Choice<'a> {
     /// The server that the request is sent to.
     Server(&'a Server),
-    /// Every server is so busy that the answer would miss its objective; retry after this time in
+    /// Every server is so busy that the response would miss its objective; retry after this time in
     /// milliseconds.
     Busy(Millis),
     /// No server is available.
@@ -139,7 +139,7 @@
     Choice::Server(preferred.unwrap_or(least).server)
 }
 
-/// Returns the time in milliseconds after which to retry, if the answer of the least loaded server
+/// Returns the time in milliseconds after which to retry, if the response of the least loaded server
 /// would miss the objective.
 ///
 /// A request that would miss the objective on an idle server as well is not refused.
--- a/crates/core/src/serving/memory/kind.rs
+++ b/crates/core/src/serving/memory/kind.rs
@@ -5,7 +5,7 @@
 pub enum Kind {
     /// A request's body, until its last attempt has ended.
     RequestBody,
-    /// A part of an answer that its caller has not read yet.
+    /// A part of a response that its caller has not read yet.
     ReadAhead,
     /// What the node needs to keep serving: request heads, reports, a drain.
     Control,
--- a/crates/core/src/serving/memory/reservation.rs
+++ b/crates/core/src/serving/memory/reservation.rs
@@ -24,7 +24,7 @@
     pub urgency: u32,
 }
 
-/// The bytes reserved for a body, an answer or the node itself.
+/// The bytes reserved for a body, a response or the node itself.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     pub(super) kind: Kind,
--- a/crates/core/src/serving/memory/room.rs
+++ b/crates/core/src/serving/memory/room.rs
@@ -8,11 +8,11 @@
 /// The fraction of the capacity that is kept for control messages, so that request heads and
 /// reports still get through, and a drain still completes, while bodies use up the rest.
 pub(super) const CONTROL_FRACTION: f64 = 0.1;
-/// The fraction of the capacity that bodies may hold. The rest is for answers: a request that was
+/// The fraction of the capacity that bodies may hold. The rest is for responses: a request that was
 /// sent to a server has cost more than one that was not.
 pub(super) const MAX_BODY_FRACTION: f64 = 0.7;
-/// The fraction of the capacity that answers may hold: slow readers must not keep out all requests.
-const MAX_ANSWER_FRACTION: f64 = 0.5;
+/// The fraction of the capacity that responses may hold: slow readers must not keep out all requests.
+const MAX_RESPONSE_FRACTION: f64 = 0.5;
 /// The fraction of the bodies' memory that is kept for small bodies: hundreds of them fit in it.
 const SMALL_BODY_FRACTION: f64 = 0.15;
 /// The fraction of the remaining bodies' memory that is kept for bodies of the highest priority.
@@ -32,7 +32,7 @@
             Kind::Control => 0,
             Kind::ReadAhead => {
                 let held = self.get_held(Kind::ReadAhead).saturating_add(bytes);
-                held.saturating_sub((capacity * MAX_ANSWER_FRACTION) as u64)
+                held.saturating_sub((capacity * MAX_RESPONSE_FRACTION) as u64)
             }
             Kind::RequestBody => self.get_body_shortfall(now, reservation, bytes),
         };
--- a/crates/core/src/serving/quarantine/completed_requests.rs
+++ b/crates/core/src/serving/quarantine/completed_requests.rs
@@ -1,43 +1,45 @@
-//! Requests that were answered whole.
+//! Requests that were completed recently.
 
 use super::Fingerprint;
 use crate::Millis;
 
-/// How long a whole answer shows that a request does not crash servers, in milliseconds: callers repeat
-/// a popular request many times in a minute, and a version of the servers that it does crash may start
-/// at any time.
-pub(super) const SHOWN_FOR: Millis = 60_000;
-/// Places in the table; 49 KB. A node of the two-year size answers some 400 requests a minute.
-const PLACES: usize = 2_048;
+/// How long a completed response shows that a request does not crash servers, in milliseconds.
+/// Callers repeat a popular request many times per minute, and a version of the servers that it
+/// does crash may start at any time.
+pub(super) const COMPLETION_TTL: Millis = 60_000;
+/// Slots in the table; 49 KB. At the size planned for in two years, a node responses some 400
+/// requests per minute.
+const CAPACITY: usize = 2_048;
 
-/// Remembers which requests were answered whole lately.
+/// Remembers the requests that were completed recently.
 ///
-/// Each fingerprint has one place, which another one may take: a request that is repeated comes back into
-/// its place, so that the popular ones are known. Time and memory do not depend on the requests.
+/// Each fingerprint has one slot, which another fingerprint may take over. A repeated request
+/// returns to its slot, so that popular requests stay known. Time and memory do not depend on the
+/// requests.
 #[derive(Clone, Debug)]
 pub struct CompletedRequests {
-    places: Vec<Option<(Fingerprint, Millis)>>,
+    slots: Vec<Option<(Fingerprint, Millis)>>,
 }
 
 impl Default for CompletedRequests {
     fn default() -> Self {
-        Self { places: vec![None; PLACES] }
+        Self { slots: vec![None; CAPACITY] }
     }
 }
 
 impl CompletedRequests {
-    /// Notes that a request was answered whole.
+    /// Records that a request was completed.
     pub fn record(&mut self, now: Millis, fingerprint: Fingerprint) {
-        self.places[place_of(fingerprint)] = Some((fingerprint, now));
+        self.slots[get_slot(fingerprint)] = Some((fingerprint, now));
     }
 
-    /// Returns `true` if the request was answered whole lately.
+    /// Returns `true` if the request was completed recently.
     pub fn is_known(&self, now: Millis, fingerprint: Fingerprint) -> bool {
-        let known = self.places[place_of(fingerprint)];
-        known.is_some_and(|(known, at)| known == fingerprint && now < at + SHOWN_FOR)
+        let known = self.slots[get_slot(fingerprint)];
+        known.is_some_and(|(known, at)| known == fingerprint && now < at + COMPLETION_TTL)
     }
 }
 
-fn place_of(fingerprint: Fingerprint) -> usize {
-    fingerprint.get_number() as usize % PLACES
+fn get_slot(fingerprint: Fingerprint) -> usize {
+    fingerprint.get_number() as usize % CAPACITY
 }
--- a/crates/core/src/serving/quarantine/fingerprint.rs
+++ b/crates/core/src/serving/quarantine/fingerprint.rs
@@ -1,22 +1,22 @@
-//! Names the content of a request.
+//! Identifies the content of a request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Names the content of a request: the same caller that sends the same body to the same path gives
-/// the same fingerprint at each node, whatever id the request bears.
+/// Identifies the content of a request: the same caller that sends the same body to the same path
+/// has the same fingerprint at every node, whatever the request's id.
 ///
-/// It is a hash of 64 bits: with the few hundred that are remembered at a time, one request in some
-/// 10^16 is taken for another.
+/// The fingerprint is a 64-bit hash. With a few hundred remembered at a time, one request in some
+/// 10^16 is mistaken for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
-/// What of a request its fingerprint is made of.
+/// The content that a fingerprint is computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
-    /// The client account; empty where the route needs none.
+    /// The client account, or an empty string if the route needs none.
     pub account: &'a str,
     /// The host.
     pub host: &'a str,
@@ -35,7 +35,7 @@
         Self(xxh3_64_with_seed(content.body, path))
     }
 
-    /// Makes the fingerprint with a number.
+    /// Creates a fingerprint from its number.
     pub fn from_number(number: u64) -> Self {
         Self(number)
     }
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -1,27 +1,28 @@
-//! Which requests crash the servers that run them, and are refused for it.
+//! Finds the requests that crash the servers that run them, and quarantines them.
 //!
-//! A request may crash each server that begins it: its content meets a fault of the server's program. Its
-//! caller repeats it under a new id, at any node, so that one such request may crash all servers of a service
-//! again and again. Requests that merely ran beside it are cut off with the same servers, and many requests are cut off at
-//! once where a data centre is lost.
+//! A request may crash every server that starts it, because its content triggers a bug in the
+//! server's program. Its caller retries it under a new id at any node, so a single request can
+//! crash all servers of a service again and again. Requests that merely ran next to it are cut off
+//! with the same servers, and many requests are cut off at once when a data centre is lost.
 //!
-//! Each node reports crashes of servers that it notices, with the fingerprints of its requests that were
-//! cut off there, to the aggregator that owns the service. That one, the keeper, sees all requests that
-//! ran at a server when it crashed, and looks for the fewest requests that explain the crashes (`crash_analyzer`).
-//! What it decides goes to all nodes, which refuse the request from then on.
+//! Each node reports the server crashes that it notices, with the fingerprints of its interrupted
+//! requests, to the aggregator that owns the service. This owner sees all requests that ran at a
+//! server when it crashed, and looks for the smallest set of requests that explains the crashes
+//! (`crash_analyzer`). Its verdicts are gossiped to all nodes, which refuse quarantined requests
+//! from then on.
 //!
-//! | module | does |
+//! | module | content |
 //! |---|---|
-//! | `fingerprint` | names the content of a request |
-//! | `report` | says what a node reports of a crash, and repeats it until its keeper has it |
-//! | `crash_analyzer` | decides, at the keeper, which request crashes servers |
-//! | `verdict` | says what was decided of a request |
-//! | `verdict_cache` | holds what was decided, at each node |
-//! | `tracker` | holds all of it, at each node |
-//! | `completed_requests` | remembers requests that were answered whole |
+//! | `fingerprint` | identifies the content of a request |
+//! | `report` | the report of a crash, and its resending until the owner has it |
+//! | `crash_analyzer` | decides, at the owner, which request crashes servers |
+//! | `verdict` | the decision on a request |
+//! | `verdict_cache` | the verdicts that a node knows |
+//! | `tracker` | the whole quarantine state of a node |
+//! | `completed_requests` | requests that were completed recently |
 //!
-//! All of it is bounded and forgotten with time. A keeper that ends loses its evidence; the nodes report
-//! to the next one what they reported within the last minute.
+//! All state is bounded and expires. An owner that stops loses its evidence; the nodes send the
+//! next owner the reports of the last minute.
 
 mod completed_requests;
 mod crash_analyzer;
@@ -41,11 +42,14 @@
 
 use crate::Millis;
 
-/// How long after the first piece of its answer a request is still suspected where its server crashes, in
-/// milliseconds. A request that crashes a server does so when the server begins to run it: in 19 crashes of a
-/// recorded day that had one request in common, its first piece had not come. Long streams beside it are
-/// not suspected.
+/// How long after the first byte of its response a request is still suspected if its server
+/// crashes, in milliseconds.
+///
+/// A request that crashes a server does so when the server starts to run it: in 19 crashes of a
+/// recorded day that had one request in common, its response had not started. Long streams next to
+/// it are not suspected.
 pub const SUSPICION_PERIOD: Millis = 1_000;
-/// How long a request is refused, in milliseconds: a caller that repeats it costs three servers in ten
-/// minutes at the most, and a request that a new version of the servers can run waits no longer.
+/// How long a request is quarantined, in milliseconds. A caller that retries it thus costs at most
+/// three servers in ten minutes, and a request that a new version of the servers can run waits no
+/// longer than this.
 pub const QUARANTINE_PERIOD: Millis = 600_000;
--- a/crates/core/src/serving/quarantine/report.rs
+++ b/crates/core/src/serving/quarantine/report.rs
@@ -1,4 +1,4 @@
-//! What a node reports of a server that crashed.
+//! A node's report of a server crash.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,80 +8,81 @@
 use super::Fingerprint;
 use crate::Millis;
 
-/// How long reports are kept for a keeper that takes the place of another, in milliseconds: as long as
-/// nodes believe that one which is silent may come back.
-const KEPT_FOR: Millis = 60_000;
-/// The most reports that are kept: the crashes of all servers of a large data centre.
-const MOST_KEPT: usize = 128;
-/// How often each report is sent to a keeper: datagrams get lost.
-const TIMES_SENT: u32 = 3;
+/// How long reports are kept for the next owner of the service, in milliseconds: as long as nodes
+/// believe that a silent node may come back.
+const REPORT_TTL: Millis = 60_000;
+/// The number of reports that are kept: the crashes of all servers of a large data centre.
+const OUTBOX_CAPACITY: usize = 128;
+/// How often each report is sent to an owner, since datagrams get lost.
+const MAX_SENDS: u32 = 3;
 
-/// A request that was cut off where a server crashed. Its time is a span, since nodes' clocks differ.
+/// A request that was cut off by a server crash. Its time is a duration, since the clocks of nodes
+/// differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InterruptedRequest {
-    /// Names the request's content.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Milliseconds between its being sent to the server and the server's crash.
+    /// Milliseconds between the dispatch of the request and the crash of the server.
     pub ran_for: Millis,
 }
 
-/// A server that crashed, with the requests of one node that were cut off there.
+/// The crash of a server, with one node's requests that it interrupted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The short name of the service.
+    /// The short id of the service.
     pub service: u64,
-    /// The short name of the server.
+    /// The short id of the server.
     pub server: u64,
     /// Milliseconds since the crash.
     pub age: Millis,
-    /// The requests.
+    /// The interrupted requests.
     pub runs: Vec<InterruptedRequest>,
 }
 
-/// The crashes that this node has noticed, until their keepers have them.
+/// The crashes that this node noticed, until the owners of their services have them.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
-    kept: VecDeque<Kept>,
+    pending: VecDeque<Pending>,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct Pending {
     crash: Crash,
     crashed_at: Millis,
-    /// Whom it was sent to last; `None` for this node itself.
-    keeper: Option<SocketAddr>,
-    times_sent: u32,
+    /// The owner it was last sent to, or `None` for this node itself.
+    owner: Option<SocketAddr>,
+    sends: u32,
 }
 
 impl Outbox {
-    /// Takes a report that is to be sent.
+    /// Adds a report to be sent.
     pub fn push(&mut self, now: Millis, crash: Crash) {
-        if self.kept.len() == MOST_KEPT {
-            self.kept.pop_front();
+        if self.pending.len() == OUTBOX_CAPACITY {
+            self.pending.pop_front();
         }
         let crashed_at = now.saturating_sub(crash.age);
-        self.kept.push_back(Kept { crash, crashed_at, keeper: None, times_sent: 0 });
+        self.pending.push_back(Pending { crash, crashed_at, owner: None, sends: 0 });
     }
 
-    /// Takes out what is to be sent now, with the address of its keeper, or without where this node
-    /// keeps it itself. `find_keeper` gives that address for the short name of a service.
+    /// Returns the reports to send now, with the address of their owner, or with `None` if this
+    /// node is the owner. `find_owner` returns that address for the short id of a service.
     pub fn take_due(
         &mut self,
         now: Millis,
-        find_keeper: impl Fn(u64) -> Option<SocketAddr>,
+        find_owner: impl Fn(u64) -> Option<SocketAddr>,
     ) -> Vec<(Option<SocketAddr>, Crash)> {
-        self.kept.retain(|kept| now < kept.crashed_at + KEPT_FOR);
+        self.pending.retain(|pending| now < pending.crashed_at + REPORT_TTL);
         let mut due = Vec::new();
-        for kept in &mut self.kept {
-            let keeper = find_keeper(kept.crash.service);
-            if keeper != kept.keeper {
-                kept.keeper = keeper;
-                kept.times_sent = 0;
+        for pending in &mut self.pending {
+            let owner = find_owner(pending.crash.service);
+            if owner != pending.owner {
+                pending.owner = owner;
+                pending.sends = 0;
             }
-            if kept.times_sent < TIMES_SENT {
-                kept.times_sent += 1;
-                let age = now.saturating_sub(kept.crashed_at);
-                due.push((keeper, Crash { age, ..kept.crash.clone() }));
+            if pending.sends < MAX_SENDS {
+                pending.sends += 1;
+                let age = now.saturating_sub(pending.crashed_at);
+                due.push((owner, Crash { age, ..pending.crash.clone() }));
             }
         }
         due
--- a/crates/core/src/serving/quarantine/tracker.rs
+++ b/crates/core/src/serving/quarantine/tracker.rs
@@ -1,122 +1,122 @@
-//! All that a node knows of requests that crash servers.
+//! The quarantine state of a node.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use super::completed_requests::SHOWN_FOR;
+use super::completed_requests::COMPLETION_TTL;
 use super::{
     CompletedRequests, Crash, CrashAnalyzer, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
 };
 use crate::Millis;
 
-/// The most verdicts that wait to be written to the platform's table.
-const MOST_UNSAVED: usize = 64;
+/// The number of verdicts that wait to be written to the table service.
+const UNSAVED_CAPACITY: usize = 64;
 
-/// All that a node knows of requests that crash servers.
+/// Tracks the requests that crash servers, at one node.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
-    list: VerdictCache,
-    answered: CompletedRequests,
+    verdicts: VerdictCache,
+    completed: CompletedRequests,
     outbox: Outbox,
-    evidence: CrashAnalyzer,
-    /// Verdicts of this node, as the keeper, that the platform's table does not hold yet.
+    analyzer: CrashAnalyzer,
+    /// Verdicts of this node, as the owner, that the table service does not have yet.
     unsaved: VecDeque<Verdict>,
 }
 
-/// What came of a verdict that another node sent.
+/// The outcome of merging a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Whether it is news, to be passed on.
+    /// Whether the verdict is news, to be gossiped on.
     pub is_news: bool,
-    /// Whether this node has answered the request whole, which the keeper must be notified of.
+    /// Whether this node completed the request, which the owner must be told.
     pub is_answered_here: bool,
 }
 
 impl Tracker {
-    /// Notes that a server crashed under requests of this node. Those that were answered whole lately do
-    /// not crash servers.
+    /// Records that a server crashed while it ran requests of this node. Requests that were
+    /// completed recently do not crash servers and are left out.
     pub fn record_crash(&mut self, now: Millis, mut crash: Crash) {
-        crash.runs.retain(|run| !self.answered.is_known(now, run.fingerprint));
+        crash.runs.retain(|run| !self.completed.is_known(now, run.fingerprint));
         if !crash.runs.is_empty() {
             self.outbox.push(now, crash);
         }
     }
 
-    /// Takes out the reports that are to be sent to their keepers now. `find_keeper` gives the address for
-    /// the short name of a service, or `None` where this node keeps the evidence itself.
+    /// Returns the reports to send to the owners of their services now. `find_owner` returns the
+    /// owner's address for the short id of a service, or `None` if this node is the owner.
     pub fn take_due(
         &mut self,
         now: Millis,
-        find_keeper: impl Fn(u64) -> Option<SocketAddr>,
+        find_owner: impl Fn(u64) -> Option<SocketAddr>,
     ) -> Vec<(SocketAddr, Crash)> {
-        let due = self.outbox.take_due(now, find_keeper);
+        let due = self.outbox.take_due(now, find_owner);
         let mut to_send = Vec::new();
-        for (keeper, crash) in due {
-            match keeper {
-                Some(keeper) => to_send.push((keeper, crash)),
-                None => self.evidence.record(now, &crash, &self.answered),
+        for (owner, crash) in due {
+            match owner {
+                Some(owner) => to_send.push((owner, crash)),
+                None => self.analyzer.record(now, &crash, &self.completed),
             }
         }
         to_send
     }
 
-    /// Takes a report, as the keeper.
+    /// Merges a report, as the owner.
     pub fn merge_report(&mut self, now: Millis, crash: &Crash) {
-        self.evidence.record(now, crash, &self.answered);
+        self.analyzer.record(now, crash, &self.completed);
     }
 
-    /// Notes that a server answered a request whole at this node; returns the short name of its service
-    /// where the keeper must be notified, once.
+    /// Records that a server completed a request of this node. Returns the short id of its service
+    /// if the owner must be told, which happens once.
     pub fn record_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
-        self.answered.record(now, fingerprint);
-        let verdict = self.list.get(now, fingerprint)?;
+        self.completed.record(now, fingerprint);
+        let verdict = self.verdicts.get(now, fingerprint)?;
         if verdict.standing == Standing::Cleared {
             return None;
         }
-        self.list.merge(now, clear(verdict));
+        self.verdicts.merge(now, clear(verdict));
         Some(verdict.service)
     }
 
-    /// Takes the word of a node that a request was answered whole, as the keeper; returns the verdict
-    /// that all nodes are notified of.
+    /// Merges a node's notice that a request was completed, as the owner. Returns the verdict to
+    /// send to all nodes.
     pub fn merge_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<Verdict> {
-        self.answered.record(now, fingerprint);
-        if !self.evidence.record_completion(fingerprint) {
+        self.completed.record(now, fingerprint);
+        if !self.analyzer.record_completion(fingerprint) {
             return None;
         }
-        let known = self.list.get(now, fingerprint)?;
+        let known = self.verdicts.get(now, fingerprint)?;
         let cleared = clear(known);
-        self.list.merge(now, cleared);
+        self.verdicts.merge(now, cleared);
         if known.standing == Standing::Quarantined {
             self.save(cleared);
         }
         Some(cleared)
     }
 
-    /// Keeps a verdict to be written to the platform's table. Without it the request would be judged
-    /// anew after a restart of all nodes, so that the oldest are dropped where there are too many.
+    /// Queues a verdict to be written to the table service. If there are too many, the oldest are
+    /// dropped: such a request would be judged anew after a restart of all nodes.
     pub fn save(&mut self, verdict: Verdict) {
-        if self.unsaved.len() == MOST_UNSAVED {
+        if self.unsaved.len() == UNSAVED_CAPACITY {
             self.unsaved.pop_front();
         }
         self.unsaved.push_back(verdict);
     }
 
-    /// Keeps all requests that are refused to be written to the platform's table again, which has lost rows.
+    /// Queues all quarantined requests to be written again, to a table service that has lost rows.
     pub fn save_all(&mut self, now: Millis) {
-        let refused: Vec<Verdict> = self.list.iter_quarantined(now).collect();
-        refused.into_iter().for_each(|verdict| self.save(verdict));
+        let quarantined: Vec<Verdict> = self.verdicts.iter_quarantined(now).collect();
+        quarantined.into_iter().for_each(|verdict| self.save(verdict));
     }
 
-    /// Takes out the next verdict that is to be written to the platform's table.
+    /// Returns the next verdict to be written to the table service.
     pub fn take_unsaved(&mut self) -> Option<Verdict> {
         self.unsaved.pop_front()
     }
 
-    /// Decides, as the keeper, which requests are suspected or refused from now on.
+    /// Decides, as the owner, which requests become suspected or quarantined.
     pub fn judge(&mut self, now: Millis) -> Vec<Verdict> {
-        let mut verdicts = self.evidence.judge(now);
-        verdicts.retain(|verdict| self.list.merge(now, *verdict));
+        let mut verdicts = self.analyzer.judge(now);
+        verdicts.retain(|verdict| self.verdicts.merge(now, *verdict));
         for verdict in &verdicts {
             if verdict.standing == Standing::Quarantined {
                 self.save(*verdict);
@@ -125,37 +125,38 @@
         verdicts
     }
 
-    /// Takes over a verdict of another node, or of the platform's table.
+    /// Merges a verdict of another node or of the table service.
     pub fn merge(&mut self, now: Millis, verdict: Verdict) -> MergeOutcome {
-        let is_answered_here = self.answered.is_known(now, verdict.fingerprint);
-        let is_news = self.list.merge(now, verdict);
+        let is_answered_here = self.completed.is_known(now, verdict.fingerprint);
+        let is_news = self.verdicts.merge(now, verdict);
         if is_news {
-            self.evidence.note_refused(now, &verdict);
+            self.analyzer.record_quarantined(now, &verdict);
         }
-        let is_doubted = is_news && verdict.standing != Standing::Cleared;
-        MergeOutcome { is_news, is_answered_here: is_answered_here && is_doubted }
+        let is_accusation = is_news && verdict.standing != Standing::Cleared;
+        MergeOutcome { is_news, is_answered_here: is_answered_here && is_accusation }
     }
 
-    /// Returns the milliseconds for which a request is still refused; `None` where it is served.
+    /// Returns the milliseconds for which a request is still quarantined, or `None` if it is
+    /// served.
     pub fn get_quarantine_remaining(
         &self,
         now: Millis,
         fingerprint: Fingerprint,
     ) -> Option<Millis> {
-        self.list.get_quarantine_remaining(now, fingerprint)
+        self.verdicts.get_quarantine_remaining(now, fingerprint)
     }
 
-    /// Lists some verdicts for other nodes; each turn gives the next ones.
+    /// Returns the next batch of verdicts to gossip.
     pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Verdict> {
-        self.list.get_gossip_batch(now, turn)
+        self.verdicts.get_gossip_batch(now, turn)
     }
 
-    /// Counts the requests that are refused.
+    /// Returns the number of quarantined requests.
     pub fn count_quarantined(&self, now: Millis) -> usize {
-        self.list.count_quarantined(now)
+        self.verdicts.count_quarantined(now)
     }
 }
 
 fn clear(verdict: Verdict) -> Verdict {
-    Verdict { standing: Standing::Cleared, left: SHOWN_FOR, ..verdict }
+    Verdict { standing: Standing::Cleared, left: COMPLETION_TTL, ..verdict }
 }
--- a/crates/core/src/serving/quarantine/verdict.rs
+++ b/crates/core/src/serving/quarantine/verdict.rs
@@ -1,23 +1,24 @@
-//! What was decided of a request.
+//! The decision on a request.
 
 use serde::{Deserialize, Serialize};
 
 use super::Fingerprint;
 use crate::Millis;
 
-/// Whether a request crashes servers, in the order in which one takes precedence over another.
+/// Whether a request crashes servers. A later standing takes precedence over an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Standing {
-    /// Two servers crashed under it. It is served; a node that has its whole answer says so.
+    /// Two servers crashed while they ran it. It is still served, and a node that completed it says
+    /// so.
     Suspected,
-    /// It crashes servers, and is refused.
+    /// It crashes servers and is refused.
     Quarantined,
-    /// A server has answered it whole: it does not crash servers.
+    /// A server completed it, so it does not crash servers.
     Cleared,
 }
 
 impl Standing {
-    /// Names the standing in logs.
+    /// Returns the name of the standing in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Suspected => "suspected",
@@ -27,17 +28,17 @@
     }
 }
 
-/// What the keeper of a service decided of a request.
+/// The decision of a service's owner on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Names the request's content.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The short name of the service.
+    /// The short id of the service.
     pub service: u64,
-    /// What was decided.
+    /// The decision.
     pub standing: Standing,
-    /// Milliseconds for which it still holds.
+    /// Milliseconds for which the verdict still holds.
     pub left: Millis,
-    /// Servers that crashed under the request, one after the other.
+    /// Servers that crashed one after the other while they ran the request.
     pub servers_crashed: u32,
 }
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -5,7 +5,7 @@
 //! request spills only if its own region is full or has no server, if it can still meet its
 //! objective after the round trips, and if the link's budget allows it.
 //!
-//! Each node has an equal share of its region's budget. The budget covers the requests and answers
+//! Each node has an equal share of its region's budget. The budget covers the requests and responses
 //! themselves, in both directions; messages between nodes use the rest of the link.
 //!
 //! A deployment with a single region never gets past [`Offer::get_cause`].
@@ -17,14 +17,14 @@
 use crate::Millis;
 use crate::bucket::Bucket;
 
-/// Round trips from the choice of a remote server to the first byte of its answer: one for a new
+/// Round trips from the choice of a remote server to the first byte of its response: one for a new
 /// connection and one for the request. Few requests spill, so an idle connection is often closed by
 /// then.
 const REQUEST_ROUND_TRIPS: u64 = 2;
 /// Round trips of the query for the loads of remote servers.
 const QUERY_ROUND_TRIPS: u64 = 1;
-/// How long a region that did not answer is not queried, in milliseconds. A request that waits for
-/// a missing answer may miss its objective, and a partitioned region stays unreachable for seconds.
+/// How long a region that did not response is not queried, in milliseconds. A request that waits for
+/// a missing response may miss its objective, and a partitioned region stays unreachable for seconds.
 const UNRESPONSIVE_PERIOD: Millis = 1_000;
 /// The `Retry-After` if there is no budget at all, in milliseconds. The budget does not recover, so
 /// callers come back for servers of their own region: a list of servers takes about this long to
@@ -124,7 +124,7 @@
 }
 
 impl RemotePath {
-    /// Returns the time from now to the first byte of the answer, without the server's own
+    /// Returns the time from now to the first byte of the response, without the server's own
     /// processing time.
     pub fn get_travel_time(&self) -> Millis {
         let query = if self.is_load_requested { QUERY_ROUND_TRIPS } else { 0 };
@@ -135,7 +135,7 @@
     /// Returns `true` if an idle server of the other region serves the request in time.
     ///
     /// If the own region is full, this means within the objective, since a retry may find a free
-    /// server at home. If it has no server, this means before the caller gives up: a late answer is
+    /// server at home. If it has no server, this means before the caller gives up: a late response is
     /// better than none.
     pub fn is_in_time(&self, criteria: &Criteria, cause: Cause) -> bool {
         let reading = criteria.estimate_idle().unwrap_or(0);
@@ -219,9 +219,9 @@
         Err(((deficit / share * 1_000.0).ceil() as Millis).saturating_add(1))
     }
 
-    /// Charges bytes of a request or its answer that were sent to or received from a region.
+    /// Charges bytes of a request or its response that were sent to or received from a region.
     ///
-    /// Answers are charged as they arrive: the budget may become negative, and must recover before
+    /// Responses are charged as they arrive: the budget may become negative, and must recover before
     /// another request spills.
     pub fn count(&mut self, now: Millis, region: &str, bytes: usize) {
         self.get_or_insert_link(now, region).bytes.available -= bytes as f64;
@@ -242,7 +242,7 @@
         self.get_or_insert_link(now, region).unresponsive_until = unresponsive_until;
     }
 
-    /// Returns `true` if a region did not answer its latest query, a short time ago.
+    /// Returns `true` if a region did not response its latest query, a short time ago.
     pub fn is_unresponsive(&self, now: Millis, region: &str) -> bool {
         self.by_region.get(region).is_some_and(|link| now < link.unresponsive_until)
     }
