--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::Millis;
-use crate::rumor::Queue;
+use crate::gossip::TransmitQueue;
 
 /// How long a departure is remembered after the VM should be gone, in milliseconds.
 const MEMORY_MS: Millis = 600_000;
@@ -30,7 +30,7 @@
     /// The server's name.
     pub server: String,
     /// When its VM is gone, on the reader's clock.
-    pub until: Millis,
+    pub gone_at: Millis,
 }
 
 /// The backend servers that a node knows.
@@ -38,7 +38,7 @@
 pub struct Directory {
     servers: BTreeMap<String, Server>,
     departures: BTreeMap<String, Millis>,
-    news: Queue<Departure>,
+    news: TransmitQueue<Departure>,
 }
 
 impl Directory {
@@ -48,7 +48,7 @@
     }
 
     /// Takes the VM list in: all backend servers, in place of those known.
-    pub fn set_listed(&mut self, now: Millis, listed: impl Iterator<Item = Server>) {
+    pub fn set_servers(&mut self, now: Millis, listed: impl Iterator<Item = Server>) {
         self.servers = listed.map(|server| (server.name.clone(), server)).collect();
         self.departures.retain(|_, until| now < *until + MEMORY_MS);
     }
@@ -61,14 +61,14 @@
     /// Merges a departure; returns `true` if it was new.
     ///
     /// The earliest end that was heard of counts.
-    pub fn depart(&mut self, departure: &Departure) -> bool {
+    pub fn add_departure(&mut self, departure: &Departure) -> bool {
         let known = self.departures.get(&departure.server).copied();
         if let Some(until) = known {
-            let earliest = until.min(departure.until);
+            let earliest = until.min(departure.gone_at);
             self.departures.insert(departure.server.clone(), earliest);
             return false;
         }
-        self.departures.insert(departure.server.clone(), departure.until);
+        self.departures.insert(departure.server.clone(), departure.gone_at);
         self.news.push(&departure.server, departure.clone());
         true
     }
@@ -79,7 +79,7 @@
     }
 
     /// Returns when a leaving server's VM is gone.
-    pub fn get_until(&self, server: &str) -> Option<Millis> {
+    pub fn get_gone_at(&self, server: &str) -> Option<Millis> {
         self.departures.get(server).copied()
     }
 
@@ -94,12 +94,12 @@
     }
 
     /// Walks the servers of a service.
-    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
+    pub fn iter_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         self.servers.values().filter(move |server| server.service == service)
     }
 
     /// Takes up to `most` pieces of news for one message among `nodes` nodes.
-    pub fn take_news(&mut self, most: usize, nodes: usize) -> Vec<Departure> {
+    pub fn take_updates(&mut self, most: usize, nodes: usize) -> Vec<Departure> {
         self.news.take(most, nodes)
     }
 }
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Index, Server};
+use super::{PrefixIndex, Server};
 use crate::Millis;
 
 /// A prompt with more uncached tokens than this is long.
@@ -18,7 +18,7 @@
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct Request<'a> {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Hashes of the prompt's blocks.
@@ -47,9 +47,9 @@
 pub fn choose(
     now: Millis,
     servers: &[Server],
-    index: &Index,
+    index: &PrefixIndex,
     prefill_per_second: u64,
-    demand: &Demand<'_>,
+    demand: &Request<'_>,
 ) -> Option<Choice> {
     let mean = mean_load(now, servers);
     let candidates = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, demand));
@@ -77,17 +77,17 @@
     /// The least expected first-token time, by [`choose`].
     #[default]
     Expected,
-    /// The less loaded of two random ones, by [`choose_two`]: a baseline.
+    /// The less loaded of two random ones, by [`choose_less_loaded`]: a baseline.
     TwoChoices,
-    /// One after the other, by [`choose_next`]: a baseline.
+    /// One after the other, by [`choose_round_robin`]: a baseline.
     RoundRobin,
 }
 
 /// Chooses the next server with room after the last one chosen.
-pub fn choose_next(
+pub fn choose_round_robin(
     now: Millis,
     servers: &[Server],
-    demand: &Demand<'_>,
+    demand: &Request<'_>,
     last: usize,
 ) -> Option<Choice> {
     let count = servers.len();
@@ -97,10 +97,10 @@
 }
 
 /// Chooses the less loaded of two random servers: the baseline that [`choose`] is measured against.
-pub fn choose_two(
+pub fn choose_less_loaded(
     now: Millis,
     servers: &[Server],
-    demand: &Demand<'_>,
+    demand: &Request<'_>,
     random: &mut fastrand::Rng,
 ) -> Option<Choice> {
     let fit = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, demand));
@@ -115,7 +115,7 @@
     Some(Choice { index, cached_tokens: 0, expected_ms: 0 })
 }
 
-fn has_room(now: Millis, server: &Server, demand: &Demand<'_>) -> bool {
+fn has_room(now: Millis, server: &Server, demand: &Request<'_>) -> bool {
     let reserve = if demand.priority == 0 { 0 } else { server.limit / URGENT_RESERVE_DIVISOR };
     let has_failed = server.failed_at.is_some_and(|at| now < at + FAILURE_PAUSE_MS);
     !server.is_leaving
--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -6,8 +6,8 @@
 
 use super::InstanceKey;
 use crate::Millis;
-use crate::bucket::Bucket;
-use crate::serving::quota::Reach;
+use crate::bucket::TokenBucket;
+use crate::serving::quota::Reachability;
 
 /// The lowest rate at which permits are granted, in requests per second: only a response can show
 /// that a limit has ended.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Pool {
     incarnation: u64,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Nodes that were denied and have not been granted a permit since.
     queued: u32,
     /// The turn of the last queued node.
@@ -81,12 +81,18 @@
     /// A node that hears only a fraction of the others grants only that fraction of the rate: the
     /// rest may have another owner. A bucket starts empty, because another node may have granted
     /// permits until now.
-    pub fn decide(&mut self, now: Millis, key: InstanceKey, rate: f64, reach: Reach) -> Decision {
+    pub fn decide(
+        &mut self,
+        now: Millis,
+        key: InstanceKey,
+        rate: f64,
+        reach: Reachability,
+    ) -> Decision {
         let fraction = reach.get_fraction();
         let rate = rate.max(MIN_RATE_PER_SECOND) * fraction;
         let pool = self.get_pool(now, key, -self.draw * (1.0 - fraction));
         pool.used_at = now;
-        pool.bucket.set(now, rate, (rate * BURST_SECONDS).max(MIN_BURST_PERMITS));
+        pool.bucket.set_limits(now, rate, (rate * BURST_SECONDS).max(MIN_BURST_PERMITS));
         match pool.bucket.take(now) {
             Ok(()) => {
                 pool.queued = pool.queued.saturating_sub(1);
@@ -113,7 +119,7 @@
     fn get_pool(&mut self, now: Millis, key: InstanceKey, level: f64) -> &mut Pool {
         let new_pool = Pool {
             incarnation: key.incarnation,
-            bucket: Bucket::new(now, level),
+            bucket: TokenBucket::new(now, level),
             queued: 0,
             last_turn: now,
             used_at: now,
--- a/crates/core/src/serving/backpressure/tracker.rs
+++ b/crates/core/src/serving/backpressure/tracker.rs
@@ -5,7 +5,7 @@
 use super::{BackOffs, Decision, InstanceKey, Observation, Permits, RateLimits, Signal};
 use crate::Millis;
 use crate::serving::directory::Server;
-use crate::serving::quota::Reach;
+use crate::serving::quota::Reachability;
 
 /// The number of servers with unreadable headers that are remembered.
 const UNREADABLE_CAPACITY: usize = 1_024;
@@ -78,7 +78,7 @@
     }
 
     /// Decides on a request to a server, as its owner. `observation` is the requesting node's.
-    pub fn decide(&mut self, now: Millis, observation: &Observation, reach: Reach) -> Decision {
+    pub fn decide(&mut self, now: Millis, observation: &Observation, reach: Reachability) -> Decision {
         self.limits.merge(now, observation);
         let known = self.limits.get_latest(now, observation.key).unwrap_or(*observation);
         match known.rate {
--- a/crates/core/src/serving/directory/batch.rs
+++ b/crates/core/src/serving/directory/batch.rs
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update<'a> {
     /// The changes since.
-    Changes(Batch),
+    Delta(Batch),
     /// The whole list.
-    Whole {
+    Full {
         /// Its version.
         version: TableVersion,
         /// All servers.
@@ -47,8 +47,8 @@
     /// Returns the version of the list with what is given.
     pub fn get_version(&self) -> TableVersion {
         match self {
-            Self::Changes(batch) => batch.version,
-            Self::Whole { version, .. } => *version,
+            Self::Delta(batch) => batch.version,
+            Self::Full { version, .. } => *version,
         }
     }
 }
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -53,7 +53,7 @@
 
 /// What the word of a server did that it leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Departed {
+pub struct DepartureOutcome {
     /// Whether it was not known, and is to be passed on.
     pub is_news: bool,
     /// What it did to the list.
@@ -151,7 +151,7 @@
         let known = after.filter(|after| self.removals.is_complete_after(*after));
         let Some(after) = known else {
             let servers = self.iter().map(Cow::Borrowed).collect();
-            return Update::Whole { version: self.version, servers };
+            return Update::Full { version: self.version, servers };
         };
         let changed = self.iter_listed().filter(|listed| listed.version > after);
         let changed = changed.map(|listed| Entry {
@@ -162,20 +162,20 @@
         let removed = self.removals.iter_after(after);
         let removed = removed.map(|(id, version)| Entry { id: id.clone(), version, server: None });
         let entries = changed.chain(removed).collect();
-        Update::Changes(Batch { after, version: self.version, entries })
+        Update::Delta(Batch { after, version: self.version, entries })
     }
 
     /// Takes over what a peer gave for a version; `None` where changes before it are missing.
-    pub fn take(&mut self, update: Update<'_>) -> Option<Vec<Change>> {
+    pub fn apply_update(&mut self, update: Update<'_>) -> Option<Vec<Change>> {
         match update {
-            Update::Changes(batch) => {
+            Update::Delta(batch) => {
                 let version = batch.version;
-                let changes = self.update(batch)?;
+                let changes = self.apply_batch(batch)?;
                 // The peer's version rises with changes only, also with those that had no effect there.
                 self.version = self.version.max(version);
                 Some(changes)
             }
-            Update::Whole { version, servers } => {
+            Update::Full { version, servers } => {
                 let servers = servers.into_iter().map(Cow::into_owned).collect();
                 Some(self.replace(version, servers))
             }
@@ -188,7 +188,7 @@
     /// that are not newer than the list are passed over, so that batches may overlap. A batch
     /// without entries changes nothing, the version included: it rises with changes only, so that
     /// nodes with equal lists find them equal.
-    pub fn update(&mut self, batch: Batch) -> Option<Vec<Change>> {
+    pub fn apply_batch(&mut self, batch: Batch) -> Option<Vec<Change>> {
         if !self.is_known || batch.after > self.version {
             return None;
         }
@@ -208,7 +208,7 @@
     }
 
     /// Notes that the table service did not answer.
-    pub fn note_away(&mut self) {
+    pub fn note_table_unavailable(&mut self) {
         self.is_away = true;
     }
 
@@ -216,7 +216,7 @@
     ///
     /// Entries have time to come back only where the table service was away: a list may also grow
     /// old while servers leave, and those must get nothing more.
-    pub fn note_return(&mut self, now: Millis) {
+    pub fn note_table_recovered(&mut self, now: Millis) {
         if std::mem::take(&mut self.is_away) {
             self.lapsing_until = Some(now + LAPSED_FOR);
         }
@@ -224,7 +224,7 @@
 
     /// Notes that the table service came back from an older copy, which may lack the entries of servers that
     /// live: they have time to write them again.
-    pub fn note_era(&mut self, now: Millis) {
+    pub fn note_table_restored(&mut self, now: Millis) {
         self.returned_at = now;
         self.lapsing_until = Some(now + LAPSED_FOR);
     }
@@ -260,9 +260,9 @@
     }
 
     /// Notes that an incarnation of a server said in an answer that it leaves.
-    pub fn note_departure(&mut self, now: Millis, id: &str, incarnation: u64) -> Departed {
+    pub fn note_departure(&mut self, now: Millis, id: &str, incarnation: u64) -> DepartureOutcome {
         let is_news = self.departures.note(now, id, incarnation);
-        Departed { is_news, change: self.note_leaving(id, incarnation) }
+        DepartureOutcome { is_news, change: self.note_leaving(id, incarnation) }
     }
 
     /// Notes that an answer showed another server in the place of an incarnation of a server.
--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -13,7 +13,7 @@
 use crate::Millis;
 
 /// The time after a return in which the operator and the servers have written again what was lost.
-pub const REWRITTEN_WITHIN: Millis = 2_000;
+pub const REWRITE_PERIOD: Millis = 2_000;
 
 /// How far the wall clocks of two nodes may differ.
 const CLOCKS_DIFFER_BY: Millis = 4_000;
@@ -51,7 +51,7 @@
 
 /// An era that a node did not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct EraChange {
     /// The era.
     pub era: Era,
     /// The one before it, where the node knew one.
@@ -89,7 +89,7 @@
 
     /// Notes the era of an answer, or of what another node knows; returns it where it is newer than what
     /// is known.
-    pub fn note(&mut self, now: Millis, era: Era) -> Option<Begun> {
+    pub fn note(&mut self, now: Millis, era: Era) -> Option<EraChange> {
         let before = self.current.map(|current| current.era);
         if before >= Some(era) {
             return None;
@@ -98,11 +98,11 @@
         let begun_at = is_return.then_some(now);
         self.current =
             Some(Current { era, begun_at, is_return, origin: None, is_rewritten: false });
-        Some(Begun { era, before })
+        Some(EraChange { era, before })
     }
 
     /// Returns `true` if the node knew an earlier era than the current one.
-    pub fn is_return(&self) -> bool {
+    pub fn is_restored(&self) -> bool {
         self.current.is_some_and(|current| current.is_return)
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Notes that the operator has written again what it had written in an earlier era.
-    pub fn note_rewritten(&mut self) {
+    pub fn note_configuration_rewritten(&mut self) {
         if let Some(current) = &mut self.current {
             current.is_rewritten = true;
         }
@@ -143,17 +143,17 @@
 
     /// Returns `true` if the operator and the servers have had the time to write again.
     pub fn is_settled(&self, now: Millis) -> bool {
-        self.get_age(now).is_some_and(|age| age >= REWRITTEN_WITHIN)
+        self.get_age(now).is_some_and(|age| age >= REWRITE_PERIOD)
     }
 
     /// Returns `true` if the operator's configuration is as new as it ever was.
-    pub fn is_operator_heard(&self, now: Millis) -> bool {
+    pub fn is_configuration_current(&self, now: Millis) -> bool {
         self.current.is_some_and(|current| current.is_rewritten) || self.is_settled(now)
     }
 
     /// Returns `true` if nothing that could be done at a time of the wall clock, at the earliest, was done in
     /// an earlier era.
-    pub fn is_surely_after_return(&self, unix_ms: u64) -> bool {
+    pub fn is_certainly_after_restore(&self, unix_ms: u64) -> bool {
         if self.get() == Era::UNNAMED {
             return true;
         }
--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -21,7 +21,7 @@
 
 /// Stands for the list of nodes that a node knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roster {
+pub struct RosterSummary {
     /// How many entries were added or have changed, since the start of the process.
     pub additions: u64,
     /// The same for equal lists.
@@ -30,7 +30,7 @@
 
 /// An entry of another node's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct RosterEntry {
     /// What the node says of itself.
     pub entry: Entry,
     /// Milliseconds since it was last heard, heard of or listed.
@@ -39,18 +39,18 @@
 
 /// What was added to a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Additions {
+pub struct RosterDelta {
     /// The list's count of additions with these.
     pub additions: u64,
     /// The added entries.
-    pub entries: Vec<Known>,
+    pub entries: Vec<RosterEntry>,
 }
 
 /// Another node's list, and how much of it this node has got.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Copied {
     /// The list as the node described it last.
-    pub described: Roster,
+    pub described: RosterSummary,
     /// The additions that this node has got.
     pub taken: u64,
     /// When this node last asked for more.
@@ -59,12 +59,12 @@
 
 impl Members {
     /// Describes the list of this node.
-    pub fn get_roster(&self) -> Roster {
-        Roster { additions: self.additions, digest: self.view.digest }
+    pub fn get_roster_summary(&self) -> RosterSummary {
+        RosterSummary { additions: self.additions, digest: self.view.digest }
     }
 
     /// Takes over how another node describes its list.
-    pub fn take_roster(&mut self, from: &str, roster: Roster) {
+    pub fn record_roster_summary(&mut self, from: &str, roster: RosterSummary) {
         let Some(member) = self.known.get_mut(from) else { return };
         if roster.additions < member.copied.taken {
             // The node has started again, and counts anew.
@@ -101,26 +101,26 @@
     }
 
     /// Lists what was added to this node's list after a count of additions.
-    pub fn list_additions(&self, now: Millis, after: u64) -> Additions {
+    pub fn get_roster_delta(&self, now: Millis, after: u64) -> RosterDelta {
         let added = self.known.values().filter(|member| member.added_in > after);
-        let known = added.map(|member| Known {
+        let known = added.map(|member| RosterEntry {
             entry: member.entry.clone(),
             age: now.saturating_sub(member.known_at),
         });
         let live = known.filter(|known| known.age < LIVE_FOR || self.is_lost(&known.entry));
-        Additions { additions: self.additions, entries: live.collect() }
+        RosterDelta { additions: self.additions, entries: live.collect() }
     }
 
     /// Takes over what was added to the list of a node at an address.
     ///
     /// A node is known since the time at which the other one heard of it: one that is gone is not kept by
     /// nodes that go on to pass it on to each other.
-    pub fn take_additions(&mut self, now: Millis, from: SocketAddr, additions: &Additions) {
+    pub fn apply_roster_delta(&mut self, now: Millis, from: SocketAddr, additions: &RosterDelta) {
         let source = self.known.values_mut().find(|member| member.entry.address == from);
         if let Some(source) = source {
             source.copied.taken = additions.additions;
         }
-        for Known { entry, age } in &additions.entries {
+        for RosterEntry { entry, age } in &additions.entries {
             let known_at = now.saturating_sub(*age);
             let before = self.known.get(&entry.name).map(|member| member.known_at);
             self.add(now, entry);
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -15,7 +15,7 @@
 use super::choice::{Candidate, Choice, Criteria};
 use super::topology::Topology;
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// Round trips from the choice of a remote server to the first byte of its response: one for a new
 /// connection and one for the request. Few requests spill, so an idle connection is often closed by
@@ -188,7 +188,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
-    bytes: Bucket,
+    bytes: TokenBucket,
     unresponsive_until: Millis,
 }
 
@@ -211,7 +211,7 @@
         }
         let share = self.rate / nodes.max(1) as f64;
         let link = self.get_or_insert_link(now, region);
-        link.bytes.set(now, share, share);
+        link.bytes.set_limits(now, share, share);
         if link.bytes.available > 0.0 {
             return Ok(());
         }
@@ -250,7 +250,7 @@
     /// Returns the link to a region, and creates it with a full budget if it was not used yet.
     fn get_or_insert_link(&mut self, now: Millis, region: &str) -> &mut Link {
         let rate = self.rate;
-        let full = || Link { bytes: Bucket::new(now, rate), unresponsive_until: 0 };
+        let full = || Link { bytes: TokenBucket::new(now, rate), unresponsive_until: 0 };
         self.by_region.entry(region.to_owned()).or_insert_with(full)
     }
 }
--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -6,7 +6,7 @@
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::freshness::Freshness;
 use keeljunction_core::serving::health::Health;
-use keeljunction_core::serving::members::{Entry, Heard, Members, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Role};
 use keeljunction_core::serving::quarantine::{Fingerprint, Standing, Tracker, Verdict};
 use proptest::prelude::*;
 
@@ -44,19 +44,19 @@
     #[test]
     fn a_node_hears_nobody_until_it_has_looked_again(slept in 2_000_u64..60_000) {
         let mut members = Members::new(0, entry("a", 1), &[]);
-        members.take_list(0, Vec::new(), true);
+        members.merge_list(0, Vec::new(), true);
         for number in 0..5 {
             let other = entry(&format!("n-{number}"), 10 + number);
             let role = Role::Aggregator;
             let heard =
-                Heard { entry: &other, incarnation: 1, is_stopping: false, role, holder_age: None };
-            members.hear(SLEEPS_AT, &heard);
+                Heartbeat { entry: &other, incarnation: 1, is_stopping: false, role, holder_age: None };
+            members.record_heartbeat(SLEEPS_AT, &heard);
         }
         members.refresh(SLEEPS_AT);
-        prop_assert_eq!(members.get_reach(SLEEPS_AT).heard, 6);
-        prop_assert_eq!(members.get_reach(SLEEPS_AT + slept).heard, 1);
+        prop_assert_eq!(members.get_reachability(SLEEPS_AT).heard, 6);
+        prop_assert_eq!(members.get_reachability(SLEEPS_AT + slept).heard, 1);
         members.refresh(SLEEPS_AT + slept);
-        prop_assert_eq!(members.get_reach(SLEEPS_AT + slept).heard, 1);
+        prop_assert_eq!(members.get_reachability(SLEEPS_AT + slept).heard, 1);
     }
 
     #[test]
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -46,15 +46,15 @@
 use respond::{Record, close_after};
 use upload::Arriving;
 
-pub use callers::{disconnect_resting, watch as watch_callers};
+pub use callers::{disconnect_stalled, watch as watch_callers};
 
 /// Answers a caller's request.
 ///
 /// Dropping the future, or the body of the response, cancels what is still running: the caller has
 /// left.
-pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let (mut parts, body) = request.into_parts();
-    let head = (node.platform.dialect.read_request)(&parts);
+    let head = (node.platform.header_codec.decode_request)(&parts);
     let mut record = Record::begin(node.clone(), &head);
     let mut arriving = Arriving::new(body, &parts.headers);
     record.peer = parts.extensions.remove();
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -5,8 +5,8 @@
 use keeljunction_core::serving::directory::{Departure, Server};
 
 use crate::event::{self, Event};
-use crate::node::{News, Node, watch};
-use crate::port::{AnswerHead, UnreadableHeader};
+use crate::node::{Node, Notification, watch};
+use crate::port::{ResponseHead, UnreadableHeader};
 
 /// How a server answered.
 pub(super) struct Answered {
@@ -22,8 +22,8 @@
 ///
 /// Only an answer to a request that ran ends a limit: what rejects a request may know less than what
 /// runs it. What an earlier start of the server said holds no more.
-pub(super) fn note(node: &Node, server: &Server, answered: &Answered, head: &AnswerHead) {
-    let AnswerHead { signal, unreadable, .. } = head;
+pub(super) fn note(node: &Node, server: &Server, answered: &Answered, head: &ResponseHead) {
+    let ResponseHead { signal, unreadable, .. } = head;
     let Answered { sent_at, status, is_run } = *answered;
     note_unreadable(node, server, unreadable);
     let is_superseded = node.with(|state| state.directory.is_superseded(server));
@@ -40,7 +40,7 @@
         noted
     });
     let departure = Departure { server: server.id.clone(), incarnation: server.incarnation };
-    let departs = signal.is_leaving && watch::take_departure(node, &departure);
+    let departs = signal.is_leaving && watch::apply_departure(node, &departure);
     if noted.limit.is_some() || noted.back_off_until.is_some() || departs {
         event::emit(&Event::ServerSignal {
             server: &server.id,
@@ -52,10 +52,10 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.push(News::LimitSeen(sighting));
+        node.notify_peers(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(News::ServerDeparts(departure));
+        node.notify_peers(Notification::ServerLeaving(departure));
     }
 }
 
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -21,7 +21,7 @@
 
 use super::rejection::Rejection;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::node::memory::Reservation;
@@ -127,7 +127,7 @@
                 Next::Evicted => return Err(self.evict(received, NO_MEMORY)),
             }
         }
-        reservation.note_whole();
+        reservation.note_complete();
         Ok(Bytes::from_owner(Held { content, _reservation: reservation }))
     }
 
@@ -135,7 +135,7 @@
         let pace = RateMonitor::new(self.bounds.window, self.length);
         let within = Duration::from_millis(self.bounds.within);
         Wait {
-            stop: reservation.watch(),
+            stop: reservation.watch_eviction(),
             tick: Timer::after(Duration::from_millis(pace.get_tick_interval())),
             due: Box::pin(runtime::sleep(within)),
             pace,
@@ -179,7 +179,7 @@
 
 /// What ends the wait for more of a body. Most bodies come with their head and need none.
 struct Wait {
-    stop: Stop,
+    stop: StopSignal,
     /// Only wakes the wait: a tick that comes late, after a suspension too, counts as one.
     tick: Timer,
     due: Pin<Box<dyn Future<Output = ()> + Send>>,
@@ -195,7 +195,7 @@
 
     async fn end(&mut self) -> Next {
         let stopped = async {
-            self.stop.given().await;
+            self.stop.wait().await;
             Next::Evicted
         };
         let due = async {
@@ -304,7 +304,7 @@
         runtime::spawn(async move {
             let drained = async { while let Some(Ok(_)) = body.frame().await {} };
             // After that the body is dropped, which closes the connection.
-            let _ = runtime::within(DRAIN_WITHIN, drained).await;
+            let _ = runtime::timeout(DRAIN_WITHIN, drained).await;
         });
     }
 }
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -12,7 +12,7 @@
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::runtime::{self, lock};
 
 /// The time between two samples of the resident memory: at the bandwidth of a small VM's link, 10
@@ -44,12 +44,12 @@
     }
 
     /// Returns the signal that this upload is evicted.
-    pub(crate) fn watch(&mut self) -> Stop {
+    pub(crate) fn watch_eviction(&mut self) -> StopSignal {
         self.has_stop = true;
         let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
-            stop.give();
+            stop.send();
         }
         stop
     }
@@ -105,7 +105,7 @@
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub(crate) fn note_whole(&self) {
+    pub(crate) fn note_complete(&self) {
         self.node.with(|state| state.memory.complete_upload(self.id));
     }
 
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
 use keeljunction_core::serving::load::{Load, RequestCost};
-use keeljunction_core::serving::members::{Entry, Overview as Reach, Roster};
+use keeljunction_core::serving::members::{Entry, Overview as Reach, RosterSummary};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
 use keeljunction_core::serving::rollout::{self, Announcement};
@@ -43,7 +43,7 @@
     /// Answers that.
     Versions(Versions),
     /// Something that must not wait for the next report.
-    News(News),
+    Notification(Notification),
     /// Asks the node that keeps the load of some servers for it.
     AskLoads {
         /// Names the question at the one who asks.
@@ -177,7 +177,7 @@
     /// Regions from which nothing arrives at it.
     pub unheard_regions: Vec<String>,
     /// Its list of nodes.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Nodes that are new to it.
     pub joined: Vec<Entry>,
     /// Some of the requests that it knows to crash servers, or not to.
@@ -214,7 +214,7 @@
     /// The aggregators that it ranks, by short name.
     pub aggregators: Vec<u64>,
     /// Its list of nodes.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
@@ -227,7 +227,7 @@
 
 /// Something that must not wait for the next report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum Notification {
     /// The list of servers has changed.
     ServersChanged(Batch),
     /// The sender has adopted a configuration.
@@ -240,13 +240,13 @@
     /// A server names a limit, or none any more.
     LimitSeen(Observation),
     /// A server said in an answer that it leaves.
-    ServerDeparts(Departure),
+    ServerLeaving(Departure),
     /// A window of usage was frozen, and is about to be reported.
     UsageFrozen(WindowNumber, Counts),
     /// A roll-out was ordered, or its stage has advanced.
     RolloutChanged(Announcement),
     /// The sender has sent a request to a server whose prompt takes long to read.
-    RequestBegun {
+    RequestStarted {
         /// The sender's name.
         node: String,
         /// The server's short name.
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -40,7 +40,7 @@
 }
 
 /// Takes a permit to send a request to a server; `None` where the server takes none now.
-pub(crate) async fn take(node: &Node, server: &Server) -> Option<Permit> {
+pub(crate) async fn acquire(node: &Node, server: &Server) -> Option<Permit> {
     let now = node.now();
     let sighting = node.with(|state| state.backpressure.get_limit(now, server));
     let permit = match sighting {
@@ -49,8 +49,8 @@
     };
     // The server may have said something while the decision was waited for.
     let now = node.now();
-    if node.with(|state| state.is_barred(now, server)) {
-        return_unsent(node, server, permit).await;
+    if node.with(|state| state.is_in_backoff(now, server)) {
+        release_unused(node, server, permit).await;
         return None;
     }
     Some(permit)
@@ -60,7 +60,7 @@
 async fn take_counted(node: &Node, server: &Server, sighting: Observation) -> Option<Permit> {
     let owner = node.with(|state| {
         let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.far_region.map(str::to_owned);
+        let far_region = found.remote_region.map(str::to_owned);
         Some(Owner { address: found.address, far_region })
     });
     let now = node.now();
@@ -92,7 +92,7 @@
     let message = Message::AskPermit { question: question.number, sighting, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
     let wait = owner.far_region.as_deref().map_or(DECIDED_WITHIN, |region| {
-        node.with(|state| state.distances.get_timeout(region, DECIDED_WITHIN))
+        node.with(|state| state.round_trips.get_timeout(region, DECIDED_WITHIN))
     });
     let decision = question.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
@@ -102,7 +102,7 @@
 }
 
 /// Returns the permit of a request that was not sent.
-pub(crate) async fn return_unsent(node: &Node, server: &Server, permit: Permit) {
+pub(crate) async fn release_unused(node: &Node, server: &Server, permit: Permit) {
     let key = InstanceKey::of(server);
     match permit {
         Permit::Unlimited => {}
@@ -118,7 +118,7 @@
     if !state.members.is_load_owner(sighting.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reach(now);
+    let reach = state.members.get_reachability(now);
     state.backpressure.decide(now, sighting, reach)
 }
 
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -9,7 +9,7 @@
 use crate::event::{self, Event};
 use crate::node::pause::{Pause, jitter};
 use crate::node::{Node, table};
-use crate::port::{Row, Rows, Selection, TableError, TableName, Transaction, Write};
+use crate::port::{Row, RowRange, Rows, TableError, TableName, Transaction, Write};
 use crate::runtime;
 
 /// The table in which nodes list themselves.
@@ -66,7 +66,7 @@
             continue;
         }
         look_at = node.now() + jitter(LOOK_AGAIN).as_millis() as Millis;
-        if node.with(|state| state.members.is_reader(node.now())) || is_alone(&node) {
+        if node.with(|state| state.members.is_table_reader(node.now())) || is_alone(&node) {
             read_until_done(&node, Part::Whole).await;
         }
     }
@@ -121,7 +121,7 @@
 /// Returns `true` if this node hears no other.
 fn is_alone(node: &Node) -> bool {
     let now = node.now();
-    node.with(|state| state.members.get_reach(now).heard <= 1)
+    node.with(|state| state.members.get_reachability(now).heard <= 1)
 }
 
 /// Lists this node, again after each failure and ever more seldom, until it is listed.
@@ -145,17 +145,17 @@
     let value = serde_json::to_vec(&entry)
         .map_err(|error| TableError::Unanswered(format!("not sent: {error}")))?;
     let key = sample::make_key(&entry.name);
-    let write = Write { table: TableName::Own(TABLE), key, value: Some(value) };
+    let write = Write { table: TableName::Internal(TABLE), key, value: Some(value) };
     let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
     table::commit(node, transaction, LIST_WITHIN).await.map(|_| ())
 }
 
 async fn read_whole(node: &Node) -> Result<bool, TableError> {
-    let rows = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN).await?.rows;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN).await?.rows;
     let entries: Vec<Entry> = rows.iter().filter_map(decode).collect();
     let is_listed = entries.contains(&node.get_entry());
     let now = node.now();
-    node.with(|state| state.members.take_list(now, entries, true));
+    node.with(|state| state.members.merge_list(now, entries, true));
     Ok(is_listed)
 }
 
@@ -177,12 +177,12 @@
     let now = node.now();
     // A node that is listed already has run before, and so have the others.
     let is_whole = is_settled || is_listed;
-    node.with(|state| state.members.take_sample(now, entries, count, is_whole));
+    node.with(|state| state.members.merge_sample(now, entries, count, is_whole));
     Ok(is_listed)
 }
 
-async fn read_from(node: &Node, key: &str, most: usize) -> Result<Rows, TableError> {
-    let selection = Selection { table: TableName::Own(TABLE), from: key.to_owned(), most };
+async fn read_from(node: &Node, key: &str, limit: usize) -> Result<Rows, TableError> {
+    let selection = RowRange { table: TableName::Internal(TABLE), from: key.to_owned(), limit };
     table::read_some(node, selection, CALL_WITHIN).await
 }
 
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -21,7 +21,7 @@
 use keeljunction_core::serving::table_version::TableVersion;
 use serde::{Deserialize, Serialize};
 
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::rollout_status::Statuses;
 use super::{Node, table};
 use crate::event::{self, Event};
@@ -109,7 +109,7 @@
             return true;
         }
         let asked_at = node.now();
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN);
         let Ok(rows) = reading.await else { return false };
         let era = rows.version.era;
         let is_return = era != self.era;
@@ -236,7 +236,7 @@
         let value = serde_json::to_vec(&record).ok();
         let key = table::era_key(service, self.era);
         let writing =
-            table::replace(node, TableName::Own(TABLE), &key, version, value, CALL_WITHIN);
+            table::replace(node, TableName::Internal(TABLE), &key, version, value, CALL_WITHIN);
         let Ok(rows) = writing.await.inspect_err(note_failure) else {
             return false;
         };
@@ -288,7 +288,7 @@
     node.with(|state| state.rollouts.confirm_stage(now, &order.service, order.number, stage));
     let barred = node.with(|state| state.rollouts.list_barred(&order.service));
     let announcement = Announcement { order: order.clone(), stage, age: Some(0), barred };
-    node.push(News::RolloutChanged(announcement));
+    node.notify_peers(Notification::RolloutChanged(announcement));
 }
 
 /// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -7,7 +7,7 @@
 };
 
 use super::Node;
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::state::State;
 use crate::event::{self, Event};
 use crate::port::Row;
@@ -20,14 +20,14 @@
         log::warn!("the order {} is gone from its table: the roll-out goes on", row.key);
         return;
     };
-    let order = match (node.platform.rollouts.decode)(&row.key, value, row.version) {
+    let order = match (node.platform.rollout_codec.decode)(&row.key, value, row.version) {
         Ok(order) => order,
         Err(error) => return event::emit(&Event::DocumentRejected { error: error.to_string() }),
     };
     let announcement = Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
     let now = node.now();
     if node.with(|state| merge(state, now, &announcement)) {
-        node.push(News::RolloutChanged(announcement));
+        node.notify_peers(Notification::RolloutChanged(announcement));
     }
 }
 
@@ -42,7 +42,7 @@
         emit_changed(&order, Stage::Pending);
         let announcement =
             Announcement { order, stage: Stage::Pending, age: None, barred: Vec::new() };
-        node.push(News::RolloutChanged(announcement));
+        node.notify_peers(Notification::RolloutChanged(announcement));
     }
 }
 
@@ -92,7 +92,7 @@
 
 fn get_tolerance(node: &Node, state: &State, now: Millis) -> Tolerance {
     let bounds = &node.settings.bounds;
-    let nodes = state.members.get_reach(now).all;
+    let nodes = state.members.get_reachability(now).known;
     Tolerance { share: bounds.expose_share, slack: bounds.canary_slack, nodes }
 }
 
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -19,7 +19,7 @@
 /// The calls of a table service. All reads are linearizable.
 pub struct Table {
     /// Reads some rows of a table, or fewer where an answer does not hold them.
-    pub read_some: Box<dyn Fn(Selection) -> TableFuture<Rows> + Send + Sync>,
+    pub read_range: Box<dyn Fn(RowRange) -> TableFuture<Rows> + Send + Sync>,
     /// Waits for rows that changed after a version, for a time at most.
     pub watch: Box<dyn Fn(TableName, TableVersion, Duration) -> TableFuture<Rows> + Send + Sync>,
     /// Writes rows, all or none.
@@ -33,8 +33,8 @@
     ///
     /// Returns the call's error.
     pub async fn read_first(&self, table: TableName, within: Duration) -> Result<Rows, TableError> {
-        let selection = Selection { table, from: String::new(), most: PAGE };
-        answer_within(within, (self.read_some)(selection)).await
+        let selection = RowRange { table, from: String::new(), limit: PAGE };
+        with_timeout(within, (self.read_range)(selection)).await
     }
 
     /// Reads the pages after the first one.
@@ -52,8 +52,8 @@
         while let Some(last) = whole.rows.last().filter(|_| whole.has_more) {
             // The key that comes right after the last one.
             let from = format!("{}\0", last.key);
-            let selection = Selection { table, from, most: PAGE };
-            let page = answer_within(within, (self.read_some)(selection)).await?;
+            let selection = RowRange { table, from, limit: PAGE };
+            let page = with_timeout(within, (self.read_range)(selection)).await?;
             if page.version.era != whole.version.era {
                 return Err(TableError::HistoryGone);
             }
@@ -69,8 +69,8 @@
 /// # Errors
 ///
 /// Returns the call's error, and [`TableError::Unanswered`] where the time is over.
-pub async fn answer_within(time: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
-    let answer = runtime::within(time, call).await;
+pub async fn with_timeout(time: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
+    let answer = runtime::timeout(time, call).await;
     answer.unwrap_or_else(|| Err(TableError::Unanswered("no answer in time".to_owned())))
 }
 
@@ -84,18 +84,18 @@
     /// The status of the operator's orders.
     Status,
     /// A table of the product's own.
-    Own(&'static str),
+    Internal(&'static str),
 }
 
 /// Some rows of a table that follow each other in the order of their keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Selection {
+pub struct RowRange {
     /// The table.
     pub table: TableName,
     /// The first key; empty for the table's first row.
     pub from: String,
     /// How many rows, at the most.
-    pub most: usize,
+    pub limit: usize,
 }
 
 /// A row.
@@ -162,7 +162,7 @@
     HistoryGone,
     /// The table service has come back from an older copy since the rows were read that a condition names, or
     /// an answer is of the time before its return. A write may have been done, and is gone.
-    Superseded,
+    StaleEra,
     /// The service refused; nothing was done.
     Refused(u16),
     /// There was no answer; a write may have been done or may still be.
@@ -174,7 +174,7 @@
         match self {
             Self::Conflict(_) => write!(f, "a condition did not hold"),
             Self::HistoryGone => write!(f, "the history is gone"),
-            Self::Superseded => write!(f, "the table service came back from an older copy"),
+            Self::StaleEra => write!(f, "the table service came back from an older copy"),
             Self::Refused(status) => write!(f, "refused with status {status}"),
             Self::Unanswered(why) => write!(f, "no answer: {why}"),
         }
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::StreamExt;
 use keeljunction_core::member::State;
-use keeljunction_core::succession;
+use keeljunction_core::rendezvous;
 
 use super::request::succession_key;
 use super::state::Held;
@@ -111,7 +111,9 @@
         .into_iter()
         .map(|address| {
             let (node, answer) = (node.clone(), answer.clone());
-            runtime::task(async move { (ask(&node, &answer, &address, false).await, address) })
+            runtime::spawn_with_handle(async move {
+                (ask(&node, &answer, &address, false).await, address)
+            })
         })
         .collect();
     for reply in queries {
@@ -156,7 +158,7 @@
     let members = runtime::lock(&node.members);
     let others = members.iter().filter(|m| m.state != State::Dead && m.name != node.get_name());
     let names: Vec<&str> = others.map(|member| member.name.as_str()).collect();
-    let order = succession::order(&key, names.into_iter());
+    let order = rendezvous::rank(&key, names.into_iter());
     order.into_iter().take(QUERIED).map(str::to_owned).collect()
 }
 
@@ -187,7 +189,7 @@
     let Ok(mut stream) = called.await else { return false };
     let idle = Duration::from_millis(node.settings.limits.idle_ms);
     loop {
-        let Some(Some(Ok(reply))) = runtime::within(idle, stream.next()).await else {
+        let Some(Some(Ok(reply))) = runtime::timeout(idle, stream.next()).await else {
             return false;
         };
         if reply.offset != answer.get_length() {
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -46,7 +46,7 @@
 fn spread(node: &Arc<Node>) {
     let targets = {
         let members = runtime::lock(&node.members);
-        members.helpers("", SPREAD, &mut fastrand::Rng::new())
+        members.pick_helpers("", SPREAD, &mut fastrand::Rng::new())
     };
     for target in targets {
         let node = node.clone();
@@ -58,7 +58,7 @@
 
 /// Writes the news that ride on one message.
 pub fn news(node: &Node) -> wire::News {
-    let members = runtime::lock(&node.members).take_news(MEMBERS);
+    let members = runtime::lock(&node.members).take_updates(MEMBERS);
     news_of(node, &members)
 }
 
@@ -91,7 +91,7 @@
         }
     }
     for heard in news.departures {
-        departure::learn(node, &Departure { server: heard.server, until: now + heard.left_ms });
+        departure::learn(node, &Departure { server: heard.server, gone_at: now + heard.left_ms });
     }
     if let Some(address) = address.filter(|_| news.roll > node.get_roll()) {
         let node = node.clone();
@@ -107,11 +107,11 @@
 
 async fn probe(node: &Arc<Node>, target: &Member) {
     if direct(node, &target.address, "").await || indirect(node, target).await {
-        runtime::lock(&node.members).answered(&target.name);
+        runtime::lock(&node.members).record_answer(&target.name);
         return;
     }
     node.metric.count("probes_missed", 1);
-    runtime::lock(&node.members).missed(node.now(), &target.name);
+    runtime::lock(&node.members).record_missed_probe(node.now(), &target.name);
 }
 
 async fn probe_seeds(node: &Arc<Node>) {
@@ -143,13 +143,17 @@
 async fn indirect(node: &Arc<Node>, target: &Member) -> bool {
     let helpers = {
         let members = runtime::lock(&node.members);
-        members.helpers(&target.name, node.settings.membership.helpers, &mut fastrand::Rng::new())
+        members.pick_helpers(
+            &target.name,
+            node.settings.membership.helpers,
+            &mut fastrand::Rng::new(),
+        )
     };
     let probes: Vec<_> = helpers
         .into_iter()
         .map(|helper| {
             let (node, name) = (node.clone(), target.name.clone());
-            runtime::task(async move { direct(&node, &helper.address, &name).await })
+            runtime::spawn_with_handle(async move { direct(&node, &helper.address, &name).await })
         })
         .collect();
     for answer in probes {
@@ -180,11 +184,11 @@
 
 fn news_of(node: &Node, members: &[Member]) -> wire::News {
     let nodes = members.len().max(runtime::lock(&node.members).iter().count());
-    let departures = runtime::lock(&node.directory).take_news(DEPARTURES, nodes);
+    let departures = runtime::lock(&node.directory).take_updates(DEPARTURES, nodes);
     let now = node.now();
     let write = |departure: &Departure| wire::Departure {
         server: departure.server.clone(),
-        left_ms: departure.until.saturating_sub(now),
+        left_ms: departure.gone_at.saturating_sub(now),
     };
     wire::News {
         roll: node.get_roll(),
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -13,7 +13,7 @@
 use super::service::Service;
 use super::{Node, adoption, claims, control, gossip, housekeeping, settlement, stop, watch};
 use crate::caller;
-use crate::http::{Limits, Server, Stop};
+use crate::http::{Limits, Server, StopSignal};
 use crate::peer::Listener;
 use crate::runtime;
 use crate::settings::Settings;
@@ -45,10 +45,10 @@
     let listen = settings.listen.clone();
     let limits =
         Limits { head_bytes: settings.limits.head_bytes, connections: settings.limits.connections };
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let bound = Server::bind(listen.caller, limits, stop.clone()).await;
     let callers = bound.map_err(|error| busy("listen.caller", listen.caller, &error))?;
-    let bound = Server::bind(listen.operator, limits, Stop::new()).await;
+    let bound = Server::bind(listen.operator, limits, StopSignal::new()).await;
     let operators = bound.map_err(|error| busy("listen.operator", listen.operator, &error))?;
     let bound = Listener::bind(listen.peer, &settings.peer_credential).await;
     let peers = bound.map_err(|error| busy("listen.peer", listen.peer, &error))?;
@@ -57,17 +57,17 @@
     let node = Node::new(settings, at.peer.to_string());
     start_loops(&node);
     runtime::spawn(peers.serve(Service::new(node.clone())));
-    let open = callers.get_open();
+    let open = callers.get_connection_count();
     let (answering, operating) = (node.clone(), node.clone());
     runtime::spawn(callers.serve(move |request| caller::answer(answering.clone(), request)));
     runtime::spawn(operators.serve(move |request| caller::operator(operating.clone(), request)));
     println!("{}", serde_json::to_string(&at).unwrap_or_default());
     log::info!("node {} listens: {at:?}", node.get_name());
     runtime::spawn(wait_for_signal(node.clone()));
-    node.ended.given().await;
+    node.ended.wait().await;
     runtime::sleep(LINGER).await;
-    stop.give();
-    let waited = runtime::within(WRITE_OUT, async {
+    stop.send();
+    let waited = runtime::timeout(WRITE_OUT, async {
         while open.get() > 0 {
             runtime::sleep(LOOK).await;
         }
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -11,8 +11,8 @@
 use keeljunction_core::directory::Directory;
 use keeljunction_core::member::{List, Member, State, Timing};
 use keeljunction_core::outcome::Outcome;
+use keeljunction_core::rendezvous;
 use keeljunction_core::retry::{Allowance, Budget};
-use keeljunction_core::succession;
 
 use super::Answer;
 use super::claims::Claims;
@@ -90,7 +90,7 @@
     /// Claims waiting to be written.
     pub claims: Claims,
     /// Given once the node has stopped.
-    pub ended: http::Stop,
+    pub ended: http::StopSignal,
     urgent: (Sender<()>, Receiver<()>),
     force: Mutex<Option<Arc<Force>>>,
     budget: Mutex<Budget>,
@@ -111,13 +111,14 @@
             incarnation: runtime::unix_ms(),
             state: State::Alive,
         };
-        let timing = Timing { suspicion: settings.membership.suspicion_ms, memory: DEAD_MEMORY_MS };
+        let timing =
+            Timing { suspicion: settings.membership.suspicion_ms, dead_retention: DEAD_MEMORY_MS };
         let http = http::Client::new(CONNECT_WITHIN);
         let allowance = Allowance {
             ratio: settings.routing.retry_per_mille as f64 / 1_000.0,
-            least: settings.routing.retry_burst as f64,
+            min_retries: settings.routing.retry_burst as f64,
             window: BUDGET_WINDOW_MS,
-            used: 1.0,
+            usable_fraction: 1.0,
         };
         Arc::new(Self {
             clock,
@@ -131,7 +132,7 @@
             records: Mutex::default(),
             book: Book::default(),
             claims: Claims::new(),
-            ended: http::Stop::new(),
+            ended: http::StopSignal::new(),
             urgent: async_channel::bounded(1),
             force: Mutex::default(),
             budget: Mutex::new(Budget::new(allowance)),
@@ -194,7 +195,7 @@
     /// Returns the names and data centres of the nodes that may be given work.
     pub fn usable_nodes(&self) -> Vec<(String, String)> {
         let members = runtime::lock(&self.members);
-        members.usable().map(|m| (m.name.clone(), m.data_centre.clone())).collect()
+        members.iter_usable().map(|m| (m.name.clone(), m.data_centre.clone())).collect()
     }
 
     /// Returns `true` if it is this node's turn to read something of the platform that all nodes want.
@@ -202,7 +203,7 @@
     /// A few nodes read it each time, the others far more seldom: they hear of it from their peers.
     pub fn is_turn_to_read(&self, what: &str, turn: u64) -> bool {
         let nodes = self.usable_nodes();
-        let order = succession::order(what, nodes.iter().map(|(name, _)| name.as_str()));
+        let order = rendezvous::rank(what, nodes.iter().map(|(name, _)| name.as_str()));
         let is_watcher = order.iter().take(WATCHERS).any(|name| *name == self.get_name());
         is_watcher || turn.is_multiple_of(SELDOM)
     }
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hyper::{Method, Request, StatusCode};
-use keeljunction_core::bucket::Bucket;
+use keeljunction_core::bucket::TokenBucket;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -34,7 +34,7 @@
 pub struct Client {
     http: http::Client,
     settings: settings::Platform,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
     clock: Clock,
 }
 
@@ -42,7 +42,7 @@
     /// Makes a client; it connects when it is first used.
     pub fn new(settings: settings::Platform, http: http::Client) -> Self {
         let clock = Clock::new();
-        let bucket = Mutex::new(Bucket::full(clock.now(), settings.calls_per_second));
+        let bucket = Mutex::new(TokenBucket::full(clock.now(), settings.calls_per_second));
         Self { http, settings, bucket, clock }
     }
 
@@ -149,21 +149,21 @@
             .header("host", self.settings.address.to_string())
             .body(body)
             .map_err(|error| Fault::NotSent(error.to_string()))?;
-        let answer = runtime::within(time, self.exchange(request)).await;
+        let answer = runtime::timeout(time, self.exchange(request)).await;
         answer.unwrap_or_else(|| Err(Fault::Unknown("no answer in time".to_owned())))
     }
 
     async fn exchange(&self, request: Request<Body>) -> Result<Bytes, Fault> {
         let sent = self.http.send(self.settings.address, request).await;
         let response = sent.map_err(|failure| match failure {
-            http::Failure::NotSent(why) => Fault::NotSent(why),
-            http::Failure::MaybeSent(why) => Fault::Unknown(why),
+            http::SendError::NotSent(why) => Fault::NotSent(why),
+            http::SendError::MaybeSent(why) => Fault::Unknown(why),
         })?;
         let status = response.status();
         if status != StatusCode::OK {
             return Err(refusal(status));
         }
-        let content = http::read(response.into_body(), MAX_ANSWER).await;
+        let content = http::read_body(response.into_body(), MAX_ANSWER).await;
         content.ok_or_else(|| Fault::Unknown("the answer broke off".to_owned()))
     }
 
