--- a/crates/core/src/serving/backpressure/tracker.rs
+++ b/crates/core/src/serving/backpressure/tracker.rs
@@ -78,7 +78,12 @@
     }
 
     /// Decides on a request to a server, as its owner. `observation` is the requesting node's.
-    pub fn decide(&mut self, now: Millis, observation: &Observation, reach: Reachability) -> Decision {
+    pub fn decide(
+        &mut self,
+        now: Millis,
+        observation: &Observation,
+        reach: Reachability,
+    ) -> Decision {
         self.limits.merge(now, observation);
         let known = self.limits.get_latest(now, observation.key).unwrap_or(*observation);
         match known.rate {
