--- a/crates/core/src/serving/rollout/exposure.rs
+++ b/crates/core/src/serving/rollout/exposure.rs
@@ -1,24 +1,24 @@
-//! Bounds the share of a service's requests that a version gets before the verdict.
+//! Limits the share of a service's requests that a version gets before the verdict.
 
-/// The part of the tolerated share that the canary gets: the rest covers nodes whose requests are
-/// lost on their way while their canary's arrive.
-const SHARE_PART: f64 = 0.8;
-/// The part of the tolerated slack that all nodes together use: nodes that start again use theirs
-/// again.
-const SLACK_PART: f64 = 0.5;
+/// The fraction of the tolerated share that the canary gets. The rest covers nodes whose requests
+/// are lost in transit while their canary's requests arrive.
+const SHARE_FRACTION: f64 = 0.8;
+/// The fraction of the tolerated slack that all nodes use together: nodes that restart use their
+/// part of it again.
+const SLACK_FRACTION: f64 = 0.5;
 
-/// How many requests may reach a version that may be bad, over all nodes.
+/// The number of requests, over all nodes, that may reach a version that may be bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// The share of all requests to its service.
+    /// The share of all requests to the service.
     pub share: f64,
-    /// Requests besides.
+    /// Requests in addition to the share.
     pub slack: f64,
     /// Nodes that may be serving, which share the slack.
     pub nodes: usize,
 }
 
-/// What one node sent to a service since it learned of a roll-out.
+/// The requests that a node has sent to a service since it learned of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Exposure {
     sent: u64,
@@ -32,20 +32,20 @@
         self.sent_to_target += u64::from(is_target);
     }
 
-    /// Returns the requests to all versions.
+    /// Returns the number of requests to all versions.
     pub fn get_sent(&self) -> u64 {
         self.sent
     }
 
-    /// Returns those to the new version.
+    /// Returns the number of requests to the target version.
     pub fn get_sent_to_target(&self) -> u64 {
         self.sent_to_target
     }
 
-    /// Returns `true` if one more request keeps the new version within what is tolerated.
+    /// Returns `true` if one more request to the target version is within the tolerance.
     pub fn has_room(&self, tolerance: &Tolerance) -> bool {
-        let slack = tolerance.slack * SLACK_PART / tolerance.nodes.max(1) as f64;
-        let most = tolerance.share * SHARE_PART * (self.sent + 1) as f64 + slack;
-        (self.sent_to_target + 1) as f64 <= most
+        let slack = tolerance.slack * SLACK_FRACTION / tolerance.nodes.max(1) as f64;
+        let limit = tolerance.share * SHARE_FRACTION * (self.sent + 1) as f64 + slack;
+        (self.sent_to_target + 1) as f64 <= limit
     }
 }
--- a/crates/core/src/serving/rollout/judge.rs
+++ b/crates/core/src/serving/rollout/judge.rs
@@ -1,56 +1,59 @@
-//! Finds that a version is worse than the others, from tallies of answers.
+//! Detects from tallies of responses that a version is worse than the others.
 //!
-//! For each series, and for all together, a sequential test (CUSUM of log likelihood ratios)
-//! weighs two hypotheses for each new answer: that it is bad as often as those of the other
-//! versions, or clearly more often. A version that turns bad later is found as soon as one that
-//! always was, because good answers of the past do not count in its favour.
+//! For each series, and for all of them together, a sequential test (CUSUM of log-likelihood
+//! ratios) compares two hypotheses with each new response: that responses are bad as often as those
+//! of the other versions, or clearly more often. Good responses of the past do not count in a
+//! version's favour, so a version that becomes bad later is detected as early as one that was bad
+//! from the start.
 //!
-//! Failures and latencies have a test each. Latencies differ by more than ten times within a route,
-//! so that no single bound separates slow answers from large requests: how often each range of latencies
-//! is expected, of a good version and of one whose answers in part take several times as long,
-//! follows from the other versions' latencies on the same route.
+//! Failures and latencies are tested separately. Latencies of one route differ by a factor of more
+//! than ten, so no single bound separates slow responses from large requests. Instead, the other
+//! versions' latencies on the same route give the expected frequency of each latency range, for a
+//! good version and for one that takes several times as long for a fraction of its responses.
 
 use std::collections::BTreeMap;
 
 use super::tally::{Comparison, Phase, Series, Tallies, Tally};
 
-/// The evidence at which a series is found bad: of 2,000 simulated good versions none was found bad
+/// The evidence at which a series is judged bad: none of 2,000 simulated good versions reached it
 /// (`rollout_trials`).
-const BAD_AT: f64 = 11.0;
-/// The least rate of failures that is expected of a good version.
-const LEAST_FAILING: f64 = 0.01;
-/// How many times as often as the others a good version may fail.
-const FAILING_FACTOR: f64 = 1.5;
-/// How much more often a bad version fails.
-const FAILING_STEP: f64 = 0.1;
-/// The quantiles of the others' latencies between which answers are counted.
+const EVIDENCE_THRESHOLD: f64 = 11.0;
+/// The minimum failure rate that is expected of a good version.
+const MIN_FAILURE_RATE: f64 = 0.01;
+/// The failure rate of a good version, as a multiple of the baseline's.
+const MAX_GOOD_FAILURE_FACTOR: f64 = 1.5;
+/// The difference between the failure rates of a bad and a good version.
+const BAD_FAILURE_RATE_STEP: f64 = 0.1;
+/// The quantiles of the baseline's latencies that separate the latency ranges.
 const QUANTILES: [f64; 7] = [0.25, 0.5, 0.7, 0.8, 0.9, 0.95, 0.98];
-/// How many times as long first tokens of a good version may take: its servers have nothing in
-/// their caches at first, so that prompts are read whole, which is about twice as much.
-const COLD_FACTOR: f64 = 2.0;
-/// The same of the rest of a stream, for which caches matter little.
+/// The time to the first token of a good version, as a multiple of the baseline's. Its servers
+/// start with empty caches, so they read whole prompts, which takes about twice as long.
+const COLD_TTFT_FACTOR: f64 = 2.0;
+/// The same for the rest of a stream, where caches matter little.
 const COLD_STREAM_FACTOR: f64 = 1.25;
-/// How many times as long slow answers of a bad version take, and which part of its answers does.
+/// The latency of the slow responses of a bad version, as a multiple of the baseline's, and their
+/// fraction of its responses.
 const SLOW_FACTOR: f64 = 4.0;
-const SLOW_PART: f64 = 0.3;
-/// The least frequency that is assumed of a range of latencies: rare ones must not decide alone.
-const LEAST_FREQUENCY: f64 = 0.01;
-/// The fewest answers of other versions with which latencies are compared.
-const LEAST_COMPARED: u64 = 50;
-/// The largest rate of failures that is expected of a good version.
-const MOST_EXPECTED: f64 = 0.6;
+const SLOW_FRACTION: f64 = 0.3;
+/// The minimum frequency that is assumed of a latency range, so that rare ranges do not decide
+/// alone.
+const MIN_FREQUENCY: f64 = 0.01;
+/// The number of baseline latencies that a comparison requires.
+const MIN_BASELINE_LATENCIES: u64 = 50;
+/// The maximum failure rate that is expected of a good version.
+const MAX_FAILURE_RATE: f64 = 0.6;
 
-/// How a version is worse.
+/// The way in which a version is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Symptom {
-    /// Its answers fail more often.
+    /// Its requests fail more often.
     Failing,
-    /// Its answers take longer.
+    /// Its responses take longer.
     Slow,
 }
 
 impl Symptom {
-    /// Names the symptom in logs.
+    /// Returns the name of the symptom in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Failing => "failing",
@@ -59,14 +62,14 @@
     }
 }
 
-/// What was found.
+/// A detected regression.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Regression {
-    /// How the version is worse.
+    /// The way in which the version is worse.
     pub symptom: Symptom,
-    /// Where; `None` over all series together.
+    /// The series that shows it, or `None` for all series together.
     pub series: Option<Series>,
-    /// Answers of the new version so far.
+    /// Responses of the target version so far.
     pub answers: u64,
 }
 
@@ -78,16 +81,16 @@
 }
 
 impl Judge {
-    /// Weighs the answers that came since the last time; returns what was found.
+    /// Weighs the responses since the last call. Returns the regression, if one is detected.
     pub fn weigh(&mut self, tallies: &Tallies) -> Option<Regression> {
-        for (series, pair) in tallies.iter() {
+        for (series, comparison) in tallies.iter() {
             let seen = self.seen.entry(series.clone()).or_default();
-            let new = pair.target.since(seen);
-            seen.clone_from(&pair.target);
-            self.add(Symptom::Failing, series, weigh_failures(&new, &pair.baseline));
-            self.add(Symptom::Slow, series, weigh_latencies(series.phase, &new, pair));
+            let new = comparison.target.since(seen);
+            seen.clone_from(&comparison.target);
+            self.add(Symptom::Failing, series, weigh_failures(&new, &comparison.baseline));
+            self.add(Symptom::Slow, series, weigh_latencies(series.phase, &new, comparison));
         }
-        let found = self.evidence.iter().find(|(_, evidence)| **evidence >= BAD_AT);
+        let found = self.evidence.iter().find(|(_, evidence)| **evidence >= EVIDENCE_THRESHOLD);
         found.map(|((symptom, series), _)| Regression {
             symptom: *symptom,
             series: series.clone(),
@@ -103,38 +106,40 @@
     }
 }
 
-fn weigh_failures(new: &Tally, rest: &Tally) -> f64 {
-    let usual = rest.failed as f64 / rest.len().max(1) as f64;
-    let expected = (usual * FAILING_FACTOR).clamp(LEAST_FAILING, MOST_EXPECTED);
-    weigh(new.failed, new.good, expected, expected + FAILING_STEP)
+fn weigh_failures(new: &Tally, baseline: &Tally) -> f64 {
+    let baseline_rate = baseline.failed as f64 / baseline.len().max(1) as f64;
+    let expected =
+        (baseline_rate * MAX_GOOD_FAILURE_FACTOR).clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE);
+    weigh(new.failed, new.good, expected, expected + BAD_FAILURE_RATE_STEP)
 }
 
-fn weigh_latencies(phase: Phase, new: &Tally, pair: &Comparison) -> f64 {
-    let rest = &pair.baseline.latencies;
-    if rest.len() < LEAST_COMPARED || new.latencies.is_empty() {
+fn weigh_latencies(phase: Phase, new: &Tally, comparison: &Comparison) -> f64 {
+    let baseline = &comparison.baseline.latencies;
+    if baseline.len() < MIN_BASELINE_LATENCIES || new.latencies.is_empty() {
         return 0.0;
     }
     let cold_factor = match phase {
-        Phase::FirstToken => COLD_FACTOR,
+        Phase::FirstToken => COLD_TTFT_FACTOR,
         Phase::Stream => COLD_STREAM_FACTOR,
     };
-    let bounds = QUANTILES.map(|quantile| rest.get_quantile(quantile) as f64 * cold_factor);
+    let bounds = QUANTILES.map(|quantile| baseline.get_quantile(quantile) as f64 * cold_factor);
     let mut weight = 0.0;
-    for place in 0..=bounds.len() {
-        let from = place.checked_sub(1).map_or(0.0, |before| bounds[before]);
-        let to = bounds.get(place).copied().unwrap_or(f64::INFINITY);
-        let expected = rest.get_frequency(from / cold_factor, to / cold_factor);
-        let slowed = rest.get_frequency(from / SLOW_FACTOR, to / SLOW_FACTOR);
-        let feared = (1.0 - SLOW_PART) * expected + SLOW_PART * slowed;
-        let ratio = feared.max(LEAST_FREQUENCY) / expected.max(LEAST_FREQUENCY);
+    for index in 0..=bounds.len() {
+        let from = index.checked_sub(1).map_or(0.0, |before| bounds[before]);
+        let to = bounds.get(index).copied().unwrap_or(f64::INFINITY);
+        let expected = baseline.get_frequency(from / cold_factor, to / cold_factor);
+        let slow = baseline.get_frequency(from / SLOW_FACTOR, to / SLOW_FACTOR);
+        let bad_rate = (1.0 - SLOW_FRACTION) * expected + SLOW_FRACTION * slow;
+        let ratio = bad_rate.max(MIN_FREQUENCY) / expected.max(MIN_FREQUENCY);
         weight += new.latencies.count_between(from, to) as f64 * ratio.ln();
     }
     weight
 }
 
-/// Returns the log likelihood ratio of bad and good answers, of two rates at which they are bad.
-fn weigh(bad: u64, good: u64, expected: f64, feared: f64) -> f64 {
-    let of_bad = bad as f64 * (feared / expected).ln();
-    let of_good = good as f64 * ((1.0 - feared) / (1.0 - expected)).ln();
-    of_bad + of_good
+/// Returns the log-likelihood ratio of bad and good responses, given the expected rates of bad
+/// responses of a good and of a bad version.
+fn weigh(bad: u64, good: u64, expected: f64, bad_rate: f64) -> f64 {
+    let bad_evidence = bad as f64 * (bad_rate / expected).ln();
+    let good_evidence = good as f64 * ((1.0 - bad_rate) / (1.0 - expected)).ln();
+    bad_evidence + good_evidence
 }
--- a/crates/core/src/serving/rollout/mod.rs
+++ b/crates/core/src/serving/rollout/mod.rs
@@ -1,22 +1,25 @@
-//! Moves the traffic of a service to servers of another version.
+//! Rollouts: moving the traffic of a service to servers of another version.
 //!
-//! The operator orders a roll-out; the platform starts servers of the new version beside the others.
-//! One node at a time, the holder of the duties, decides its stage: a canary gets a small share of
-//! the requests until the verdict, then all of them. Every node follows the stage that it hears.
+//! The operator orders a rollout; the platform starts servers of the target version next to the
+//! others. One node at a time, the duty holder, decides on the stage: a canary gets a small share
+//! of the requests until the verdict, then the target version gets all of them. Every node follows
+//! the stage that it learns of.
 //!
-//! Invariants: while there is no verdict no node sends more than the canary's share of its own
-//! requests to the new version, so that no exchange between nodes is needed to keep the bound over
-//! all of them; a node that has not heard of the stage lately sends nothing there; and a version
-//! that was rolled back gets nothing more.
+//! Invariants:
 //!
-//! | module | does |
+//! - Until the verdict, no node sends more than the canary's share of its own requests to the
+//!   target version. This keeps the bound over all nodes without any communication.
+//! - A node that has not learned of the stage recently sends nothing to the target version.
+//! - A version that was rolled back gets no more requests.
+//!
+//! | module | content |
 //! |---|---|
-//! | `order` | says what was ordered and how far it has come |
-//! | `exposure` | bounds the share of the canary |
-//! | `tally` | counts answers, failures and latencies by route |
-//! | `judge` | finds that a version is worse than the others, from tallies |
-//! | `progress` | decides the next stage |
-//! | `registry` | holds what a node knows of all roll-outs |
+//! | `order` | orders and their stages |
+//! | `exposure` | limits the share of the canary |
+//! | `tally` | counts responses, failures and latencies by route |
+//! | `judge` | detects from tallies that a version is worse than the others |
+//! | `progress` | decides on the next stage |
+//! | `registry` | the rollouts that a node knows of |
 
 mod exposure;
 mod judge;
--- a/crates/core/src/serving/rollout/order.rs
+++ b/crates/core/src/serving/rollout/order.rs
@@ -1,25 +1,25 @@
-//! What was ordered, and how far it has come.
+//! Orders of rollouts, and their stages.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 use crate::serving::table_version::TableVersion;
 
-/// An order to move a service's traffic to servers of another version.
+/// An order to move the traffic of a service to servers of another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The service.
     pub service: String,
-    /// The version that its servers should have.
+    /// The version to move to.
     pub target_version: String,
-    /// The time within which the roll-out should be decided.
+    /// The time within which the rollout should be decided, in milliseconds.
     pub duration: Millis,
-    /// Rises with each order for the service: the version of its row.
+    /// The version of the order's row, which rises with each order for the service.
     pub number: TableVersion,
 }
 
 impl Order {
-    /// Returns `true` if another order asks for the same.
+    /// Returns `true` if another order requests the same rollout.
     pub fn is_same(&self, other: &Self) -> bool {
         self.service == other.service
             && self.target_version == other.target_version
@@ -27,22 +27,23 @@
     }
 }
 
-/// How far a roll-out has come. Stages only advance, in this order.
+/// The stage of a rollout. Stages only advance, in this order.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Ordered, and not begun by the holder of the duties.
+    /// Ordered, and not started by the duty holder yet.
     #[default]
     Pending,
-    /// The new version gets a small share of the requests.
+    /// The target version gets a small share of the requests.
     Canary,
-    /// The new version gets a larger share, so that what it is bad at under load shows.
+    /// The target version gets a larger share, so that faults under load show.
     Ramp,
-    /// The new version gets all requests that begin; those that began elsewhere end there.
+    /// The target version gets all new requests. Requests in flight on other versions complete
+    /// there.
     Shifting,
-    /// The new version was worse and gets nothing more.
+    /// The target version was worse, and gets no more requests.
     RolledBack,
     /// The other versions are gone.
     Completed,
@@ -54,7 +55,7 @@
         matches!(self, Self::RolledBack | Self::Completed)
     }
 
-    /// Names the stage in logs and metrics.
+    /// Returns the name of the stage in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Pending => "pending",
@@ -67,27 +68,27 @@
     }
 }
 
-/// A roll-out as nodes announce it to each other.
+/// A rollout as nodes announce it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// What was ordered.
+    /// The order.
     pub order: Order,
-    /// How far it has come.
+    /// The stage.
     pub stage: Stage,
-    /// Milliseconds since the holder of the duties was known to hold to this stage; `None` where
-    /// the sender has not heard of that.
+    /// Milliseconds since the duty holder confirmed the stage, or `None` if the sender does not
+    /// know.
     pub age: Option<Millis>,
-    /// Versions of earlier orders that were never completed: their servers get nothing.
+    /// Target versions of earlier orders that were never completed; their servers get no requests.
     pub barred: Vec<String>,
 }
 
-/// The status of a roll-out that the operator reads.
+/// The status of a rollout, for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// The service.
     pub service: String,
-    /// The version that was ordered.
+    /// The version to move to.
     pub target_version: String,
-    /// How far the roll-out has come.
+    /// The stage.
     pub stage: Stage,
 }
--- a/crates/core/src/serving/rollout/progress.rs
+++ b/crates/core/src/serving/rollout/progress.rs
@@ -1,92 +1,95 @@
-//! Decides the next stage of a roll-out.
+//! Decides on the next stage of a rollout.
 //!
-//! The canary is watched for as long as the order leaves time: a version may turn bad late. What is
-//! left of the time is for requests on other versions to end, and for a slow table service.
+//! The canary is watched for as long as the order's duration allows, since a version may become bad
+//! late. The rest of the duration is for requests on other versions to complete, and for a slow
+//! table service.
 
 use super::judge::{Judge, Regression};
 use super::order::Stage;
 use super::tally::Tallies;
 use crate::Millis;
 
-/// The part of the ordered time for which the canary is watched.
-const CANARY_PART: f64 = 0.55;
-/// The part of it until which the version gets a larger share.
-const RAMP_PART: f64 = 0.68;
-/// The part of it after which the roll-out completes although requests run on other versions.
-const FORCED_PART: f64 = 0.85;
-/// The part of it for which the version gets all requests at the least before the others go: where
-/// requests are few, one in ten versions that turned bad was found only by then (`rollout_trials`).
-const LEAST_SHIFT_PART: f64 = 0.12;
-/// The fewest answers of the new version on which it is taken for good: of versions whose answers
-/// are bad one time in ten, one in 25 shows none among them; of those at three in ten, one in 40,000.
-/// More cannot be had within the tolerated share of a service with few requests.
-const LEAST_ANSWERS: u64 = 30;
-/// The fewest servers of the new version, as a part of the others: what the canary is served well by
-/// is less than what all requests need.
-const LEAST_SERVERS_PART: f64 = 0.7;
+/// The fraction of the duration for which the canary is watched.
+const CANARY_FRACTION: f64 = 0.55;
+/// The fraction of the duration at which the ramp ends.
+const RAMP_FRACTION: f64 = 0.68;
+/// The fraction of the duration after which the rollout completes even if requests are in flight on
+/// other versions.
+const FORCED_FRACTION: f64 = 0.85;
+/// The fraction of the duration for which the target version must get all requests before the
+/// others stop. With few requests, one in ten versions that became bad was detected only in this
+/// time (`rollout_trials`).
+const MIN_SHIFT_FRACTION: f64 = 0.12;
+/// The number of responses on which a version is judged good. If one response in ten of a version
+/// is bad, one version in 25 shows none among so many; at three in ten, one in 40,000. The
+/// tolerated share of a service with few requests allows no more.
+const MIN_RESPONSES: u64 = 30;
+/// The minimum number of servers of the target version, relative to the others. The servers that
+/// suffice for the canary do not suffice for all requests.
+const MIN_SERVERS_RATIO: f64 = 0.7;
 
-/// What the holder knows of a roll-out.
+/// What the duty holder knows of a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot<'a> {
-    /// How far it has come.
+    /// The stage.
     pub stage: Stage,
-    /// The ordered time.
+    /// The duration of the order, in milliseconds.
     pub duration: Millis,
-    /// The time since the order.
+    /// The time since the order, in milliseconds.
     pub elapsed: Millis,
-    /// Answers, over all nodes.
+    /// Responses, over all nodes.
     pub tallies: &'a Tallies,
-    /// Servers of the new version that take requests.
+    /// Servers of the target version that accept requests.
     pub target_servers: usize,
-    /// Servers of other versions that take requests.
+    /// Servers of other versions that accept requests.
     pub other_servers: usize,
     /// Requests in flight on other versions, over all nodes.
     pub in_flight: u32,
 }
 
 impl Snapshot<'_> {
-    fn is_past(&self, part: f64) -> bool {
-        self.elapsed as f64 >= self.duration as f64 * part
+    fn is_past(&self, fraction: f64) -> bool {
+        self.elapsed as f64 >= self.duration as f64 * fraction
     }
 
     fn has_enough_servers(&self) -> bool {
-        let needed = (self.other_servers as f64 * LEAST_SERVERS_PART).ceil() as usize;
+        let needed = (self.other_servers as f64 * MIN_SERVERS_RATIO).ceil() as usize;
         self.target_servers >= needed.max(1)
     }
 }
 
-/// What to do next.
+/// The next action of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Nothing yet.
+    /// Do nothing yet.
     Wait,
-    /// Let the new version have a small share.
+    /// Give the target version a small share of the requests.
     Begin,
-    /// Let the new version have a larger share.
+    /// Give the target version a larger share.
     Ramp,
-    /// Let the new version have all requests that begin.
+    /// Give the target version all new requests.
     Shift,
-    /// Tell the operator that the other versions may go.
+    /// Tell the operator that the other versions may be stopped.
     Complete {
-        /// Requests in flight there, which are cut.
+        /// Requests in flight on the other versions, which are cut off.
         cut: u32,
     },
-    /// Take the new version out of service: it is worse.
+    /// Take the target version out of service because it is worse.
     RollBack(Regression),
-    /// Take it out because the time is over without enough answers or servers to judge by.
+    /// Take it out because the time is over without enough responses or servers for a verdict.
     GiveUp,
 }
 
-/// The roll-out of one order, as the holder of the duties follows it.
+/// The progress of one order, as the duty holder follows it.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     judge: Judge,
-    /// The time since the order at which this holder first saw all requests go to the new version.
+    /// The time since the order at which this duty holder first saw the stage [`Stage::Shifting`].
     shifted_at: Option<Millis>,
 }
 
 impl Progress {
-    /// Decides what to do next.
+    /// Decides on the next action.
     pub fn step(&mut self, snapshot: &Snapshot<'_>) -> Action {
         match snapshot.stage {
             Stage::Pending if snapshot.other_servers == 0 && snapshot.target_servers > 0 => {
@@ -101,14 +104,17 @@
     }
 
     fn watch_canary(&mut self, snapshot: &Snapshot<'_>) -> Action {
-        if let Some(fault) = self.judge.weigh(snapshot.tallies) {
-            return Action::RollBack(fault);
+        if let Some(regression) = self.judge.weigh(snapshot.tallies) {
+            return Action::RollBack(regression);
         }
-        let is_tried = snapshot.tallies.count_target() >= LEAST_ANSWERS;
-        if snapshot.is_past(CANARY_PART) && is_tried && snapshot.has_enough_servers() {
+        let has_enough_responses = snapshot.tallies.count_target() >= MIN_RESPONSES;
+        if snapshot.is_past(CANARY_FRACTION)
+            && has_enough_responses
+            && snapshot.has_enough_servers()
+        {
             return Action::Ramp;
         }
-        if snapshot.is_past(FORCED_PART) {
+        if snapshot.is_past(FORCED_FRACTION) {
             return Action::GiveUp;
         }
         Action::Wait
@@ -116,20 +122,20 @@
 
     fn watch_ramp(&mut self, snapshot: &Snapshot<'_>) -> Action {
         match self.judge.weigh(snapshot.tallies) {
-            Some(fault) => Action::RollBack(fault),
-            None if snapshot.is_past(RAMP_PART) => Action::Shift,
+            Some(regression) => Action::RollBack(regression),
+            None if snapshot.is_past(RAMP_FRACTION) => Action::Shift,
             None => Action::Wait,
         }
     }
 
     fn watch_shift(&mut self, snapshot: &Snapshot<'_>) -> Action {
-        if let Some(fault) = self.judge.weigh(snapshot.tallies) {
-            return Action::RollBack(fault);
+        if let Some(regression) = self.judge.weigh(snapshot.tallies) {
+            return Action::RollBack(regression);
         }
         let shifted_at = *self.shifted_at.get_or_insert(snapshot.elapsed);
-        let least = (snapshot.duration as f64 * LEAST_SHIFT_PART) as Millis;
-        let is_watched = snapshot.elapsed >= shifted_at + least;
-        if (is_watched && snapshot.in_flight == 0) || snapshot.is_past(FORCED_PART) {
+        let min_shift = (snapshot.duration as f64 * MIN_SHIFT_FRACTION) as Millis;
+        let is_watched_enough = snapshot.elapsed >= shifted_at + min_shift;
+        if (is_watched_enough && snapshot.in_flight == 0) || snapshot.is_past(FORCED_FRACTION) {
             return Action::Complete { cut: snapshot.in_flight };
         }
         Action::Wait
--- a/crates/core/src/serving/rollout/registry.rs
+++ b/crates/core/src/serving/rollout/registry.rs
@@ -1,4 +1,4 @@
-//! What a node knows of all roll-outs.
+//! The rollouts that a node knows of.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,73 +11,74 @@
 use crate::serving::table_version::TableVersion;
 use crate::{Millis, rendezvous};
 
-/// The share of the requests that a version gets in [`Stage::Ramp`]: with what the canary got, a
-/// version that turns bad there is found within one in ten of all requests (`rollout_trials`).
+/// The share of the requests that a version gets in [`Stage::Ramp`]. Together with the canary's
+/// requests, a version that becomes bad there is detected within one tenth of all requests
+/// (`rollout_trials`).
 const RAMP_SHARE: f64 = 0.3;
 const CANARIES_KEY: &str = "canaries";
-/// How long the others may still be listed once a roll-out has completed and they stop: entries go
-/// after three heartbeats of 1.2 s.
-const OTHERS_LISTED_FOR: Millis = 5_000;
-/// A stage that was not heard of for this long may have changed.
-const STAGE_VALID_FOR: Millis = 2_500;
+/// How long servers of other versions may remain listed after a rollout has completed and they
+/// stop, in milliseconds: entries are removed after three heartbeats of 1.2 s.
+const OTHERS_LISTED_PERIOD: Millis = 5_000;
+/// How long a stage is valid without a confirmation, in milliseconds.
+const STAGE_TTL: Millis = 2_500;
 
-/// Which servers a request may go to.
+/// The servers that a request may be sent to, by their version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionFilter {
-    /// All of them: there is no roll-out.
+    /// All servers: there is no rollout.
     Any,
-    /// A few of the new version, given by [`Registry::list_canaries`].
+    /// A few servers of the target version, listed by [`Registry::list_canaries`].
     Canary,
-    /// Those of the new version.
+    /// Servers of the target version.
     Target,
-    /// Those of the new version, or all others where there are none of it.
+    /// Servers of the target version, or all others if there are none.
     PreferTarget,
-    /// All others.
+    /// All other servers.
     Others,
-    /// All others, or those of the new version where there are no others.
+    /// All other servers, or those of the target version if there are none.
     PreferOthers,
 }
 
-/// What a node, or a group of nodes, counted of one roll-out.
+/// The counts of a rollout, from a node or a group of nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The service.
     pub service: String,
-    /// The order's number.
+    /// The number of the order.
     pub number: TableVersion,
-    /// Answers since the order.
+    /// Responses since the order.
     pub tallies: Tallies,
     /// Requests in flight on other versions.
     pub in_flight: u32,
 }
 
-/// What operators see of a roll-out at one node.
+/// A rollout at one node, for the operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// What was ordered.
+    /// The order.
     pub order: Order,
-    /// How far it has come, as the node knows.
+    /// The stage that the node knows.
     pub stage: Stage,
-    /// Milliseconds since the holder of the duties was known to hold to that.
+    /// Milliseconds since the duty holder confirmed the stage.
     pub confirmed_ms: Option<Millis>,
-    /// Requests that the node sent to the service since it learned of the order.
+    /// Requests that the node has sent to the service since it learned of the order.
     pub sent: u64,
-    /// Those of them that went to the new version.
+    /// Those of them that were sent to the target version.
     pub sent_to_target: u64,
-    /// Answers of the new version, over all nodes that the node hears of.
+    /// Responses of the target version, over all nodes that the node knows of.
     pub answers: u64,
     /// Those of them that failed.
     pub failed: u64,
 }
 
-/// A roll-out, as one node knows it.
+/// A rollout, as one node knows it.
 #[derive(Clone, Debug)]
 struct Rollout {
     order: Order,
     stage: Stage,
-    /// Versions of earlier orders that were never completed.
+    /// Target versions of earlier orders that were never completed.
     barred: BTreeSet<String>,
-    /// When the holder of the duties was last known to hold to the stage.
+    /// When the duty holder last confirmed the stage.
     confirmed_at: Option<Millis>,
     /// When this node learned of the stage.
     stage_since: Millis,
@@ -87,13 +88,13 @@
     peers: BTreeMap<(String, u64), Report>,
 }
 
-/// All roll-outs that a node knows of.
+/// The rollouts that a node knows of.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     rollouts: BTreeMap<String, Rollout>,
-    /// Orders that count once the era is settled, by service.
+    /// Orders that wait until the era is settled, by service.
     deferred: BTreeMap<String, Order>,
-    /// When servers that have just started are as fast as others, by id.
+    /// When servers that just started are as fast as others, by id.
     warm_at: HashMap<String, Millis>,
 }
 
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Bars versions, but for the one that is on trial now.
+    /// Bars versions, except the target version of this order.
     fn bar(&mut self, versions: impl IntoIterator<Item = String>) {
         self.barred.extend(versions);
         self.barred.remove(&self.order.target_version);
     }
 
-    /// Lists the versions that a later order bars.
+    /// Returns the versions that a later order bars.
     fn into_barred(mut self) -> BTreeSet<String> {
         if self.stage != Stage::Completed {
             self.barred.insert(self.order.target_version);
@@ -126,16 +127,16 @@
         self.barred
     }
 
-    /// Decides which servers a request may go to once the roll-out has completed: the others stop
-    /// at once, and are listed for some time after that.
-    fn pick_side_completed(&self, now: Millis) -> VersionFilter {
-        let is_recent = now < self.stage_since + OTHERS_LISTED_FOR;
+    /// Returns the filter after a completed rollout. The other servers stop at once, but remain
+    /// listed for some time.
+    fn pick_completed_filter(&self, now: Millis) -> VersionFilter {
+        let is_recent = now < self.stage_since + OTHERS_LISTED_PERIOD;
         if is_recent { VersionFilter::PreferTarget } else { VersionFilter::Any }
     }
 
-    /// Returns the stage to act on: one that was not confirmed lately may have changed.
+    /// Returns the stage to act on. A stage that was not confirmed recently may have changed.
     fn get_stage(&self, now: Millis) -> Stage {
-        let is_recent = self.confirmed_at.is_some_and(|at| now < at + STAGE_VALID_FOR);
+        let is_recent = self.confirmed_at.is_some_and(|at| now < at + STAGE_TTL);
         if self.stage.is_final() || is_recent { self.stage } else { Stage::Pending }
     }
 
@@ -155,14 +156,14 @@
 }
 
 impl Registry {
-    /// Takes an order; returns `true` if it is newer than what is known.
+    /// Applies an order. Returns `true` if it is newer than the known one.
     ///
-    /// It ends an earlier one for the service: the version of that one is barred unless it was
-    /// completed, because nothing shows that it is good.
+    /// The order replaces an earlier one for the service. The earlier target version is barred
+    /// unless its rollout was completed, because nothing shows that it is good.
     ///
-    /// After a return of the table service from an older copy, the known order gets another number where
-    /// its row is still there or is written again. A different one may be an earlier order that the copy
-    /// holds, and counts only once the era `is_settled`: see [`Self::apply_deferred`].
+    /// If the table service was restored from an older copy, the known order gets a new number when
+    /// its row is still there or is written again. A different order may be an earlier one that the
+    /// copy holds, and is applied only once the era `is_settled`: see [`Self::apply_deferred`].
     pub fn apply_order(&mut self, order: Order, is_settled: bool) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             if known.order.number >= order.number {
@@ -186,14 +187,14 @@
         true
     }
 
-    /// Takes the orders that were seen before the era was settled, and that no later one has replaced; returns those
-    /// that are newer than what is known.
+    /// Applies the orders that were deferred until the era was settled and were not replaced by a
+    /// later one. Returns those that are newer than the known ones.
     pub fn apply_deferred(&mut self) -> Vec<Order> {
         let deferred = std::mem::take(&mut self.deferred).into_values();
         deferred.filter(|order| self.apply_order(order.clone(), true)).collect()
     }
 
-    /// Bars versions of earlier orders, in the roll-out of an order.
+    /// Bars versions of earlier orders, in the rollout of an order.
     pub fn bar(&mut self, service: &str, number: TableVersion, versions: &[String]) {
         let rollout = self.rollouts.get_mut(service);
         if let Some(rollout) = rollout.filter(|rollout| rollout.order.number == number) {
@@ -207,7 +208,7 @@
         rollout.map_or_else(Vec::new, |rollout| rollout.barred.iter().cloned().collect())
     }
 
-    /// Merges what another node announces; returns the stage where it has advanced.
+    /// Merges an announcement of another node. Returns the stage if it has advanced.
     pub fn merge_announcement(
         &mut self,
         now: Millis,
@@ -234,7 +235,7 @@
         None
     }
 
-    /// Sets the stage as the holder of the duties, which confirms it.
+    /// Sets and confirms the stage, as the duty holder.
     pub fn confirm_stage(
         &mut self,
         now: Millis,
@@ -253,7 +254,7 @@
         rollout.confirmed_at = Some(now);
     }
 
-    /// Lists what is announced to other nodes.
+    /// Lists the rollouts to announce to other nodes.
     pub fn list_announcements(&self, now: Millis) -> Vec<Announcement> {
         let announce = |rollout: &Rollout| Announcement {
             order: rollout.order.clone(),
@@ -269,7 +270,7 @@
         self.rollouts.values().map(|rollout| (rollout.order.clone(), rollout.stage)).collect()
     }
 
-    /// Lists what operators see.
+    /// Lists the summaries for the operator.
     pub fn list_summaries(&self, now: Millis) -> Vec<Summary> {
         let summarize = |rollout: &Rollout| {
             let tallies = rollout.sum(0, &[&rollout.members, &rollout.peers]).tallies;
@@ -286,14 +287,14 @@
         self.rollouts.values().map(summarize).collect()
     }
 
-    /// Returns `true` if a server has the version that a roll-out moves to.
+    /// Returns `true` if a server has the target version of a rollout.
     pub fn is_target(&self, server: &Server) -> bool {
         let rollout = self.rollouts.get(&server.service);
         rollout.is_some_and(|rollout| rollout.order.target_version == server.version)
     }
 
-    /// Returns `true` if a server is one of a version on trial, which does not count as one that
-    /// the service has.
+    /// Returns `true` if a server has a barred or undecided version, and does not count as one of
+    /// the service's servers.
     pub fn is_on_trial(&self, server: &Server) -> bool {
         let rollout = self.rollouts.get(&server.service);
         let Some(rollout) = rollout else { return false };
@@ -301,13 +302,13 @@
         rollout.barred.contains(&server.version) || (self.is_target(server) && !is_decided)
     }
 
-    /// Returns `true` if a request may go to a server, given the side that was picked for it.
-    pub fn is_allowed(&self, side: VersionFilter, server: &Server) -> bool {
+    /// Returns `true` if a filter allows a server.
+    pub fn is_allowed(&self, filter: VersionFilter, server: &Server) -> bool {
         let rollout = self.rollouts.get(&server.service);
         if rollout.is_some_and(|rollout| rollout.barred.contains(&server.version)) {
             return false;
         }
-        match side {
+        match filter {
             VersionFilter::Any => true,
             VersionFilter::Canary | VersionFilter::Target | VersionFilter::PreferTarget => {
                 self.is_target(server)
@@ -316,9 +317,11 @@
         }
     }
 
-    /// Lists the few servers of the new version that the canary's requests go to, the same at all
-    /// nodes, of those that take requests: each has about as much to do as it will have once it
-    /// gets all requests, so that what is bad under load shows.
+    /// Lists the few servers of the target version that get the canary's requests, out of those
+    /// that accept requests. They are the same at all nodes.
+    ///
+    /// Each of them gets about as many requests as it will after the rollout, so that faults under
+    /// load show.
     pub fn list_canaries<'a>(
         &self,
         servers: impl Iterator<Item = &'a Server>,
@@ -332,8 +335,8 @@
         ordered
     }
 
-    /// Decides which servers of a service the first attempt of a request may go to.
-    /// `random` is drawn evenly from 0 to 1.
+    /// Picks the servers for the first attempt of a request. `random` is uniformly distributed from
+    /// 0 to 1.
     pub fn pick_filter(
         &self,
         now: Millis,
@@ -348,24 +351,24 @@
             Stage::Ramp if random < RAMP_SHARE => VersionFilter::Target,
             Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Others,
             Stage::Shifting => VersionFilter::Target,
-            Stage::Completed => rollout.pick_side_completed(now),
+            Stage::Completed => rollout.pick_completed_filter(now),
         }
     }
 
-    /// Returns `true` if the newest version of a service was found to be good: its traffic moves, or
-    /// has moved, to that version.
+    /// Returns `true` if the newest version of a service was judged good: its traffic moves, or has
+    /// moved, to that version.
     pub fn is_accepted(&self, now: Millis, service: &str) -> bool {
         let rollout = self.rollouts.get(service);
         let stage = rollout.map(|rollout| rollout.get_stage(now));
         matches!(stage, Some(Stage::Shifting | Stage::Completed))
     }
 
-    /// Decides which servers of a service a further attempt of a request may go to: after a failure
-    /// the version that is known to work is preferred.
+    /// Picks the servers for a retry of a request. After a failure, the version that is known to
+    /// work is preferred.
     pub fn pick_retry_filter(&self, now: Millis, service: &str) -> VersionFilter {
         let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
-            Stage::Completed => rollout.pick_side_completed(now),
+            Stage::Completed => rollout.pick_completed_filter(now),
             Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => {
                 VersionFilter::Others
             }
@@ -381,7 +384,7 @@
         }
     }
 
-    /// Counts a good answer of a server, or a phase of it.
+    /// Counts a good response of a server in a phase.
     pub fn record_success(
         &mut self,
         now: Millis,
@@ -396,7 +399,7 @@
         }
     }
 
-    /// Counts an answer of a server that failed in a phase.
+    /// Counts a failed response of a server in a phase.
     pub fn record_failure(&mut self, server: &Server, route: &str, phase: Phase) {
         if let Some(tally) = self.get_tally(server, route, phase) {
             tally.record_failure();
@@ -418,45 +421,47 @@
         Some(rollout.own.get_mut(series, is_target))
     }
 
-    /// Notes when a server that has just started is as fast as others.
+    /// Records when a server that just started is as fast as others.
     pub fn record_joined(&mut self, now: Millis, server: &Server) {
         if let Some(left) = server.warm_within.filter(|left| *left > 0) {
             self.warm_at.insert(server.id.clone(), now + left);
         }
     }
 
-    /// Forgets a server that is gone.
+    /// Removes a server.
     pub fn forget_server(&mut self, id: &str) {
         self.warm_at.remove(id);
     }
 
-    /// Lists what this node counted for itself and for the nodes that report to it, of the
-    /// roll-outs that are not decided; `in_flight` counts its requests in flight on other versions.
+    /// Returns the counts of this node and of the nodes that report to it, for the undecided
+    /// rollouts. `in_flight` returns its requests in flight on other versions.
     pub fn report_group(&self, in_flight: impl Fn(&Order) -> u32) -> Vec<Report> {
-        let open = self.rollouts.values().filter(|rollout| !rollout.stage.is_final());
-        open.map(|rollout| rollout.sum(in_flight(&rollout.order), &[&rollout.members])).collect()
+        let undecided = self.rollouts.values().filter(|rollout| !rollout.stage.is_final());
+        undecided
+            .map(|rollout| rollout.sum(in_flight(&rollout.order), &[&rollout.members]))
+            .collect()
     }
 
-    /// Sums what all nodes counted of a roll-out.
+    /// Returns the counts of a rollout over all nodes.
     pub fn sum_all(&self, service: &str, in_flight: impl Fn(&Order) -> u32) -> Option<Report> {
         let rollout = self.rollouts.get(service)?;
         let reports = [&rollout.members, &rollout.peers];
         Some(rollout.sum(in_flight(&rollout.order), &reports))
     }
 
-    /// Merges what an incarnation of a node counted; `is_member` where it reports to this node.
-    pub fn merge(&mut self, is_member: bool, from: (&str, u64), reports: &[Report]) {
+    /// Merges the counts of a node's incarnation. `is_member` is `true` if it reports to this node.
+    pub fn merge(&mut self, is_member: bool, sender: (&str, u64), reports: &[Report]) {
         for report in reports {
             let Some(rollout) = self.rollouts.get_mut(&report.service) else { continue };
             if rollout.order.number != report.number {
                 continue;
             }
             let known = if is_member { &mut rollout.members } else { &mut rollout.peers };
-            known.insert((from.0.to_owned(), from.1), report.clone());
+            known.insert((sender.0.to_owned(), sender.1), report.clone());
         }
     }
 
-    /// Begins to count anew, for another aggregator: the former one has what was counted.
+    /// Resets the counts for a new aggregator. The former one keeps what was counted.
     pub fn reset_counts(&mut self) {
         for rollout in self.rollouts.values_mut() {
             rollout.own = Tallies::default();
@@ -464,8 +469,8 @@
         }
     }
 
-    /// Notes that an incarnation of a node is gone: what it counted still counts, and nothing of it
-    /// is in flight.
+    /// Records that an incarnation of a node is gone. Its counts remain, without requests in
+    /// flight.
     pub fn forget(&mut self, peer: &str, incarnation: u64) {
         let key = (peer.to_owned(), incarnation);
         for rollout in self.rollouts.values_mut() {
--- a/crates/core/src/serving/rollout/tally.rs
+++ b/crates/core/src/serving/rollout/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of answers, and of how long they took.
+//! Counts of responses and their latencies.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,44 @@
 
 use crate::Millis;
 
-/// The longest latency that is recorded as it is, in milliseconds.
-const LONGEST: u64 = 60_000;
-/// Significant digits of latencies: a version counts as slow from about half as much again.
-const DIGITS: u8 = 1;
+/// The longest latency that is recorded exactly, in milliseconds.
+const MAX_LATENCY_MS: u64 = 60_000;
+/// Significant digits of latencies. A version counts as slow from about 1.5 times the latency.
+const SIGNIFICANT_DIGITS: u8 = 1;
 
-/// Latencies in milliseconds, with one significant digit.
+/// A histogram of latencies in milliseconds, with one significant digit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(from = "Recorded", into = "Recorded")]
+#[serde(from = "LatencyCounts", into = "LatencyCounts")]
 pub struct Latencies(Histogram<u32>);
 
 /// Latencies as they are sent: each value with its count.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Recorded(Vec<(u64, u32)>);
+struct LatencyCounts(Vec<(u64, u32)>);
 
 impl Default for Latencies {
     #[expect(clippy::expect_used, reason = "the bounds are constants that the histogram takes")]
     fn default() -> Self {
-        Self(Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("valid bounds"))
+        Self(
+            Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
+                .expect("valid bounds"),
+        )
     }
 }
 
-impl From<Recorded> for Latencies {
-    fn from(recorded: Recorded) -> Self {
+impl From<LatencyCounts> for Latencies {
+    fn from(counts: LatencyCounts) -> Self {
         let mut latencies = Self::default();
-        for (value, count) in recorded.0 {
+        for (value, count) in counts.0 {
             latencies.0.saturating_record_n(value, count);
         }
         latencies
     }
 }
 
-impl From<Latencies> for Recorded {
+impl From<Latencies> for LatencyCounts {
     fn from(latencies: Latencies) -> Self {
-        let recorded = latencies.0.iter_recorded();
-        Self(recorded.map(|step| (step.value_iterated_to(), step.count_at_value())).collect())
+        let counts = latencies.0.iter_recorded();
+        Self(counts.map(|bucket| (bucket.value_iterated_to(), bucket.count_at_value())).collect())
     }
 }
 
@@ -51,44 +54,44 @@
         self.0.saturating_record(latency.max(1));
     }
 
-    /// Returns how many there are.
+    /// Returns the number of latencies.
     pub fn len(&self) -> u64 {
         self.0.len()
     }
 
-    /// Returns `true` if there are none.
+    /// Returns `true` if there are no latencies.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the latency that a fraction of all do not exceed.
+    /// Returns the latency that the given fraction of all latencies do not exceed.
     pub fn get_quantile(&self, fraction: f64) -> Millis {
         self.0.value_at_quantile(fraction)
     }
 
-    /// Counts those above a latency, up to another.
+    /// Counts the latencies above `above`, up to `up_to`.
     pub fn count_between(&self, above: f64, up_to: f64) -> u64 {
-        let up_to = up_to.min(LONGEST as f64) as u64;
-        let above = above.min(LONGEST as f64) as u64;
+        let up_to = up_to.min(MAX_LATENCY_MS as f64) as u64;
+        let above = above.min(MAX_LATENCY_MS as f64) as u64;
         if up_to <= above {
             return 0;
         }
         self.0.count_between(above + 1, up_to)
     }
 
-    /// Returns which fraction of all lies above a latency, up to another.
+    /// Returns the fraction of all latencies that are above `above`, up to `up_to`.
     pub fn get_frequency(&self, above: f64, up_to: f64) -> f64 {
         self.count_between(above, up_to) as f64 / self.len().max(1) as f64
     }
 
     fn add(&mut self, other: &Self) {
-        for step in other.0.iter_recorded() {
-            self.0.saturating_record_n(step.value_iterated_to(), step.count_at_value());
+        for bucket in other.0.iter_recorded() {
+            self.0.saturating_record_n(bucket.value_iterated_to(), bucket.count_at_value());
         }
     }
 
-    /// Returns what was added since an earlier state of these; none where that holds more, because
-    /// a node that was counted is gone.
+    /// Returns what was added since an earlier state, or nothing if the earlier state has more,
+    /// because a counted node is gone.
     fn since(&self, before: &Self) -> Self {
         let mut added = self.0.clone();
         match added.subtract(&before.0) {
@@ -98,19 +101,19 @@
     }
 }
 
-/// Answers of the servers of some version.
+/// Responses of the servers of some version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Good answers.
+    /// Good responses.
     pub good: u64,
-    /// Answers that failed, broke off, or did not come.
+    /// Responses that failed, were interrupted, or did not arrive.
     pub failed: u64,
-    /// Latencies of good answers, but for those of servers that have just started.
+    /// Latencies of good responses, except those of servers that just started.
     pub latencies: Latencies,
 }
 
 impl Tally {
-    /// Counts a good answer, with its latency where that is known to be typical.
+    /// Counts a good response, with its latency if that is known to be typical.
     pub fn record_success(&mut self, latency: Option<Millis>) {
         self.good += 1;
         if let Some(latency) = latency {
@@ -118,17 +121,17 @@
         }
     }
 
-    /// Counts a failed answer.
+    /// Counts a failed response.
     pub fn record_failure(&mut self) {
         self.failed += 1;
     }
 
-    /// Returns the number of answers.
+    /// Returns the number of responses.
     pub fn len(&self) -> u64 {
         self.good + self.failed
     }
 
-    /// Returns `true` if there are no answers.
+    /// Returns `true` if there are no responses.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -139,7 +142,7 @@
         self.latencies.add(&other.latencies);
     }
 
-    /// Returns what was added since an earlier state of this tally.
+    /// Returns what was added since an earlier state.
     pub(super) fn since(&self, before: &Self) -> Self {
         Self {
             good: self.good.saturating_sub(before.good),
@@ -149,16 +152,16 @@
     }
 }
 
-/// Which part of an answer is measured.
+/// The part of a response that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// Until the first token, or the whole answer where it is no stream.
+    /// Until the first token; for a response that is not streamed, until its end.
     FirstToken,
     /// The rest of a stream: the mean time between two pieces, in milliseconds.
     Stream,
 }
 
-/// What is compared between versions: answers of one route, in one phase.
+/// The unit of comparison between versions: responses of one route, in one phase.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Series {
     /// The route's name.
@@ -167,48 +170,49 @@
     pub phase: Phase,
 }
 
-/// Answers of the new version and of the others.
+/// Responses of the target version and of the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// Those of the new version.
+    /// Responses of the target version.
     pub target: Tally,
-    /// Those of all others.
+    /// Responses of all other versions.
     pub baseline: Tally,
 }
 
-/// Answers of a service since a roll-out was ordered.
+/// Responses of a service since a rollout was ordered.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tallies(BTreeMap<Series, Comparison>);
 
 impl Tallies {
-    /// Returns the tally of a series for the new version, or for the others.
+    /// Returns the tally of a series, for the target version or for the others.
     pub fn get_mut(&mut self, series: Series, is_target: bool) -> &mut Tally {
-        let pair = self.0.entry(series).or_default();
-        if is_target { &mut pair.target } else { &mut pair.baseline }
+        let comparison = self.0.entry(series).or_default();
+        if is_target { &mut comparison.target } else { &mut comparison.baseline }
     }
 
-    /// Adds what others counted.
+    /// Adds the counts of another node.
     pub fn add(&mut self, other: &Self) {
-        for (series, pair) in &other.0 {
+        for (series, comparison) in &other.0 {
             let sum = self.0.entry(series.clone()).or_default();
-            sum.target.add(&pair.target);
-            sum.baseline.add(&pair.baseline);
+            sum.target.add(&comparison.target);
+            sum.baseline.add(&comparison.baseline);
         }
     }
 
-    /// Lists all series.
+    /// Iterates over all series.
     pub fn iter(&self) -> impl Iterator<Item = (&Series, &Comparison)> {
         self.0.iter()
     }
 
-    /// Counts the failures of the new version, in all phases.
+    /// Returns the number of failures of the target version, in all phases.
     pub fn count_failed(&self) -> u64 {
-        self.0.values().map(|pair| pair.target.failed).sum()
+        self.0.values().map(|comparison| comparison.target.failed).sum()
     }
 
-    /// Counts the answers of the new version: each answer once, with its first token.
+    /// Returns the number of responses of the target version. Each counts once, with its first
+    /// token.
     pub fn count_target(&self) -> u64 {
         let first = self.0.iter().filter(|(series, _)| series.phase == Phase::FirstToken);
-        first.map(|(_, pair)| pair.target.len()).sum()
+        first.map(|(_, comparison)| comparison.target.len()).sum()
     }
 }
