--- a/crates/core/src/serving/load.rs
+++ b/crates/core/src/serving/load.rs
@@ -1,8 +1,9 @@
-//! How busy each server is, by this node's and its peers' counts.
+//! The load of each server, by the counts of this node and its peers.
 //!
-//! A server's own report is old when it arrives, and all nodes act on the same one. A node's own
-//! counts are exact, and its peers tell theirs some times a second. A prompt that takes long to
-//! read is reported at once, because many nodes would choose the same server until they hear of it.
+//! A server's own report is outdated when it arrives, and all nodes would act on the same one. A
+//! node's own counts are exact, and its peers report theirs several times per second. A prompt that
+//! takes long to read is reported at once; otherwise many nodes would choose the same server before
+//! they learn of it.
 
 use std::collections::HashMap;
 
@@ -14,31 +15,31 @@
 /// Priorities of requests at model servers; 0 is the most urgent.
 pub const PRIORITIES: usize = 10;
 
-/// What one node has in flight at a server.
+/// The load that one node has in flight at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that were sent and have not ended.
+    /// Requests in flight.
     pub requests: u32,
-    /// Requests of which nothing has come back yet.
+    /// Requests in flight without a first token.
     pub waiting: u32,
-    /// Prompt tokens of the requests of which nothing has come back yet, by priority.
+    /// Prompt tokens of the requests without a first token, by priority.
     pub waiting_tokens: [u64; PRIORITIES],
-    /// Tokens of prompt and answer of all requests in flight.
+    /// Tokens of the prompts and responses of all requests in flight.
     pub memory_tokens: u64,
 }
 
 impl Load {
-    /// Sums the tokens that are read before a request of a priority that comes now.
+    /// Returns the tokens that are read before a new request of a priority.
     pub fn get_tokens_ahead(&self, priority: usize) -> u64 {
         self.waiting_tokens[..=priority.min(PRIORITIES - 1)].iter().sum()
     }
 
-    /// Sums the prompt tokens of all requests of which nothing has come back yet.
+    /// Returns the prompt tokens of all requests without a first token.
     pub fn get_waiting_tokens(&self) -> u64 {
         self.waiting_tokens.iter().sum()
     }
 
-    /// Builds the load of a single request that waits for its first token.
+    /// Returns the load of a single request that waits for its first token.
     fn of(work: &RequestCost) -> Self {
         let mut load = Self::default();
         load.begin(work);
@@ -52,7 +53,7 @@
         self.memory_tokens += work.memory_tokens;
     }
 
-    /// Adds what another node has in flight at the same server.
+    /// Adds the load of another node at the same server.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.waiting += other.waiting;
@@ -62,7 +63,7 @@
         self.memory_tokens += other.memory_tokens;
     }
 
-    /// Subtracts what another node had in flight; no figure falls below zero.
+    /// Subtracts the load of another node. No count falls below zero.
     fn subtract(&mut self, other: &Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.waiting = self.waiting.saturating_sub(other.waiting);
@@ -78,57 +79,57 @@
     }
 }
 
-/// A short name for a server's id, for messages between nodes.
+/// Returns the short id of a server or service, for messages between nodes.
 pub fn short_id(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// The size of one request in flight.
+/// The cost of one request in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCost {
     /// Prompt tokens that the server has to read.
     pub prompt_tokens: u64,
     /// The request's priority, below [`PRIORITIES`].
     pub priority: usize,
-    /// Tokens of prompt and answer.
+    /// Tokens of the prompt and the response.
     pub memory_tokens: u64,
 }
 
-/// Requests of one peer that are kept between two messages with all its counts.
-const MOST_BEGUN: usize = 200;
+/// Requests of one peer that are kept between two reports of all its counts.
+const MAX_STARTED: usize = 200;
 
-/// The loads of all servers, as this node knows them.
+/// The loads of all servers that this node knows of.
 ///
-/// The sums over all peers are kept up to date with each report, so that reading one does not
-/// depend on the number of peers. [`LoadTracker::expire`] must run some times a second: a report
-/// counts until the first call after its end.
+/// The sums over all peers are updated with each report, so reading one does not depend on the
+/// number of peers. [`LoadTracker::expire`] must be called several times per second: a report
+/// counts until the first call after it expires.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
     own: HashMap<u64, Load>,
     peers: HashMap<String, PeerLoads>,
-    /// What all peers have in flight, by server.
+    /// The loads of all peers together, by server.
     sums: HashMap<u64, Load>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct PeerLoads {
-    loads: HashMap<u64, Reported>,
+    loads: HashMap<u64, PeerLoad>,
     /// Requests that the peer reported one by one after it reported its counts.
-    begun: Vec<Begun>,
-    /// When the newest report ends.
-    known_until: Millis,
+    started: Vec<StartedRequest>,
+    /// When the newest report expires.
+    valid_until: Millis,
 }
 
-/// What a peer reported of one server.
+/// The load that a peer reported at one server.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct PeerLoad {
     load: Load,
     valid_until: Millis,
 }
 
 /// A request that a peer has sent to a server.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct StartedRequest {
     server: u64,
     work: RequestCost,
     /// When its prompt is expected to have been read.
@@ -141,7 +142,7 @@
         self.own.entry(short_id(id)).or_default().begin(work);
     }
 
-    /// Notes that the first token of an answer came back.
+    /// Records the first token of a response.
     pub fn record_first_token(&mut self, id: &str, work: &RequestCost) {
         if let Some(load) = self.own.get_mut(&short_id(id)) {
             load.waiting = load.waiting.saturating_sub(1);
@@ -150,56 +151,55 @@
         }
     }
 
-    /// Notes that a request has ended, after its first token or before it.
+    /// Counts the end of a request, with or without a first token.
     pub fn end(&mut self, id: &str, work: &RequestCost, had_first_token: bool) {
         if !had_first_token {
             self.record_first_token(id, work);
         }
-        let short = short_id(id);
-        let Some(load) = self.own.get_mut(&short) else { return };
+        let short_id = short_id(id);
+        let Some(load) = self.own.get_mut(&short_id) else { return };
         load.requests = load.requests.saturating_sub(1);
         load.memory_tokens = load.memory_tokens.saturating_sub(work.memory_tokens);
         if load.requests == 0 {
-            self.own.remove(&short);
+            self.own.remove(&short_id);
         }
     }
 
-    /// Replaces all that a peer has in flight by its newest report, which counts until
-    /// `valid_until`.
+    /// Replaces the loads of a peer by its newest report, which is valid until `valid_until`.
     pub fn merge(&mut self, valid_until: Millis, peer: &str, loads: Vec<(u64, Load)>) {
         self.forget(peer);
         for (server, load) in loads {
             self.merge_server(valid_until, peer, server, load);
         }
-        // The peer is known from now on, also while it has nothing in flight.
-        self.peers.entry(peer.to_owned()).or_default().known_until = valid_until;
+        // Keeps the peer known even if it has nothing in flight.
+        self.peers.entry(peer.to_owned()).or_default().valid_until = valid_until;
     }
 
-    /// Replaces what a peer has in flight at one server, until `valid_until`.
+    /// Replaces the load of a peer at one server, until `valid_until`.
     pub fn merge_server(&mut self, valid_until: Millis, peer: &str, server: u64, load: Load) {
         let known = self.peers.entry(peer.to_owned()).or_default();
-        known.known_until = known.known_until.max(valid_until);
+        known.valid_until = known.valid_until.max(valid_until);
         let before = known.loads.remove(&server);
         if let Some(before) = before {
             subtract(&mut self.sums, server, &before.load);
         }
         if !load.is_idle() {
-            known.loads.insert(server, Reported { load, valid_until });
+            known.loads.insert(server, PeerLoad { load, valid_until });
             self.sums.entry(server).or_default().add(&load);
         }
     }
 
-    /// Adds a request that a peer has sent to a server by now, until its prompt is expected to have
-    /// been read or the peer reports all its counts again.
+    /// Adds a request that a peer has sent to a server. It counts until its prompt is expected to
+    /// have been read, or until the peer reports all its counts again.
     pub fn merge_started(&mut self, until: Millis, peer: &str, server: u64, work: &RequestCost) {
         let Some(known) = self.peers.get_mut(peer) else { return };
-        if known.begun.len() < MOST_BEGUN {
-            known.begun.push(Begun { server, work: *work, until });
+        if known.started.len() < MAX_STARTED {
+            known.started.push(StartedRequest { server, work: *work, until });
             self.sums.entry(server).or_default().add(&Load::of(work));
         }
     }
 
-    /// Drops what was reported too long ago.
+    /// Removes expired reports.
     pub fn expire(&mut self, now: Millis) {
         let sums = &mut self.sums;
         for known in self.peers.values_mut() {
@@ -210,40 +210,40 @@
                 }
                 is_valid
             });
-            let known_until = known.known_until;
-            known.begun.retain(|begun| {
-                let is_unread = now < begun.until && now < known_until;
+            let valid_until = known.valid_until;
+            known.started.retain(|started| {
+                let is_unread = now < started.until && now < valid_until;
                 if !is_unread {
-                    subtract(sums, begun.server, &Load::of(&begun.work));
+                    subtract(sums, started.server, &Load::of(&started.work));
                 }
                 is_unread
             });
         }
-        self.peers.retain(|_, known| now < known.known_until);
+        self.peers.retain(|_, known| now < known.valid_until);
     }
 
-    /// Drops all that a peer reported.
+    /// Removes all reports of a peer.
     pub fn forget(&mut self, peer: &str) {
         let Some(known) = self.peers.remove(peer) else { return };
         for (server, reported) in known.loads {
             subtract(&mut self.sums, server, &reported.load);
         }
-        for begun in known.begun {
-            subtract(&mut self.sums, begun.server, &Load::of(&begun.work));
+        for started in known.started {
+            subtract(&mut self.sums, started.server, &Load::of(&started.work));
         }
     }
 
-    /// Lists this node's own counts.
+    /// Returns this node's own loads.
     pub fn get_own(&self) -> Vec<(u64, Load)> {
         self.own.iter().map(|(id, load)| (*id, *load)).collect()
     }
 
-    /// Returns this node's own count of a server.
+    /// Returns this node's own load at a server.
     pub fn get_own_of(&self, server: u64) -> Load {
         self.own.get(&server).copied().unwrap_or_default()
     }
 
-    /// Returns what all peers but one have in flight at a server.
+    /// Returns the load of all peers but one at a server.
     pub fn get_others(&self, peer: &str, server: u64) -> Load {
         let mut others = self.sums.get(&server).copied().unwrap_or_default();
         let reported = self.peers.get(peer).and_then(|known| known.loads.get(&server));
@@ -253,11 +253,11 @@
         others
     }
 
-    /// Sums this node's counts of a server and its peers'.
+    /// Returns the load of this node and all its peers at a server.
     pub fn total(&self, id: &str) -> Load {
-        let short = short_id(id);
-        let mut total = self.get_own_of(short);
-        if let Some(peers) = self.sums.get(&short) {
+        let short_id = short_id(id);
+        let mut total = self.get_own_of(short_id);
+        if let Some(peers) = self.sums.get(&short_id) {
             total.add(peers);
         }
         total
