--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -1,26 +1,28 @@
-//! Outlier ejection: which servers get no requests because of their latest answers.
+//! Outlier ejection: which servers get no requests because of their latest responses.
 //!
-//! A server may fail or hang while its health check is good. Each failure in a row doubles the
-//! time for which it is ejected; one good answer ends that. An ejected server is still used when
-//! no other is left. One that was out of reach may have started anew: it gets its work back
+//! A server may fail or hang while its health check succeeds. Each consecutive failure doubles the
+//! time for which the server is ejected, and a good response ends the ejection. An ejected server
+//! is still used if no other is left.
+//!
+//! A server that was unreachable may have restarted. It gets its share of the requests back
 //! gradually, because it fills its caches first and all nodes return to it at the same time.
 
 use std::collections::HashMap;
 
 use crate::Millis;
 
-/// The length of a first ejection, in milliseconds: a few times what an answer takes.
-const FIRST_EJECTION: Millis = 250;
-/// The longest ejection, in milliseconds: about as long as a new server takes to start.
-const LONGEST_EJECTION: Millis = 4_000;
-/// Failures in a row before a server is ejected.
-const TOLERATED: u32 = 1;
+/// The duration of a first ejection, in milliseconds: a few times the duration of a response.
+const MIN_EJECTION: Millis = 250;
+/// The longest ejection, in milliseconds: about the time that a new server takes to start.
+const MAX_EJECTION: Millis = 4_000;
+/// Consecutive failures that are tolerated before a server is ejected.
+const MAX_TOLERATED_FAILURES: u32 = 1;
 
-/// The time in which a server that was out of reach gets its share of the work back, in
-/// milliseconds: a few times as long as the longest answers of plain services take.
-const RAMP: Millis = 2_000;
+/// How long a server that was unreachable takes to get its share of the requests back, in
+/// milliseconds: a few times the longest responses of plain services.
+const RAMP_PERIOD: Millis = 2_000;
 
-/// What the latest answers of each server showed.
+/// The health of each server, from its latest responses.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     servers: HashMap<String, Record>,
@@ -30,12 +32,12 @@
 struct Record {
     failures: u32,
     ejected_until: Millis,
-    /// When the server gets all of its work back; 0 if it was not out of reach.
+    /// When the server has its full share of the requests back, or 0 if it was not unreachable.
     ramped_at: Millis,
 }
 
 impl Health {
-    /// Notes a good answer.
+    /// Records a good response.
     pub fn record_success(&mut self, id: &str) {
         let Some(record) = self.servers.get_mut(id) else { return };
         match record.ramped_at {
@@ -44,48 +46,49 @@
         }
     }
 
-    /// Notes a failure; returns the time for which the server is ejected, if it now is.
+    /// Records a failure. Returns the time for which the server is ejected, if it now is.
     pub fn record_failure(&mut self, now: Millis, id: &str) -> Option<Millis> {
         let record = self.servers.entry(id.to_owned()).or_default();
         record.failures += 1;
-        let beyond = record.failures.checked_sub(TOLERATED + 1)?;
-        let ejected_for = (FIRST_EJECTION << beyond.min(8)).min(LONGEST_EJECTION);
+        let excess = record.failures.checked_sub(MAX_TOLERATED_FAILURES + 1)?;
+        let ejected_for = (MIN_EJECTION << excess.min(8)).min(MAX_EJECTION);
         record.ejected_until = now + ejected_for;
         Some(ejected_for)
     }
 
-    /// Notes that no connection to the server came up, which ejects it at once.
+    /// Records that a connection to the server failed, which ejects it at once.
     pub fn record_connect_failure(&mut self, now: Millis, id: &str) {
-        self.servers.entry(id.to_owned()).or_default().failures += TOLERATED;
+        self.servers.entry(id.to_owned()).or_default().failures += MAX_TOLERATED_FAILURES;
         if let Some(ejected_for) = self.record_failure(now, id) {
             let record = self.servers.entry(id.to_owned()).or_default();
-            record.ramped_at = now + ejected_for + RAMP;
+            record.ramped_at = now + ejected_for + RAMP_PERIOD;
         }
     }
 
-    /// Notes that the server takes no requests until a time. All nodes may return to it then, so that it
-    /// gets its work back gradually.
+    /// Records that the server accepts no requests until a time. All nodes may return to it then,
+    /// so it gets its share of the requests back gradually.
     pub fn record_back_off(&mut self, id: &str, until: Millis) {
         let record = self.servers.entry(id.to_owned()).or_default();
-        record.ramped_at = record.ramped_at.max(until.saturating_add(RAMP));
+        record.ramped_at = record.ramped_at.max(until.saturating_add(RAMP_PERIOD));
     }
 
-    /// Returns `true` if a request should go elsewhere while the server gets its work back gradually.
+    /// Returns `true` if a request should go elsewhere while the server gets its share back
+    /// gradually.
     ///
-    /// `draw` is random, from 0 to 1. After the ejection all requests go elsewhere; the part that does
-    /// falls to none evenly within two seconds.
+    /// `draw` is random, from 0 to 1. At the end of the ejection all requests go elsewhere, and
+    /// this fraction falls linearly to zero within `RAMP_PERIOD`.
     pub fn is_ramping(&self, now: Millis, id: &str, draw: f64) -> bool {
         let Some(record) = self.servers.get(id) else { return false };
-        let left = record.ramped_at.saturating_sub(now).min(RAMP);
-        draw * (RAMP as f64) < left as f64
+        let remaining = record.ramped_at.saturating_sub(now).min(RAMP_PERIOD);
+        draw * (RAMP_PERIOD as f64) < remaining as f64
     }
 
-    /// Returns `true` if the server is ejected now.
+    /// Returns `true` if the server is ejected.
     pub fn is_ejected(&self, now: Millis, id: &str) -> bool {
         self.servers.get(id).is_some_and(|record| now < record.ejected_until)
     }
 
-    /// Forgets a server that is gone.
+    /// Removes a server.
     pub fn forget(&mut self, id: &str) {
         self.servers.remove(id);
     }
--- a/crates/core/src/serving/in_flight_bytes.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -1,44 +1,44 @@
-//! How many bytes of requests may lie at one server.
+//! Limits the bytes of requests in flight at one server.
 //!
-//! A server holds a request until it has answered. It may end when what it holds outgrows its
-//! memory, which nobody reports. A server that ends a connection while it holds much for this node
-//! therefore lowers the bound for all servers of its service; the bound doubles again after a time
-//! without such an end. A server at the bound counts as full.
+//! A server holds a request until it has responded. It may crash when the requests outgrow its
+//! memory, which nothing reports. A server that breaks a connection while many bytes of this node
+//! are in flight there therefore lowers the limit for all servers of its service. The limit doubles
+//! at intervals without another such failure. A server at its limit counts as full.
 
 use std::collections::HashMap;
 
 use crate::Millis;
 
-/// The least bytes held at a server whose end is taken for a lack of memory: some tens of usual
-/// requests, or a single large one.
+/// The bytes that must be in flight at a server for its crash to be blamed on a lack of memory:
+/// some tens of usual requests, or a single large one.
 pub const MIN_SUSPECT_BYTES: u64 = 32 * 1024;
-/// The time in which a bound doubles, in milliseconds: a server that ended is back by then, and the
-/// node that lowered its bound too far works at it again within a minute.
-const DOUBLES_IN: Millis = 5_000;
-/// Times that a bound doubles before it is forgotten.
-const DOUBLINGS: u32 = 8;
+/// The interval at which a limit doubles, in milliseconds. A crashed server is back by then, and a
+/// node whose limit is too low recovers within a minute.
+const DOUBLING_PERIOD: Millis = 5_000;
+/// How often a limit doubles before it is removed.
+const MAX_DOUBLINGS: u32 = 8;
 
-/// The bytes of this node's requests that each server holds, and the bounds of the services.
+/// Tracks and limits the bytes of this node's requests at each server.
 #[derive(Clone, Debug, Default)]
 pub struct Limiter {
-    /// The bytes held at each server, by its id.
+    /// The bytes in flight at each server, by its id.
     servers: HashMap<String, u64>,
-    /// The bound for each server of a service, by the service.
-    bounds: HashMap<String, Bound>,
+    /// The limit for each server of a service, by service.
+    limits: HashMap<String, Limit>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Bound {
+struct Limit {
     bytes: u64,
     lowered_at: Millis,
 }
 
-impl Bound {
-    /// Returns the bytes at a time; `None` once the bound is forgotten.
+impl Limit {
+    /// Returns the limit in bytes, or `None` once it has expired.
     fn get(&self, now: Millis) -> Option<u64> {
-        let since = now.saturating_sub(self.lowered_at);
-        let doublings = u32::try_from(since / DOUBLES_IN).unwrap_or(DOUBLINGS);
-        (doublings < DOUBLINGS).then(|| self.bytes << doublings)
+        let elapsed = now.saturating_sub(self.lowered_at);
+        let doublings = u32::try_from(elapsed / DOUBLING_PERIOD).unwrap_or(MAX_DOUBLINGS);
+        (doublings < MAX_DOUBLINGS).then(|| self.bytes << doublings)
     }
 }
 
@@ -50,51 +50,51 @@
         }
     }
 
-    /// Notes that a request has ended.
+    /// Counts the end of a request.
     pub fn end(&mut self, id: &str, bytes: u64) {
-        let Some(held) = self.servers.get_mut(id) else { return };
-        *held = held.saturating_sub(bytes);
-        if *held == 0 {
+        let Some(in_flight) = self.servers.get_mut(id) else { return };
+        *in_flight = in_flight.saturating_sub(bytes);
+        if *in_flight == 0 {
             self.servers.remove(id);
         }
     }
 
-    /// Returns the bytes that lie at a server.
+    /// Returns the bytes in flight at a server.
     pub fn get(&self, id: &str) -> u64 {
         self.servers.get(id).copied().unwrap_or(0)
     }
 
-    /// Returns the bytes that lie at all servers.
+    /// Returns the bytes in flight at all servers.
     pub fn get_total(&self) -> u64 {
         self.servers.values().sum()
     }
 
-    /// Notes that a server ended a connection before its answer was whole; returns the new bound, or
-    /// `None` where the server held too little to lower it.
+    /// Records that a server broke a connection before its response was complete. Returns the new
+    /// limit, or `None` if too few bytes were in flight to lower it.
     ///
-    /// The bound falls to half of what was held, and no lower than [`MIN_SUSPECT_BYTES`].
+    /// The limit falls to half of the bytes in flight, but not below [`MIN_SUSPECT_BYTES`].
     pub fn record_disconnect(&mut self, now: Millis, service: &str, id: &str) -> Option<u64> {
-        let held = self.get(id);
-        if held < MIN_SUSPECT_BYTES {
+        let in_flight = self.get(id);
+        if in_flight < MIN_SUSPECT_BYTES {
             return None;
         }
         let before = self.get_limit(now, service).unwrap_or(u64::MAX);
-        let bytes = (held / 2).max(MIN_SUSPECT_BYTES).min(before);
-        self.bounds.insert(service.to_owned(), Bound { bytes, lowered_at: now });
+        let bytes = (in_flight / 2).max(MIN_SUSPECT_BYTES).min(before);
+        self.limits.insert(service.to_owned(), Limit { bytes, lowered_at: now });
         Some(bytes)
     }
 
-    /// Returns the bytes that may lie at each server of a service; `None` where nothing bounds them.
+    /// Returns the limit for each server of a service, or `None` if there is none.
     pub fn get_limit(&self, now: Millis, service: &str) -> Option<u64> {
-        self.bounds.get(service)?.get(now)
+        self.limits.get(service)?.get(now)
     }
 
-    /// Returns `true` if a request of so many bytes would take a server beyond its bound.
+    /// Returns `true` if a request of `bytes` bytes would exceed the limit of a server.
     ///
-    /// One request alone is never too large for an idle server.
+    /// A single request is never too large for an idle server.
     pub fn is_full(&self, now: Millis, service: &str, id: &str, bytes: u64) -> bool {
-        let held = self.get(id);
-        let Some(bound) = self.get_limit(now, service) else { return false };
-        held > 0 && held + bytes > bound
+        let in_flight = self.get(id);
+        let Some(limit) = self.get_limit(now, service) else { return false };
+        in_flight > 0 && in_flight + bytes > limit
     }
 }
