--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -1,9 +1,10 @@
-//! How much of an answer is read before its caller takes it, and when a caller is disconnected.
+//! Read-ahead: how much of a response is read before its caller takes it, and when a caller is
+//! disconnected.
 //!
-//! An answer is read as fast as its server sends it, so that a caller's pause neither costs the
-//! answer nor keeps the server's slot. What the caller has not taken is held up to a bound; then
-//! reading stops until the caller has taken half of it. A caller that takes next to nothing of what
-//! is held for it is disconnected.
+//! A response is read as fast as its server sends it, so that a caller's pause neither loses the
+//! response nor keeps a slot of the server. Bytes that the caller has not read yet are buffered up
+//! to a limit. Reading then stops until the caller has read half of them. A caller that reads next
+//! to nothing of its buffer is disconnected.
 
 use std::collections::VecDeque;
 
@@ -11,58 +12,61 @@
 
 use crate::Millis;
 
-/// How many answers at their bound fill a node's memory for callers and servers: eight callers may
-/// rest at the same time before the memory is used up, and one alone cannot take it.
-const ANSWERS_HELD: u64 = 8;
-/// Bytes that one read of an answer may bring: as much as the HTTP library reads at a time. Reading
-/// goes on only where they fit.
+/// The number of full buffers that use up a node's memory for callers and servers. Eight callers
+/// may stall at the same time before the memory is used up, and a single one cannot use all of it.
+const FULL_BUFFERS: u64 = 8;
+/// The most bytes that one read of a response returns: as many as the HTTP library reads at a time.
+/// Reading continues only if they fit.
 pub const READ_BYTES: usize = 420 * 1024;
-/// The time within which a caller must take [`MIN_PROGRESS_BYTES`] of what is held for it, in milliseconds:
-/// longer than a person's pause or a lost packet's repeats, shorter than most callers' deadlines.
+/// The time within which a caller must read [`MIN_PROGRESS_BYTES`] of its buffer, in milliseconds:
+/// longer than a person's pause or the retransmissions of a lost packet, shorter than most callers'
+/// deadlines.
 pub const PROGRESS_TIMEOUT: Millis = 10_000;
-/// Bytes that a caller must take within [`PROGRESS_TIMEOUT`]. At this rate an answer of 100 kB is held
-/// for an hour.
+/// Bytes that a caller must read within [`PROGRESS_TIMEOUT`]. At this rate a response of 100 kB is
+/// buffered for an hour.
 pub const MIN_PROGRESS_BYTES: usize = 256;
-/// How long a caller must have taken nothing to be disconnected where memory is short or the node
-/// is about to stop, in milliseconds: a caller that reads at all takes something within it.
+/// How long a caller must have read nothing to be disconnected under memory pressure or when the
+/// node is about to stop, in milliseconds: a caller that reads at all reads something within this
+/// time.
 pub const STALL_TIMEOUT: Millis = 1_000;
-/// The longest time that one look at a caller counts for, in milliseconds. After a pause of the whole
-/// process, its callers' silence says nothing of them.
-const LONGEST_LOOK: Millis = 500;
+/// The longest time that one check of a caller counts for, in milliseconds. After a pause of the
+/// whole process, the silence of its callers means nothing.
+const MAX_CHECK_INTERVAL: Millis = 500;
 
-/// Returns the bytes that a node may hold of one answer, where it may hold `capacity` bytes in all.
+/// Returns the bytes that a node may buffer of one response, given its `capacity` for all of them.
 pub fn get_limit(capacity: u64) -> usize {
-    usize::try_from(capacity / ANSWERS_HELD).unwrap_or(usize::MAX)
+    usize::try_from(capacity / FULL_BUFFERS).unwrap_or(usize::MAX)
 }
 
-/// The part of an answer that was read and that its caller has not taken.
+/// The bytes of a response that its caller has not read yet.
 #[derive(Clone, Debug)]
 pub struct Buffer {
-    bound: usize,
+    limit: usize,
     pieces: VecDeque<Bytes>,
     bytes: usize,
     is_full: bool,
 }
 
 impl Buffer {
-    /// Makes an empty buffer that holds up to `bound` bytes.
-    pub fn new(bound: usize) -> Self {
-        Self { bound, pieces: VecDeque::new(), bytes: 0, is_full: false }
+    /// Creates an empty buffer for up to `limit` bytes.
+    pub fn new(limit: usize) -> Self {
+        Self { limit, pieces: VecDeque::new(), bytes: 0, is_full: false }
     }
 
-    /// Returns the bytes that are held.
+    /// Returns the number of buffered bytes.
     pub fn get_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns `true` if nothing is held.
+    /// Returns `true` if the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.pieces.is_empty()
     }
 
-    /// Returns `true` if more may be read.
+    /// Returns `true` if more may be read from the server.
     ///
-    /// Once the buffer was full, reading goes on when half of it was taken, and not for each piece.
+    /// Once the buffer was full, reading resumes only when half of it was taken, not for each
+    /// piece.
     pub fn is_reading(&self) -> bool {
         !self.is_full
     }
@@ -71,88 +75,88 @@
     pub fn push(&mut self, piece: Bytes) {
         self.bytes += piece.len();
         self.pieces.push_back(piece);
-        self.is_full = self.bytes + READ_BYTES > self.bound;
+        self.is_full = self.bytes + READ_BYTES > self.limit;
     }
 
-    /// Takes the first `most` bytes at most; `None` where nothing is held.
-    pub fn pop(&mut self, most: usize) -> Option<Bytes> {
+    /// Takes up to `max` bytes from the front, or returns `None` if the buffer is empty.
+    pub fn pop(&mut self, max: usize) -> Option<Bytes> {
         let first = self.pieces.front_mut()?;
-        let piece = match first.len() > most {
-            true => first.split_to(most),
+        let piece = match first.len() > max {
+            true => first.split_to(max),
             false => self.pieces.pop_front()?,
         };
         self.bytes -= piece.len();
-        self.is_full &= self.bytes > self.bound / 2;
+        self.is_full &= self.bytes > self.limit / 2;
         Some(piece)
     }
 }
 
-/// How a caller takes what is held for it.
+/// The progress of a caller in reading its buffer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Time in which bytes were there and the caller took none, in milliseconds.
-    resting: Millis,
-    /// Time since the caller last took [`MIN_PROGRESS_BYTES`], in milliseconds.
+    /// Time for which bytes were buffered and the caller read none, in milliseconds.
+    stalled: Millis,
+    /// Time since the caller last read [`MIN_PROGRESS_BYTES`], in milliseconds.
     since_progress: Millis,
-    /// Bytes taken meanwhile.
-    taken: usize,
+    /// Bytes read in that time.
+    read_bytes: usize,
 }
 
 impl Progress {
-    /// Notes that the caller took bytes.
+    /// Records that the caller read bytes.
     pub fn record_read(&mut self, bytes: usize) {
-        self.resting = 0;
-        self.taken += bytes;
-        if self.taken >= MIN_PROGRESS_BYTES {
+        self.stalled = 0;
+        self.read_bytes += bytes;
+        if self.read_bytes >= MIN_PROGRESS_BYTES {
             *self = Self::default();
         }
     }
 
-    /// Notes a look at a caller that has not polled for more since it took the last piece. `since` is
-    /// the time since the look before, in milliseconds.
+    /// Records a check of a caller that has not polled since it read the last piece. `since` is the
+    /// time since the previous check, in milliseconds.
     pub fn record_check(&mut self, since: Millis) {
-        let since = since.min(LONGEST_LOOK);
-        self.resting += since;
+        let since = since.min(MAX_CHECK_INTERVAL);
+        self.stalled += since;
         self.since_progress += since;
     }
 
-    /// Notes that the caller waits for the server.
+    /// Resets the progress, because the caller waits for the server.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Returns how long the caller has taken nothing, in milliseconds.
+    /// Returns the time for which the caller has read nothing, in milliseconds.
     pub fn get_stalled(&self) -> Millis {
-        self.resting
+        self.stalled
     }
 
-    /// Returns `true` if the caller took too little for too long.
+    /// Returns `true` if the caller read too little for too long.
     pub fn is_too_slow(&self) -> bool {
         self.since_progress >= PROGRESS_TIMEOUT
     }
 }
 
-/// A caller for whom bytes are held.
+/// A caller with buffered bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// Its number, unique within the node.
+    /// The caller's number, unique within the node.
     pub id: u64,
-    /// The bytes that are held for it.
+    /// The bytes that are buffered for it.
     pub bytes: usize,
-    /// How long it has taken nothing, in milliseconds.
+    /// The time for which it has read nothing, in milliseconds.
     pub stalled: Millis,
 }
 
-/// Picks the callers to disconnect so that `missing` bytes become free: those that rest, the
-/// slowest and largest first. A caller that reads is never picked.
-pub fn pick_stalled(callers: &[Caller], missing: usize) -> Vec<u64> {
-    let mut resting: Vec<&Caller> =
+/// Picks the callers to disconnect to free `shortfall` bytes: the stalled ones, the slowest and
+/// largest first. A caller that is reading is never picked.
+pub fn pick_stalled(callers: &[Caller], shortfall: usize) -> Vec<u64> {
+    let mut stalled: Vec<&Caller> =
         callers.iter().filter(|c| c.bytes > 0 && c.stalled >= STALL_TIMEOUT).collect();
-    resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.stalled, c.id)));
+    stalled.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.stalled, c.id)));
     let mut freed = 0;
     let mut picked = Vec::new();
-    for caller in resting {
-        if freed >= missing {
+    for caller in stalled {
+        if freed >= shortfall {
             break;
         }
         freed += caller.bytes;
