--- a/crates/core/src/serving/freshness.rs
+++ b/crates/core/src/serving/freshness.rs
@@ -1,21 +1,21 @@
-//! Whether what a node believes is recent enough to act on.
+//! Whether a node's knowledge is recent enough to act on.
 //!
-//! A node that is cut off, frozen or just started may hold a configuration that has been replaced.
-//! It therefore notes when its configuration was last known to be the newest. That moment is the
-//! one *before* the question was sent, on the node's own steady clock, so that neither a slow
-//! answer nor a pause of the process makes old knowledge look new.
+//! A node that is partitioned, frozen or just started may hold a configuration that has been
+//! replaced. It therefore records when its configuration was last known to be the newest. This is
+//! the time *before* the query was sent, on the node's own monotonic clock, so that neither a slow
+//! response nor a pause of the process makes old knowledge look new.
 
 use serde::{Deserialize, Serialize};
 
 use super::table_version::TableVersion;
 use crate::Millis;
 
-/// The versions of the platform's tables that a node knows, and how old that knowledge is.
+/// The table versions that a node knows, and the age of that knowledge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
-    /// That of the configuration.
+    /// The version of the configuration.
     pub configuration: Option<KnownVersion<u64>>,
-    /// That of the list of servers.
+    /// The version of the list of servers.
     pub servers: Option<KnownVersion<TableVersion>>,
 }
 
@@ -28,21 +28,22 @@
     pub age: Millis,
 }
 
-/// Notes when the configuration was last known to be the newest.
+/// Records when the configuration was last known to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
     confirmed_at: Option<Millis>,
 }
 
 impl Freshness {
-    /// Notes that a question sent at `asked_at` showed the configuration to be the newest.
-    pub fn confirm(&mut self, asked_at: Millis) {
-        self.confirmed_at = self.confirmed_at.max(Some(asked_at));
+    /// Records that a query sent at `queried_at` showed the configuration to be the newest.
+    pub fn confirm(&mut self, queried_at: Millis) {
+        self.confirmed_at = self.confirmed_at.max(Some(queried_at));
     }
 
-    /// Notes a peer's answer: it knew, `age` before it answered a question sent at `asked_at`.
-    pub fn confirm_by_peer(&mut self, asked_at: Millis, age: Millis) {
-        if let Some(confirmed_at) = asked_at.checked_sub(age) {
+    /// Records the response of a peer to a query sent at `queried_at`. The peer knew the
+    /// configuration to be the newest `age` milliseconds before it responded.
+    pub fn confirm_by_peer(&mut self, queried_at: Millis, age: Millis) {
+        if let Some(confirmed_at) = queried_at.checked_sub(age) {
             self.confirm(confirmed_at);
         }
     }
@@ -52,7 +53,8 @@
         self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Returns `true` if the configuration was known to be the newest within `bound`.
+    /// Returns `true` if the configuration was known to be the newest within the last `bound`
+    /// milliseconds.
     pub fn is_within(&self, now: Millis, bound: Millis) -> bool {
         self.get_age(now).is_some_and(|age| age <= bound)
     }
--- a/crates/core/src/serving/report_log.rs
+++ b/crates/core/src/serving/report_log.rs
@@ -1,11 +1,13 @@
-//! Which of a node's counts its peers have taken over.
+//! The log of a node's reports until they are acknowledged.
 //!
-//! A node reports counts that only grow: units admitted, requests that began. In groups they are
-//! summed up by the node's aggregator, and another aggregator that the node turns to later must
-//! count only what the first one did not. The node therefore keeps what it reported lately, learns
-//! from its aggregator which report arrived, and begins to count anew, from what did not arrive,
-//! under a new incarnation when it turns to another one. What arrived without the node's knowledge
-//! is counted twice: at most the requests of one period of one node, on the careful side.
+//! A node reports counts that only grow: units admitted, requests begun. In groups, the node's
+//! aggregator sums them up. If the node changes to another aggregator, that one must count only
+//! what the first one did not. The node therefore keeps its latest reports and learns from its
+//! aggregator which of them arrived. When it changes to another aggregator, it starts a new
+//! incarnation, which counts only what did not arrive.
+//!
+//! Reports that arrived without an acknowledgement are counted twice: at most the requests of one
+//! report period of one node, which errs on the safe side.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,64 +15,64 @@
 use super::usage::{Counts, Incarnation, WindowNumber};
 use crate::Millis;
 
-/// Reports that are kept until one of them is known to have arrived: five seconds' worth.
-const MOST_REPORTS: usize = 16;
+/// The number of reports that are kept until one of them is acknowledged: those of five seconds.
+const REPORT_CAPACITY: usize = 16;
 
-/// The counts of a node in one report.
+/// The counts in one report of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// What client accounts used.
+    /// The usage of client accounts.
     pub quota: BTreeMap<String, AccountUsage>,
-    /// Requests that began, by window of the wall clock.
+    /// Requests begun, by window of the wall clock.
     pub usage: BTreeMap<WindowNumber, Counts>,
 }
 
-/// The reports of one node to those that sum them up.
+/// The reports of a node to its aggregators.
 #[derive(Clone, Debug)]
 pub struct ReportLog {
     incarnation: Incarnation,
     reports: VecDeque<(Millis, Snapshot)>,
-    arrived: Option<(Millis, Snapshot)>,
+    acknowledged: Option<(Millis, Snapshot)>,
 }
 
 impl ReportLog {
-    /// Begins with the first incarnation of a node.
+    /// Creates the log for the first incarnation of a node.
     pub fn new(incarnation: Incarnation) -> Self {
-        Self { incarnation, reports: VecDeque::new(), arrived: None }
+        Self { incarnation, reports: VecDeque::new(), acknowledged: None }
     }
 
-    /// Returns under which incarnation the node counts now.
+    /// Returns the incarnation that the node reports under.
     pub fn get_incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// Notes the counts in a report that is sent now.
+    /// Records the counts of a report that is sent now.
     pub fn record(&mut self, now: Millis, snapshot: Snapshot) {
         self.reports.push_back((now, snapshot));
-        if self.reports.len() > MOST_REPORTS {
+        if self.reports.len() > REPORT_CAPACITY {
             self.reports.pop_front();
         }
     }
 
-    /// Notes that the report of a time arrived, and returns its counts; `None` where it is not
-    /// kept any more.
+    /// Records that the report sent at `sent_at` arrived. Returns its counts, or `None` if they are
+    /// no longer kept.
     pub fn acknowledge(&mut self, sent_at: Millis) -> Option<&Snapshot> {
         while self.reports.front().is_some_and(|(at, _)| *at <= sent_at) {
-            self.arrived = self.reports.pop_front();
+            self.acknowledged = self.reports.pop_front();
         }
-        self.arrived.as_ref().filter(|(at, _)| *at == sent_at).map(|(_, snapshot)| snapshot)
+        self.acknowledged.as_ref().filter(|(at, _)| *at == sent_at).map(|(_, snapshot)| snapshot)
     }
 
-    /// Returns the counts that are known to have arrived last.
+    /// Returns the counts of the last acknowledged report.
     pub fn get_acknowledged(&self) -> Option<&Snapshot> {
-        self.arrived.as_ref().map(|(_, snapshot)| snapshot)
+        self.acknowledged.as_ref().map(|(_, snapshot)| snapshot)
     }
 
-    /// Begins a new incarnation; returns the counts that arrived under the former one, which the
-    /// node must no longer report.
+    /// Starts a new incarnation. Returns the counts that arrived under the former one, which the
+    /// node must not report again.
     pub fn begin_incarnation(&mut self, number: u64) -> Snapshot {
         self.incarnation.number = number;
         self.reports.clear();
-        self.arrived.take().map(|(_, snapshot)| snapshot).unwrap_or_default()
+        self.acknowledged.take().map(|(_, snapshot)| snapshot).unwrap_or_default()
     }
 }
--- a/crates/core/src/serving/round_trip.rs
+++ b/crates/core/src/serving/round_trip.rs
@@ -1,33 +1,32 @@
-//! How long messages take to another region and back.
+//! Round-trip times to other regions.
 //!
-//! Round trips are measured from questions between nodes, and smoothed. The time for which
-//! an answer is waited for follows from them.
+//! Round trips are measured from queries between nodes, and smoothed. The timeout of a query
+//! follows from them.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 
-/// The weight of the newest round trip in the smoothed one, as TCP has it (RFC 6298).
-const NEWEST_PART: f64 = 1.0 / 8.0;
-/// The weight of the newest deviation in the smoothed one, as TCP has it (RFC 6298).
-const NEWEST_DEVIATION_PART: f64 = 1.0 / 4.0;
-/// How many deviations above the smoothed round trip an answer is waited for, as TCP has it
-/// (RFC 6298).
-const DEVIATIONS: f64 = 4.0;
+/// The weight of the newest round trip in the smoothed one, as in TCP (RFC 6298).
+const ROUND_TRIP_WEIGHT: f64 = 1.0 / 8.0;
+/// The weight of the newest deviation in the smoothed one, as in TCP (RFC 6298).
+const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
+/// The timeout, in deviations above the smoothed round trip, as in TCP (RFC 6298).
+const DEVIATION_FACTOR: f64 = 4.0;
 /// The round trip that is assumed until the first measurement, in milliseconds: that of regions on
-/// one continent. A wait that is too long costs one request this time. One that is too short ends
-/// before the answer comes.
-const UNMEASURED: Millis = 100;
-/// The longest wait for an answer, in milliseconds: it bounds what a full link adds to a request.
-const LONGEST_WAIT: Millis = 300;
+/// one continent. A timeout that is too long costs one request this time, and one that is too short
+/// ends before the response arrives.
+const INITIAL_ROUND_TRIP: Millis = 100;
+/// The longest timeout, in milliseconds, which limits the delay that a full link adds to a request.
+const MAX_TIMEOUT: Millis = 300;
 
-/// Round trips from this node to the other regions.
+/// Smoothed round trips from this node to the other regions.
 #[derive(Clone, Debug, Default)]
 pub struct RoundTrips {
     by_region: BTreeMap<String, Estimate>,
 }
 
-/// The smoothed round trip to a region, in milliseconds.
+/// The smoothed round trip to a region and its deviation, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     round_trip: f64,
@@ -35,7 +34,7 @@
 }
 
 impl RoundTrips {
-    /// Notes the time between a question to a node of a region and its answer.
+    /// Records the time between a query to a node of a region and its response.
     pub fn record(&mut self, region: &str, round_trip: Millis) {
         let newest = round_trip as f64;
         let Some(known) = self.by_region.get_mut(region) else {
@@ -44,22 +43,23 @@
             return;
         };
         let deviation = (newest - known.round_trip).abs();
-        known.deviation += (deviation - known.deviation) * NEWEST_DEVIATION_PART;
-        known.round_trip += (newest - known.round_trip) * NEWEST_PART;
+        known.deviation += (deviation - known.deviation) * DEVIATION_WEIGHT;
+        known.round_trip += (newest - known.round_trip) * ROUND_TRIP_WEIGHT;
     }
 
     /// Returns the smoothed round trip to another region.
     pub fn get_round_trip(&self, region: &str) -> Millis {
-        self.by_region.get(region).map_or(UNMEASURED, |known| known.round_trip.ceil() as Millis)
+        self.by_region
+            .get(region)
+            .map_or(INITIAL_ROUND_TRIP, |known| known.round_trip.ceil() as Millis)
     }
 
-    /// Returns how long to wait for an answer from a node of another region; `least` where that is
-    /// longer.
-    pub fn get_timeout(&self, region: &str, least: Millis) -> Millis {
+    /// Returns the timeout of a query to a node of another region, but at least `min`.
+    pub fn get_timeout(&self, region: &str, min: Millis) -> Millis {
         let known = self.by_region.get(region);
-        let wait = known.map_or(UNMEASURED as f64 * 1.5, |known| {
-            known.round_trip + DEVIATIONS * known.deviation
+        let timeout = known.map_or(INITIAL_ROUND_TRIP as f64 * 1.5, |known| {
+            known.round_trip + DEVIATION_FACTOR * known.deviation
         });
-        (wait.ceil() as Millis).clamp(least, LONGEST_WAIT.max(least))
+        (timeout.ceil() as Millis).clamp(min, MAX_TIMEOUT.max(min))
     }
 }
--- a/crates/core/src/serving/topology.rs
+++ b/crates/core/src/serving/topology.rs
@@ -1,31 +1,32 @@
-//! Which region each data centre stands in.
+//! The regions of data centres.
 //!
-//! Data centres of one region are about a millisecond apart and share wide links. Two regions are
-//! tens of milliseconds apart, and share one narrow link. A deployment of one region is the plain
-//! case: everything is near.
+//! Data centres of one region are about a millisecond apart and share wide links. Regions are tens
+//! of milliseconds apart and share one narrow link. A deployment with a single region is the simple
+//! case: every data centre is local.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Error, ErrorKind};
 
-/// The data centres of a deployment by region, as seen from one node.
+/// The regions of a deployment, as seen from one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Topology {
-    /// The region that the node stands in; empty where no regions are known.
+    /// The region of the node, or an empty string if no regions are configured.
     own: String,
-    /// The region of each data centre; empty where no regions are known.
+    /// The region of each data centre; empty if no regions are configured.
     regions: BTreeMap<String, String>,
 }
 
 impl Topology {
-    /// Makes the topology of a node in a data centre, given the region of each data centre.
+    /// Creates the topology of a node in the data centre `own`, given the region of each data
+    /// centre.
     ///
-    /// Without regions, all data centres are in one.
+    /// Without regions, all data centres are in one region.
     ///
     /// # Errors
     ///
-    /// Returns [`ErrorKind::InvalidValue`] where regions are given and the node's own data centre is
-    /// in none of them, or where a region has no name.
+    /// Returns [`ErrorKind::InvalidValue`] if regions are given and none of them contains the
+    /// node's own data centre, or if a region has an empty name.
     pub fn new(own: &str, regions: BTreeMap<String, String>) -> Result<Self, Error> {
         if let Some((data_centre, _)) = regions.iter().find(|(_, region)| region.is_empty()) {
             return Err(Error::new(ErrorKind::InvalidValue, "a region has no name")
@@ -48,25 +49,25 @@
         Ok(Self { own: region.clone(), regions })
     }
 
-    /// Returns the region that the node stands in; empty where no regions are known.
+    /// Returns the region of the node, or an empty string if no regions are configured.
     pub fn get_own_region(&self) -> &str {
         &self.own
     }
 
-    /// Returns the region of a data centre; `None` where it is not known.
+    /// Returns the region of a data centre, or `None` if it is not configured.
     pub fn get_region(&self, data_centre: &str) -> Option<&str> {
         self.regions.get(data_centre).map(String::as_str)
     }
 
-    /// Returns `true` if a data centre stands in the node's own region.
+    /// Returns `true` if a data centre is in the node's own region.
     ///
-    /// One that the settings do not name is far: what crosses a region's border costs more than an
-    /// unused server.
+    /// A data centre that the settings do not name is remote: traffic across regions costs more
+    /// than an unused server.
     pub fn is_local(&self, data_centre: &str) -> bool {
         self.regions.is_empty() || self.get_region(data_centre) == Some(self.own.as_str())
     }
 
-    /// Returns `true` if a data centre stands in one of some regions.
+    /// Returns `true` if a data centre is in one of the given regions.
     pub fn is_in_any(&self, regions: &BTreeSet<String>, data_centre: &str) -> bool {
         self.get_region(data_centre).is_some_and(|region| regions.contains(region))
     }
