--- a/crates/core/src/serving/configuration.rs
+++ b/crates/core/src/serving/configuration.rs
@@ -1,22 +1,22 @@
-//! What a configuration says, and which route and client account a request belongs to.
+//! The configuration, and the route and client account of a request.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use crate::Millis;
 
-/// A configuration as the operator wrote it, with look-up tables for its routes and keys.
+/// The operator's configuration, with lookup tables for its routes and keys.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// The operator's version; it only rises.
+    /// The operator's version, which only rises.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Bounds on what a caller may send.
+    /// Limits of requests.
     pub limits: CallerLimits,
-    /// Client accounts, or `None` where requests need no key.
+    /// Client accounts, or `None` if requests need no key.
     pub accounts: Option<Vec<Account>>,
     routes_of_host: HashMap<String, Vec<usize>>,
     account_of_key: HashMap<String, usize>,
@@ -27,25 +27,26 @@
 pub struct Route {
     /// The route's name.
     pub name: String,
-    /// The host that requests name.
+    /// The host of the requests.
     pub host: String,
-    /// How the path begins.
+    /// The prefix of the requests' paths.
     pub path_prefix: String,
-    /// What may be done with a request whose outcome is not known.
+    /// Whether a request may run again if its outcome is unknown.
     pub kind: RouteKind,
-    /// The longest time from arrival to the final answer.
+    /// The longest time from the arrival of a request to its final response, in milliseconds.
     pub timeout: Millis,
-    /// The objective for the time to the first token, in milliseconds; for the whole answer where it is no stream.
+    /// The objective for the time to the first token, in milliseconds, or to the end of a response
+    /// that is not streamed.
     pub ttft_objective: Millis,
-    /// The longest pause between the pieces of a stream that is in time.
+    /// The objective for the longest gap between the events of a stream, in milliseconds.
     pub gap_objective: Option<Millis>,
     /// The priority of the route's requests; 0 is the most urgent.
     pub priority: u32,
     /// Services and their weights.
     pub backends: Vec<WeightedService>,
-    /// The most servers that one request may be sent to.
+    /// The maximum number of servers that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without a key are allowed.
     pub allow_anonymous: bool,
 }
 
@@ -58,27 +59,28 @@
     pub weight: u32,
 }
 
-/// What may be done with a request whose outcome is not known.
+/// Whether a request may run again if its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run again.
+    /// The request may run again.
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     NonIdempotent,
-    /// Its answer is a stream of numbered events.
+    /// The response is a stream of numbered events.
     Streaming {
-        /// Whether another server may go on after the last event.
+        /// Whether another server may resume the stream after the last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Returns `true` if a request that may have run may be sent again before any of its answer left.
+    /// Returns `true` if a request that may have run may be sent again, as long as nothing of its
+    /// response has been sent to the caller.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Streaming { resumable: true })
     }
 
-    /// Returns `true` if the answer is a stream of events.
+    /// Returns `true` if the response is a stream of events.
     pub fn is_streaming(self) -> bool {
         matches!(self, Self::Streaming { .. })
     }
@@ -89,52 +91,52 @@
 pub struct Service {
     /// Connections that one server accepts from all nodes together.
     pub max_connections: u32,
-    /// What its servers are, where they run a model.
+    /// The properties of its servers, if they run a model.
     pub engine: Option<Engine>,
-    /// How many servers may be ordered and what they cost, where the service can be scaled.
+    /// How many servers may be ordered and what they cost, if the service can be scaled.
     pub scaling: Option<Scaling>,
 }
 
-/// What a model server can do.
+/// The properties of a model server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Requests that run at the same time.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Tokens that fit in its memory.
     pub memory_tokens: u64,
-    /// Bytes of memory a token.
+    /// Bytes of memory per token.
     pub bytes_per_token: u64,
-    /// Bandwidth of its link in megabits a second.
+    /// The bandwidth of its link, in megabits per second.
     pub link_mbps: f64,
-    /// Whether running requests can be moved with their memory.
+    /// Whether running requests can be moved together with their memory.
     pub can_move: bool,
 }
 
 /// How many servers of a service may be ordered in a data centre, and what they cost.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scaling {
-    /// The fewest servers in a data centre.
+    /// The minimum number of servers in a data centre.
     pub min: u32,
-    /// The most servers in a data centre, of both kinds together.
+    /// The maximum number of servers in a data centre, spot and on-demand together.
     pub max: u32,
-    /// Time from an order to the first work of a new server.
+    /// Time from an order until the new server takes its first request, in milliseconds.
     pub boot: Millis,
-    /// The price of a server that may be taken away, as a part of that of the others.
+    /// The price of a spot server, as a fraction of the price of an on-demand server.
     pub spot_price: Option<f64>,
     /// The price of a server in each data centre.
     pub data_centre_prices: BTreeMap<String, f64>,
 }
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits of what a caller may send and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub body_bytes: usize,
-    /// Time for a request's head to arrive.
+    /// Time within which a request's head must arrive, in milliseconds.
     pub head_timeout: Millis,
-    /// Time that a connection may rest between requests.
+    /// Time for which a connection may be idle between requests, in milliseconds.
     pub idle_timeout: Millis,
 }
 
@@ -149,7 +151,7 @@
     }
 }
 
-/// A client account of the operator, with its keys and limit.
+/// A client account, with its keys and its quota.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Account {
     /// The client account's name.
@@ -158,15 +160,15 @@
     pub keys: Vec<String>,
     /// The priority of the client account's requests; 0 is the most urgent.
     pub priority: u32,
-    /// What its limit counts.
+    /// The unit of the quota.
     pub unit: QuotaUnit,
-    /// Units a second over all nodes; 0 sets no limit.
+    /// Units per second over all nodes; 0 means no limit.
     pub rate_per_second: f64,
-    /// Units that may be used at once besides.
+    /// Units that may be used at once in addition.
     pub burst: f64,
 }
 
-/// What a client account's limit counts.
+/// The unit that a client account's quota counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QuotaUnit {
     /// Each request counts one.
@@ -174,13 +176,13 @@
     Requests,
     /// Each request counts its tokens.
     Tokens {
-        /// The tokens of a request that does not say how many it has.
+        /// The tokens of a request that does not state their number.
         default: u64,
     },
 }
 
 impl Configuration {
-    /// Builds the look-up tables of routes and keys.
+    /// Creates a configuration and builds the lookup tables of its routes and keys.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -205,9 +207,9 @@
         Self { version, routes, services, limits, accounts, routes_of_host, account_of_key }
     }
 
-    /// Finds the route of a host whose prefix begins the path and is longest.
+    /// Returns the route of a host with the longest prefix of the path.
     ///
-    /// The host may carry a port, which is passed over.
+    /// A port in `host` is ignored.
     ///
     /// # Examples
     ///
@@ -223,20 +225,20 @@
         routes.into_iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Finds the client account that holds a key.
+    /// Returns the client account that owns a key.
     pub fn find_account(&self, key: &str) -> Option<&Account> {
         let index = self.account_of_key.get(key)?;
         self.accounts.as_ref()?.get(*index)
     }
 
-    /// Finds the client account of a name.
+    /// Returns the client account with a name.
     pub fn get_account(&self, name: &str) -> Option<&Account> {
         self.accounts.iter().flatten().find(|account| account.name == name)
     }
 }
 
 impl Route {
-    /// Picks one of the route's services by weight. `random` is drawn evenly from 0 to 1.
+    /// Picks one of the route's services by weight. `random` is uniformly distributed from 0 to 1.
     pub fn pick_service(&self, random: f64) -> Option<&str> {
         let total: u32 = self.backends.iter().map(|backend| backend.weight).sum();
         let mut point = random * f64::from(total);
--- a/crates/core/src/serving/event_stream.rs
+++ b/crates/core/src/serving/event_stream.rs
@@ -1,20 +1,20 @@
-//! Where the events of a stream begin and end.
+//! Splits event streams into events and checks their order.
 //!
-//! A server may stop in the middle of an event. Where another server goes on, only whole events
-//! may be passed on, each number once and in order.
+//! A server may stop in the middle of an event. If another server resumes the stream, only complete
+//! events may be passed on, each number once and in order.
 
 use bytes::{Bytes, BytesMut};
 
-/// A whole event with its blank line, and its number where it has one.
+/// A complete event, and its number if it has one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The number of the event's `id` line.
+    /// The number in the event's `id` line.
     pub id: Option<u64>,
     /// The event's bytes, with the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// Cuts the bytes of a stream into events.
+/// Splits the bytes of a stream into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     pending: BytesMut,
@@ -22,12 +22,12 @@
 }
 
 impl Splitter {
-    /// Adds bytes as they came.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         let bytes = self.pending.split_to(end).freeze();
@@ -35,7 +35,7 @@
         Some(Event { id: read_id(&bytes), bytes })
     }
 
-    /// Returns the bytes of an event that has not ended.
+    /// Returns the bytes of an incomplete event.
     pub fn get_rest(&self) -> &[u8] {
         &self.pending
     }
@@ -64,25 +64,25 @@
     })
 }
 
-/// Which event of a stream comes next.
+/// The sequence of the events of a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sequence {
     last: Option<u64>,
 }
 
-/// What to do with an event.
+/// The result of checking an event's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SequenceCheck {
-    /// It comes next: pass it on.
+    /// The event is the next one: pass it on.
     Next,
-    /// It was passed on before.
+    /// The event was passed on before.
     Duplicate,
-    /// One before it is missing.
+    /// An event before this one is missing.
     Gap,
 }
 
 impl Sequence {
-    /// Starts a sequence after the event that the caller has got already.
+    /// Starts a sequence after the last event that the caller has received.
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
@@ -92,7 +92,7 @@
         self.last
     }
 
-    /// Judges the number of an event.
+    /// Checks the number of an event, and records it if it is the next one.
     pub fn check(&mut self, id: u64) -> SequenceCheck {
         match self.last {
             Some(last) if id <= last => SequenceCheck::Duplicate,
--- a/crates/core/src/serving/refusal.rs
+++ b/crates/core/src/serving/refusal.rs
@@ -1,61 +1,62 @@
-//! Why a request was refused, and when to retry.
+//! Reasons for refusing a request, and when to retry.
 
 use std::time::Duration;
 
 use crate::Millis;
 
-/// Returns the longest wait that a caller accepts who has `left` milliseconds left: somewhat less than a
-/// third of them.
-pub fn get_max_wait(left: Millis) -> Millis {
-    left * 3 / 10
+/// Returns the longest wait that a caller with `remaining` milliseconds accepts: somewhat less than
+/// a third of them.
+pub fn get_max_wait(remaining: Millis) -> Millis {
+    remaining * 3 / 10
 }
 
-/// Why a request was not served. None of them has run, unless [`Refusal::may_have_run`] says so.
+/// The reason why a request was not served. The request has not run unless
+/// [`Refusal::may_have_run`] returns `true`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The request's head cannot be understood.
+    /// The request's head is malformed.
     BadRequest,
-    /// No route takes the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key is missing or not known.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The head is longer than the configuration allows.
+    /// The head exceeds the configured limit.
     HeadTooLong,
-    /// The body is longer than the configuration allows.
+    /// The body exceeds the configured limit.
     BodyTooLong,
-    /// The body did not come to its end in time.
+    /// The body was not received in time.
     BodyTimeout,
     /// The node has no memory for the body.
     NoMemory,
-    /// The client account is beyond its limit.
+    /// The client account has exceeded its quota.
     OverQuota,
-    /// No configuration is known yet.
+    /// The node has no configuration yet.
     NotConfigured,
     /// The configuration may have been replaced without this node's knowledge.
     Stale,
-    /// The route's service has no server that may get work.
+    /// The route's service has no server that accepts requests.
     NoServer,
-    /// The servers take no request now, by what they said in their answers.
+    /// All servers are rate limited or in a back-off.
     Throttled,
     /// All servers are busy for longer than the request can wait.
     Busy,
-    /// Only servers of another region could serve the request, and the budget of the link there is
-    /// used up.
+    /// Only servers of another region could serve the request, and the budget of the link is used
+    /// up.
     LinkFull,
     /// The server declined the request, and no other may be tried.
     NotAccepted,
-    /// The time ran out before the request was sent to a server.
+    /// The deadline passed before the request was sent to a server.
     TooLate,
-    /// The time ran out after the request was sent to a server.
+    /// The deadline passed after the request was sent to a server.
     Timeout,
-    /// Servers crashed under the same request before.
+    /// The request is quarantined because it crashed servers before.
     Quarantined,
-    /// A server broke off, or answered with something that is not an answer to this request.
+    /// The response of the server broke off or is not a valid response to this request.
     BrokenAnswer,
 }
 
 impl Refusal {
-    /// Returns the HTTP status.
+    /// Returns the HTTP status code.
     pub fn get_status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -85,7 +86,7 @@
         matches!(self, Self::Timeout | Self::BrokenAnswer)
     }
 
-    /// Names the reason in logs and metrics.
+    /// Returns the name of the reason in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -110,16 +111,16 @@
         }
     }
 
-    /// Computes when the caller should retry, where a later try can succeed.
+    /// Returns when the caller should retry, if a retry can succeed.
     ///
-    /// `hint` is the time after which room is expected. The wait stays inside a third of the time
-    /// that the caller has left, beyond which callers ignore `Retry-After`; that of a request that is
-    /// quarantined is sent as it is, so that no caller comes back before.
-    pub fn get_retry_after(self, hint: Millis, left: Millis) -> Option<Duration> {
+    /// `hint` is the time after which the request is expected to be served. The result stays within
+    /// a third of the caller's remaining time, since callers ignore a longer `Retry-After`. For a
+    /// quarantined request `hint` is returned as it is, so that no caller retries earlier.
+    pub fn get_retry_after(self, hint: Millis, remaining: Millis) -> Option<Duration> {
         if self == Self::Quarantined {
             return Some(Duration::from_millis(hint));
         }
-        let is_passing = matches!(
+        let is_transient = matches!(
             self,
             Self::OverQuota
                 | Self::NoMemory
@@ -131,9 +132,9 @@
                 | Self::LinkFull
                 | Self::NotAccepted
         );
-        if !is_passing {
+        if !is_transient {
             return None;
         }
-        Some(Duration::from_millis(hint.min(get_max_wait(left)).max(1)))
+        Some(Duration::from_millis(hint.min(get_max_wait(remaining)).max(1)))
     }
 }
