--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -1,33 +1,33 @@
-//! Decisions for relayed exchanges: requests and answers whose bodies are opaque to the node.
+//! Decisions for relayed requests and responses, whose bodies are opaque to the node.
 //!
-//! | module | decides |
+//! | module | content |
 //! |---|---|
-//! | [`configuration`] | what a configuration says, and which route and client account a request belongs to |
-//! | [`era`] | which copy of the table service's rows a node deals with |
-//! | [`table_version`] | which of two versions of a row is the newer one |
-//! | [`freshness`] | whether what a node believes is recent enough to act on |
-//! | [`topology`], [`round_trip`] | which region a data centre stands in, and how far away that is |
+//! | [`configuration`] | the configuration, and the route and client account of a request |
+//! | [`era`] | the copy of the table service's rows that a node works with |
+//! | [`table_version`] | versions of rows and their order |
+//! | [`freshness`] | whether a node's knowledge is recent enough to act on |
+//! | [`topology`], [`round_trip`] | the regions of data centres, and the round trips between them |
 //! | [`memory`] | who may hold how much of a node's memory |
-//! | [`upload`] | whether a request's body comes fast enough |
-//! | [`read_ahead`] | how much of an answer is read ahead, and when a caller is disconnected |
-//! | [`in_flight_bytes`] | how many bytes of requests may lie at one server |
-//! | [`directory`] | which servers there are and which may get new work |
-//! | [`load`] | how busy each server is, by this node's and its peers' counts |
-//! | [`choice`] | which server a request goes to |
-//! | [`summary_pacer`] | how often nodes tell other regions what they count |
+//! | [`upload`] | whether a request's body arrives fast enough |
+//! | [`read_ahead`] | how much of a response is read ahead, and when a caller is disconnected |
+//! | [`in_flight_bytes`] | limits the request bytes in flight at each server |
+//! | [`directory`] | the known servers, and which of them accept new requests |
+//! | [`load`] | the load of each server, by the counts of this node and its peers |
+//! | [`choice`] | which server a request is sent to |
+//! | [`summary_pacer`] | how often nodes send their counts to other regions |
 //! | [`spill`] | whether a request leaves its region |
-//! | [`backpressure`] | what servers say in their answers about the requests that follow |
-//! | [`health`] | which servers are ejected because of their latest answers |
-//! | [`members`] | which other nodes there are, who aggregates whose reports, and who reads for all |
-//! | [`report_log`] | which of a node's counts its peers have taken over |
-//! | [`quota`] | whether a client account is within its limit over all nodes |
+//! | [`backpressure`] | rate limits and back-offs that servers report in their responses |
+//! | [`health`] | outlier ejection of servers |
+//! | [`members`] | the other nodes, their aggregators, and who reads the tables for all |
+//! | [`report_log`] | a node's reports until they are acknowledged |
+//! | [`quota`] | whether a client account is within its quota over all nodes |
 //! | [`usage`] | how many requests of each client account began in each window |
-//! | [`duty_lease`] | which node makes the calls that one node at a time may make |
-//! | [`event_stream`] | where the events of a stream begin and end |
+//! | [`duty_lease`] | which node makes the calls that only one node at a time may make |
+//! | [`event_stream`] | splits event streams into events and checks their order |
 //! | [`demand`], [`throughput`], [`capacity`] | how many servers to order, where, and of which kind |
-//! | [`rollout`] | how the traffic of a service moves to servers of another version |
-//! | [`quarantine`] | which requests end the servers that run them |
-//! | [`refusal`] | why a request was refused, and when to retry |
+//! | [`rollout`] | moves the traffic of a service to servers of another version |
+//! | [`quarantine`] | which requests crash the servers that run them |
+//! | [`refusal`] | reasons for refusing a request, and when to retry |
 
 pub mod backpressure;
 pub mod capacity;
