--- a/crates/core/tests/serving/configuration.rs
+++ b/crates/core/tests/serving/configuration.rs
@@ -34,31 +34,31 @@
     Configuration::new(1, routes, BTreeMap::new(), CallerLimits::default(), Some(vec![account]))
 }
 
-fn found(host: &str, path: &str) -> Option<String> {
+fn find_route_name(host: &str, path: &str) -> Option<String> {
     configuration().find_route(host, path).map(|route| route.name.clone())
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    assert_eq!(found("a.example", "/x/y/z"), Some("long".to_owned()));
-    assert_eq!(found("a.example", "/x/z"), Some("short".to_owned()));
-    assert_eq!(found("b.example", "/x/y/z"), Some("other".to_owned()));
+    assert_eq!(find_route_name("a.example", "/x/y/z"), Some("long".to_owned()));
+    assert_eq!(find_route_name("a.example", "/x/z"), Some("short".to_owned()));
+    assert_eq!(find_route_name("b.example", "/x/y/z"), Some("other".to_owned()));
 }
 
 #[test]
 fn a_host_is_found_in_any_case_and_with_a_port() {
-    assert_eq!(found("A.Example:8080", "/x/1"), Some("short".to_owned()));
+    assert_eq!(find_route_name("A.Example:8080", "/x/1"), Some("short".to_owned()));
 }
 
 #[test]
 fn no_other_host_or_path_is_found() {
-    assert_eq!(found("c.example", "/x/1"), None);
-    assert_eq!(found("a.example", "/"), None);
-    assert_eq!(found("a.example", "/x"), None);
+    assert_eq!(find_route_name("c.example", "/x/1"), None);
+    assert_eq!(find_route_name("a.example", "/"), None);
+    assert_eq!(find_route_name("a.example", "/x"), None);
 }
 
 #[test]
-fn a_key_names_its_account_and_no_other_key_does() {
+fn a_key_belongs_to_one_account() {
     let configuration = configuration();
     assert_eq!(configuration.find_account("key-1").map(|t| t.name.as_str()), Some("acme"));
     assert_eq!(configuration.find_account("key-2"), None);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn only_what_may_run_again_is_repeatable() {
+fn only_requests_that_may_run_again_are_repeatable() {
     assert!(RouteKind::Idempotent.is_repeatable());
     assert!(RouteKind::Streaming { resumable: true }.is_repeatable());
     assert!(!RouteKind::Streaming { resumable: false }.is_repeatable());
--- a/crates/core/tests/serving/event_stream.rs
+++ b/crates/core/tests/serving/event_stream.rs
@@ -44,9 +44,9 @@
 }
 
 proptest! {
-    /// However a stream is cut into pieces, the same events come out, and their bytes are all of it.
+    /// The same events are returned however a stream is split into pieces, and no byte is lost.
     #[test]
-    fn pieces_do_not_matter(cuts in proptest::collection::vec(1usize..12, 1..60)) {
+    fn events_do_not_depend_on_the_pieces(cuts in proptest::collection::vec(1usize..12, 1..60)) {
         let text: Vec<u8> = (1..=20).flat_map(|n| format!("id: {n}\ndata: t{n}\n\n").into_bytes()).collect();
         let mut splitter = Splitter::default();
         let mut events = Vec::new();
--- a/crates/core/tests/serving/health.rs
+++ b/crates/core/tests/serving/health.rs
@@ -8,9 +8,9 @@
 }
 
 #[test]
-fn failures_in_a_row_double_the_pause_up_to_a_bound() {
+fn consecutive_failures_double_the_ejection_up_to_a_limit() {
     let mut health = Health::default();
-    let pauses: Vec<Option<u64>> = (0..8).map(|_| health.record_failure(1_000, "a")).collect();
+    let ejections: Vec<Option<u64>> = (0..8).map(|_| health.record_failure(1_000, "a")).collect();
     let expected = [
         None,
         Some(250),
@@ -21,13 +21,13 @@
         Some(4_000),
         Some(4_000),
     ];
-    assert_eq!(pauses, expected);
+    assert_eq!(ejections, expected);
     assert!(health.is_ejected(4_999, "a"));
     assert!(!health.is_ejected(5_000, "a"));
 }
 
 #[test]
-fn a_good_answer_ends_the_pause() {
+fn a_good_response_ends_the_ejection() {
     let mut health = Health::default();
     health.record_failure(1_000, "a");
     health.record_failure(1_000, "a");
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_is_passed_over_at_once() {
+fn an_unreachable_server_is_ejected_at_once() {
     let mut health = Health::default();
     health.record_connect_failure(1_000, "a");
     assert!(health.is_ejected(1_000, "a"));
 }
 
 #[test]
-fn a_server_that_was_out_of_reach_gets_its_work_back_within_two_seconds() {
+fn a_server_that_was_unreachable_gets_its_share_back_within_two_seconds() {
     let mut health = Health::default();
     health.record_connect_failure(1_000, "a");
     health.record_success("a");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_server_that_failed_requests_only_gets_its_work_back_at_once() {
+fn a_server_that_only_failed_requests_gets_its_share_back_at_once() {
     let mut health = Health::default();
     health.record_failure(1_000, "a");
     health.record_failure(1_000, "a");
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_server_gets_its_work_back_gradually_after_a_back_off() {
+fn a_server_gets_its_share_back_gradually_after_a_back_off() {
     let mut health = Health::default();
     health.record_back_off("a", 3_000);
     assert!(!health.is_ejected(1_000, "a"));
     assert!(health.is_ramping(3_000, "a", 0.5));
     assert!(!health.is_ramping(4_500, "a", 0.5));
     assert!(!health.is_ramping(5_000, "a", 0.0001));
-    // A good answer does not shorten that.
+    // A good response does not shorten the ramp.
     health.record_success("a");
     assert!(health.is_ramping(3_000, "a", 0.5));
 }
--- a/crates/core/tests/serving/load_owner.rs
+++ b/crates/core/tests/serving/load_owner.rs
@@ -1,4 +1,5 @@
-//! Which aggregator keeps the load of a server, and whom an aggregator sends what crosses.
+//! Which aggregator owns the load of a server, and which aggregators of other regions get
+//! summaries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,8 +10,8 @@
 
 const NODES: u16 = 60;
 
-/// Node names with their data centres: half of them in each of two regions.
-fn entries(regions: &[&str]) -> Vec<Entry> {
+/// Entries of nodes, evenly spread over the regions.
+fn make_entries(regions: &[&str]) -> Vec<Entry> {
     let entry = |number: u16| {
         let region = regions[usize::from(number) % regions.len()];
         Entry {
@@ -23,7 +24,7 @@
     (0..NODES).map(entry).collect()
 }
 
-fn get_topology(own: &str) -> Arc<Topology> {
+fn make_topology(own: &str) -> Arc<Topology> {
     let data_centres = ["a", "b"].into_iter().flat_map(|region| {
         (0..3).map(move |number| (format!("{region}-{number}"), region.to_owned()))
     });
@@ -31,17 +32,23 @@
     Arc::new(Topology::new(own, regions).expect("regions"))
 }
 
-/// A node of the given ones, that knows all of them and their regions.
-fn node(all: &[Entry], number: usize) -> Members {
+/// Returns the members as seen by one of the nodes, which knows all of them and their regions.
+fn make_members(all: &[Entry], number: usize) -> Members {
     let own = all[number].clone();
-    let topology = get_topology(&own.data_centre);
+    let topology = make_topology(&own.data_centre);
     let mut members = Members::new(0, own, &[]).with_topology(topology);
     members.merge_list(0, all.to_vec(), true);
     members
 }
 
-/// Finds the owner from the view of a node, as the name of the node that it listens at.
-fn find(members: &Members, all: &[Entry], own: usize, server: u64, data_centre: &str) -> String {
+/// Returns the name of the load owner from the view of a node.
+fn find_owner_name(
+    members: &Members,
+    all: &[Entry],
+    own: usize,
+    server: u64,
+    data_centre: &str,
+) -> String {
     let owner = members.find_load_owner(server, data_centre);
     let address = owner.map_or(all[own].address, |owner| owner.address);
     let entry = all.iter().find(|entry| entry.address == address).expect("a known node");
@@ -55,8 +62,8 @@
 
 #[test]
 fn all_nodes_of_both_regions_agree_on_an_aggregator_of_the_server_s_region() {
-    let all = entries(&["a", "b"]);
-    let nodes: Vec<Members> = (0..all.len()).map(|number| node(&all, number)).collect();
+    let all = make_entries(&["a", "b"]);
+    let nodes: Vec<Members> = (0..all.len()).map(|number| make_members(&all, number)).collect();
     for server in 0..40_u64 {
         let key = server.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         for region in ["a", "b"] {
@@ -64,7 +71,7 @@
             let owners: BTreeSet<String> = nodes
                 .iter()
                 .enumerate()
-                .map(|(number, members)| find(members, &all, number, key, &data_centre))
+                .map(|(number, members)| find_owner_name(members, &all, number, key, &data_centre))
                 .collect();
             assert_eq!(owners.len(), 1, "{owners:?}");
             assert!(owners.iter().all(|owner| get_region(&all, owner) == region), "{owners:?}");
@@ -73,37 +80,37 @@
 }
 
 #[test]
-fn an_owner_of_another_region_says_so() {
-    let all = entries(&["a", "b"]);
-    let members = node(&all, 0);
-    let far: Vec<Option<&str>> = (0..40)
+fn an_owner_in_another_region_is_marked_with_its_region() {
+    let all = make_entries(&["a", "b"]);
+    let members = make_members(&all, 0);
+    let remote: Vec<Option<&str>> = (0..40)
         .filter_map(|server| members.find_load_owner(server, "b-1"))
         .map(|owner| owner.remote_region)
         .collect();
-    assert_eq!(far, [Some("b"); 40]);
-    let near = (0..40).filter_map(|server| members.find_load_owner(server, "a-1"));
-    assert!(near.into_iter().all(|owner| owner.remote_region.is_none()));
+    assert_eq!(remote, [Some("b"); 40]);
+    let local = (0..40).filter_map(|server| members.find_load_owner(server, "a-1"));
+    assert!(local.into_iter().all(|owner| owner.remote_region.is_none()));
 }
 
 #[test]
-fn where_a_region_has_no_aggregator_the_own_region_s_keep_the_load() {
-    let all = entries(&["a"]);
-    let members = node(&all, 0);
+fn the_own_region_owns_the_load_of_a_region_without_aggregators() {
+    let all = make_entries(&["a"]);
+    let members = make_members(&all, 0);
     for server in 0..40 {
-        let owner = find(&members, &all, 0, server, "b-1");
+        let owner = find_owner_name(&members, &all, 0, server, "b-1");
         assert_eq!(get_region(&all, &owner), "a");
     }
 }
 
 #[test]
 fn nodes_of_a_region_agree_on_the_owner_of_a_server_in_no_known_region() {
-    let all = entries(&["a", "b"]);
-    let nodes: Vec<Members> = (0..all.len()).map(|number| node(&all, number)).collect();
+    let all = make_entries(&["a", "b"]);
+    let nodes: Vec<Members> = (0..all.len()).map(|number| make_members(&all, number)).collect();
     for server in 0..40 {
         for (region, first) in [("a", 0), ("b", 1)] {
             let owners: BTreeSet<String> = (first..all.len())
                 .step_by(2)
-                .map(|number| find(&nodes[number], &all, number, server, "elsewhere"))
+                .map(|number| find_owner_name(&nodes[number], &all, number, server, "elsewhere"))
                 .collect();
             assert_eq!(owners.len(), 1, "{owners:?}");
             assert!(owners.iter().all(|owner| get_region(&all, owner) == region));
@@ -112,8 +119,8 @@
 }
 
 #[test]
-fn in_one_region_the_owner_of_a_load_is_that_of_any_key() {
-    let all = entries(&["a", "b"]);
+fn in_one_region_the_owner_of_a_load_is_the_owner_of_the_key() {
+    let all = make_entries(&["a", "b"]);
     let own = all[0].clone();
     let mut members = Members::new(0, own, &[]);
     members.merge_list(0, all.clone(), true);
@@ -125,17 +132,17 @@
 
 #[test]
 fn the_nodes_of_a_region_are_counted_without_the_others() {
-    let all = entries(&["a", "b"]);
-    assert_eq!(node(&all, 0).count_own_region(), 30);
+    let all = make_entries(&["a", "b"]);
+    assert_eq!(make_members(&all, 0).count_own_region(), 30);
     let mut alone = Members::new(0, all[0].clone(), &[]);
     alone.merge_list(0, all, true);
     assert_eq!(alone.count_own_region(), 60);
 }
 
 #[test]
-fn every_aggregator_of_a_region_of_which_nobody_is_heard_gets_a_summary_in_turn() {
+fn every_aggregator_of_an_unheard_region_gets_a_summary_in_turn() {
     // Two data centres in each region with two aggregators each.
-    let all: Vec<Entry> = entries(&["a", "b"])
+    let all: Vec<Entry> = make_entries(&["a", "b"])
         .into_iter()
         .enumerate()
         .map(|(number, entry)| Entry {
@@ -143,7 +150,7 @@
             ..entry
         })
         .collect();
-    let members = node(&all, 0);
+    let members = make_members(&all, 0);
     let picked: BTreeSet<SocketAddr> =
         (1..=8).flat_map(|turn| members.pick_carriers(0, turn)).collect();
     assert_eq!(picked.len(), 4, "{picked:?}");
--- a/crates/core/tests/serving/memory.rs
+++ b/crates/core/tests/serving/memory.rs
@@ -2,15 +2,15 @@
 use keeljunction_core::serving::memory::{Kind, MemoryBudget, Requester, ReservationId, Shortage};
 use proptest::prelude::*;
 
-/// What a node of 160 MB may hold, and its limit.
+/// The capacity and the memory limit of a node with 160 MB.
 const CAPACITY: u64 = 64_000_000;
 const LIMIT: u64 = 160_000_000;
 /// An upload near the limit of usual configurations, and a usual prompt.
 const LARGE: u64 = 4_190_000;
 const SMALL: u64 = 20_000;
 
-/// A node that never calls itself not ready for its memory.
-fn accountant() -> MemoryBudget {
+/// A node that never becomes unready because of memory.
+fn make_budget() -> MemoryBudget {
     MemoryBudget::new(CAPACITY, LIMIT, 1.0)
 }
 
@@ -18,17 +18,17 @@
     Requester { kind: Kind::RequestBody, account, urgency: 0 }
 }
 
-fn answer() -> Requester<'static> {
+fn read_ahead() -> Requester<'static> {
     Requester { kind: Kind::ReadAhead, account: "", urgency: 0 }
 }
 
-fn begin(
+fn reserve(
     memory: &mut MemoryBudget,
     now: Millis,
-    claim: &Requester<'_>,
+    requester: &Requester<'_>,
     bytes: u64,
 ) -> Result<ReservationId, Shortage> {
-    let id = memory.open(now, claim);
+    let id = memory.open(now, requester);
     let grown = memory.grow(now, id, bytes);
     if grown.is_err() {
         memory.close(now, id);
@@ -36,49 +36,49 @@
     grown.map(|()| id)
 }
 
-/// Begins bodies of a length until one is refused.
+/// Reserves bodies of a length until one is refused.
 fn fill(
     memory: &mut MemoryBudget,
     now: Millis,
-    claim: &Requester<'_>,
+    requester: &Requester<'_>,
     bytes: u64,
 ) -> Vec<ReservationId> {
-    std::iter::from_fn(|| begin(memory, now, claim, bytes).ok()).collect()
+    std::iter::from_fn(|| reserve(memory, now, requester, bytes).ok()).collect()
 }
 
 #[test]
-fn bodies_leave_memory_to_answers_and_both_to_control() {
-    let mut memory = accountant();
+fn bodies_leave_memory_to_responses_and_both_to_control() {
+    let mut memory = make_budget();
     fill(&mut memory, 0, &body("acme"), LARGE);
     fill(&mut memory, 0, &body("acme"), SMALL);
     assert!(memory.get_held(Kind::RequestBody) <= 44_800_000);
-    fill(&mut memory, 0, &answer(), SMALL);
+    fill(&mut memory, 0, &read_ahead(), SMALL);
     assert!(memory.get_held(Kind::ReadAhead) >= 12_000_000);
-    let control = Requester { kind: Kind::Control, ..answer() };
-    assert!(begin(&mut memory, 0, &control, 6_000_000).is_ok());
+    let control = Requester { kind: Kind::Control, ..read_ahead() };
+    assert!(reserve(&mut memory, 0, &control, 6_000_000).is_ok());
     assert!(memory.get_total() <= CAPACITY);
 }
 
 #[test]
 fn a_body_that_can_never_fit_keeps_no_memory_from_others() {
-    let mut memory = accountant();
-    assert!(begin(&mut memory, 0, &body("huge"), CAPACITY).is_err());
+    let mut memory = make_budget();
+    assert!(reserve(&mut memory, 0, &body("huge"), CAPACITY).is_err());
     assert_eq!(fill(&mut memory, 10, &body("acme"), LARGE).len(), 9);
 }
 
 #[test]
 fn a_body_that_no_longer_fits_keeps_no_memory_from_others() {
-    let mut memory = accountant();
+    let mut memory = make_budget();
     memory.observe(0, Some(130_000_000));
-    assert!(begin(&mut memory, 0, &body("large"), LARGE).is_err());
-    assert!(begin(&mut memory, 10, &body("acme"), 1_000_000).is_ok());
+    assert!(reserve(&mut memory, 0, &body("large"), LARGE).is_err());
+    assert!(reserve(&mut memory, 10, &body("acme"), 1_000_000).is_ok());
 }
 
 #[test]
-fn an_upload_that_is_to_go_is_known_until_it_ends() {
-    let mut memory = accountant();
+fn an_evicted_upload_is_known_until_it_ends() {
+    let mut memory = make_budget();
     let held = fill(&mut memory, 0, &body("acme"), LARGE);
-    let shortage = begin(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
+    let shortage = reserve(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
     let is_known = |memory: &MemoryBudget| held.iter().any(|id| memory.is_evicted(*id));
     assert!(is_known(&memory));
     for id in shortage.evicted {
@@ -88,108 +88,108 @@
 }
 
 #[test]
-fn an_upload_that_ends_before_it_is_evicted_makes_no_room() {
-    let mut memory = accountant();
+fn an_upload_that_completes_before_its_eviction_frees_nothing() {
+    let mut memory = make_budget();
     fill(&mut memory, 0, &body("acme"), LARGE);
-    let shortage = begin(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
+    let shortage = reserve(&mut memory, 500, &body("blue"), LARGE).expect_err("no room");
     for id in &shortage.evicted {
         memory.complete_upload(*id);
     }
-    let next = begin(&mut memory, 510, &body("blue"), LARGE).expect_err("no room");
+    let next = reserve(&mut memory, 510, &body("blue"), LARGE).expect_err("no room");
     assert!(!next.evicted.is_empty());
     assert!(next.evicted.iter().all(|id| !shortage.evicted.contains(id)), "{next:?}");
 }
 
 #[test]
-fn slow_readers_of_answers_do_not_keep_out_requests() {
-    let mut memory = accountant();
-    fill(&mut memory, 0, &answer(), SMALL);
+fn slow_readers_do_not_keep_out_requests() {
+    let mut memory = make_budget();
+    fill(&mut memory, 0, &read_ahead(), SMALL);
     assert!(memory.get_held(Kind::ReadAhead) <= 32_000_000);
-    assert!(begin(&mut memory, 0, &body("acme"), LARGE).is_ok());
+    assert!(reserve(&mut memory, 0, &body("acme"), LARGE).is_ok());
 }
 
 #[test]
 fn a_small_body_fits_beside_large_ones() {
-    let mut memory = accountant();
+    let mut memory = make_budget();
     assert_eq!(fill(&mut memory, 0, &body("acme"), LARGE).len(), 9);
     assert!(fill(&mut memory, 0, &body("acme"), SMALL).len() >= 300);
 }
 
 #[test]
 fn less_urgent_bodies_leave_room_to_the_most_urgent() {
-    let mut memory = accountant();
+    let mut memory = make_budget();
     let later = Requester { urgency: 3, ..body("acme") };
     assert_eq!(fill(&mut memory, 0, &later, LARGE).len(), 7);
-    assert!(begin(&mut memory, 0, &body("acme"), LARGE).is_ok());
+    assert!(reserve(&mut memory, 0, &body("acme"), LARGE).is_ok());
 }
 
 #[test]
-fn a_resting_upload_gives_way_to_a_new_one_and_a_fast_one_does_not() {
-    let mut memory = accountant();
+fn a_stalled_upload_is_evicted_for_a_new_one_and_a_fast_one_is_not() {
+    let mut memory = make_budget();
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
     for now in (0..2_000).step_by(100) {
         for upload in &uploads[1..] {
             memory.record_received(now, *upload, 1_000);
         }
     }
-    let shortage = begin(&mut memory, 2_000, &body("acme"), LARGE).expect_err("no room");
+    let shortage = reserve(&mut memory, 2_000, &body("acme"), LARGE).expect_err("no room");
     assert_eq!(shortage, Shortage { retry_after: 100, evicted: vec![uploads[0]] });
-    // Nobody else goes while its bytes are on their way back.
-    let shortage = begin(&mut memory, 2_010, &body("acme"), LARGE).expect_err("no room");
+    // Nothing else is evicted while the bytes are being freed.
+    let shortage = reserve(&mut memory, 2_010, &body("acme"), LARGE).expect_err("no room");
     assert_eq!(shortage.evicted, []);
     memory.close(2_020, uploads[0]);
-    assert!(begin(&mut memory, 2_020, &body("acme"), LARGE).is_ok());
+    assert!(reserve(&mut memory, 2_020, &body("acme"), LARGE).is_ok());
 }
 
 #[test]
-fn a_whole_body_and_one_that_is_more_urgent_are_not_evicted() {
-    let mut memory = accountant();
+fn a_complete_body_and_a_more_urgent_one_are_not_evicted() {
+    let mut memory = make_budget();
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
     uploads[1..].iter().for_each(|upload| memory.complete_upload(*upload));
     let later = Requester { urgency: 3, ..body("acme") };
-    let shortage = begin(&mut memory, 5_000, &later, LARGE).expect_err("no room");
+    let shortage = reserve(&mut memory, 5_000, &later, LARGE).expect_err("no room");
     assert_eq!(shortage.evicted, []);
-    let shortage = begin(&mut memory, 5_000, &body("acme"), LARGE).expect_err("no room");
+    let shortage = reserve(&mut memory, 5_000, &body("acme"), LARGE).expect_err("no room");
     assert_eq!(shortage.evicted, [uploads[0]]);
 }
 
 #[test]
-fn an_account_that_waits_gets_room_before_those_that_hold_their_share() {
-    let mut memory = accountant();
+fn a_waiting_account_comes_before_those_that_hold_their_share() {
+    let mut memory = make_budget();
     let held = fill(&mut memory, 0, &body("heavy"), LARGE);
     held.iter().for_each(|id| memory.complete_upload(*id));
-    assert!(begin(&mut memory, 100, &body("light"), LARGE).is_err());
+    assert!(reserve(&mut memory, 100, &body("light"), LARGE).is_err());
     memory.close(200, held[0]);
-    assert!(begin(&mut memory, 200, &body("heavy"), LARGE).is_err());
-    assert!(begin(&mut memory, 300, &body("light"), LARGE).is_ok());
+    assert!(reserve(&mut memory, 200, &body("heavy"), LARGE).is_err());
+    assert!(reserve(&mut memory, 300, &body("light"), LARGE).is_ok());
     memory.close(400, held[1]);
-    assert!(begin(&mut memory, 400, &body("heavy"), LARGE).is_ok(), "nobody else waits");
+    assert!(reserve(&mut memory, 400, &body("heavy"), LARGE).is_ok(), "nobody else waits");
 }
 
 #[test]
 fn one_account_leaves_a_quarter_while_another_one_holds_something() {
-    let mut memory = accountant();
-    assert!(begin(&mut memory, 0, &body("light"), SMALL).is_ok());
+    let mut memory = make_budget();
+    assert!(reserve(&mut memory, 0, &body("light"), SMALL).is_ok());
     assert_eq!(fill(&mut memory, 0, &body("heavy"), LARGE).len(), 8, "9 are all that fit");
-    assert!(begin(&mut memory, 0, &body("light"), LARGE).is_ok());
+    assert!(reserve(&mut memory, 0, &body("light"), LARGE).is_ok());
 }
 
 #[test]
-fn memory_beside_the_sum_lowers_what_may_be_held() {
-    let mut memory = accountant();
+fn unreserved_memory_lowers_the_capacity() {
+    let mut memory = make_budget();
     memory.observe(0, Some(30_000_000));
     assert_eq!(memory.get_capacity(), CAPACITY);
     memory.observe(250, Some(130_000_000));
     assert_eq!(memory.get_capacity(), 6_000_000);
-    assert!(begin(&mut memory, 250, &body("acme"), LARGE).is_err());
+    assert!(reserve(&mut memory, 250, &body("acme"), LARGE).is_err());
     memory.observe(500, None);
     assert_eq!(memory.get_capacity(), CAPACITY, "only the sum counts where no more is known");
 }
 
 #[test]
-fn what_is_reserved_and_has_come_is_not_counted_twice() {
-    let mut memory = accountant();
-    let id = begin(&mut memory, 0, &body("acme"), LARGE).expect("room");
+fn reserved_memory_that_is_in_use_is_not_counted_twice() {
+    let mut memory = make_budget();
+    let id = reserve(&mut memory, 0, &body("acme"), LARGE).expect("room");
     memory.observe(0, Some(100_000_000));
     assert_eq!(memory.get_capacity(), 36_000_000);
     memory.record_received(100, id, LARGE);
@@ -198,8 +198,8 @@
 }
 
 #[test]
-fn resting_uploads_are_evicted_where_the_process_grows() {
-    let mut memory = accountant();
+fn stalled_uploads_are_evicted_when_the_process_grows() {
+    let mut memory = make_budget();
     let uploads = fill(&mut memory, 0, &body("acme"), LARGE);
     assert_eq!(memory.observe(1_000, Some(60_000_000)), []);
     let evicted = memory.observe(1_250, Some(115_000_000));
@@ -208,13 +208,13 @@
 }
 
 #[test]
-fn nodes_leave_before_they_are_full_at_levels_of_their_own_and_come_back_later() {
+fn nodes_become_unready_at_levels_of_their_own_and_recover_later() {
     let levels = [0.0, 0.2, 0.4, 0.6, 0.8].map(|draw| {
         let mut memory = MemoryBudget::new(CAPACITY, LIMIT, draw);
         let mut held = Vec::new();
         let left_at = (0..400).find(|step| {
-            held.extend(begin(&mut memory, 0, &body("acme"), SMALL * 5));
-            held.extend(begin(&mut memory, 0, &body("acme"), SMALL));
+            held.extend(reserve(&mut memory, 0, &body("acme"), SMALL * 5));
+            held.extend(reserve(&mut memory, 0, &body("acme"), SMALL));
             memory.observe(*step, None);
             memory.is_under_pressure()
         });
@@ -235,35 +235,35 @@
     assert_eq!(levels[2..].iter().flatten().count(), 1, "more than half stay: {levels:?}");
 }
 
-/// What callers send a node at once: 60 uploads that rest after nine tenths, as of a client whose
-/// machines sleep, and 200 prompts of 20 kB, on a node of 64 MB.
+/// A node of 64 MB with 60 uploads that stall after nine tenths, as of a client whose machines
+/// sleep, and 200 prompts of 20 kB.
 #[test]
-fn under_sixty_resting_uploads_all_small_requests_find_room() {
+fn sixty_stalled_uploads_do_not_keep_out_small_requests() {
     const SMALL_NODE: u64 = 64_000_000;
     let mut memory = MemoryBudget::new(SMALL_NODE * 4 / 10, SMALL_NODE, 1.0);
-    let (mut resting, mut refused) = (Vec::new(), 0);
+    let (mut stalled, mut refused) = (Vec::new(), 0);
     for upload in 0..60 {
         let now = upload * 30;
-        match begin(&mut memory, now, &body("archive"), LARGE) {
+        match reserve(&mut memory, now, &body("archive"), LARGE) {
             Ok(id) => {
                 memory.record_received(now, id, LARGE * 9 / 10);
-                resting.push(id);
+                stalled.push(id);
             }
             Err(shortage) => {
                 refused += 1;
                 assert!((100..=3_000).contains(&shortage.retry_after));
                 for id in shortage.evicted {
-                    resting.retain(|known| *known != id);
+                    stalled.retain(|known| *known != id);
                     memory.close(now, id);
                 }
             }
         }
         let small: Vec<_> =
-            (0..4).map(|_| begin(&mut memory, now, &body("school"), SMALL)).collect();
+            (0..4).map(|_| reserve(&mut memory, now, &body("school"), SMALL)).collect();
         assert!(small.iter().all(Result::is_ok), "at {now}");
         small.into_iter().flatten().for_each(|id| memory.close(now + 20, id));
     }
-    assert!(resting.len() <= 3);
+    assert!(stalled.len() <= 3);
     assert!(refused >= 40, "{refused}");
     assert!(memory.get_total() <= memory.get_capacity());
 }
@@ -299,7 +299,7 @@
 proptest! {
     #[test]
     fn no_sequence_exceeds_the_capacity_or_leaks(steps in steps()) {
-        let mut memory = accountant();
+        let mut memory = make_budget();
         let mut now = 10_000;
         let mut held: Vec<(ReservationId, u64)> = Vec::new();
         for step in steps {
@@ -307,8 +307,8 @@
                 Step::Open(account, kind, bytes) => {
                     let kind = [Kind::RequestBody, Kind::RequestBody, Kind::ReadAhead, Kind::Control]
                         [usize::from(kind)];
-                    let claim = Requester { kind, account: ACCOUNTS[account], urgency: account as u32 };
-                    if let Ok(id) = begin(&mut memory, now, &claim, bytes) {
+                    let requester = Requester { kind, account: ACCOUNTS[account], urgency: account as u32 };
+                    if let Ok(id) = reserve(&mut memory, now, &requester, bytes) {
                         prop_assert!(memory.get_total() <= memory.get_capacity());
                         held.push((id, bytes));
                     }
@@ -351,7 +351,8 @@
         prop_assert_eq!(bodies, 9, "what was held before has left no trace");
     }
 
-    /// One account asks once in a while, as its caller retries; others at every step.
+    /// One account retries occasionally, as its caller does; the others fill the memory at every
+    /// step.
     #[test]
     fn no_account_starves(
         lengths in prop::collection::vec(100_000_u64..5_000_000, 1..6),
@@ -359,7 +360,7 @@
         ends_after in 100_u64..2_000,
         retries in 50_u64..3_000,
     ) {
-        let mut memory = accountant();
+        let mut memory = make_budget();
         let mut running: Vec<(Millis, ReservationId)> = Vec::new();
         let mut next_try = 3_000;
         for now in (0..20_000).step_by(25) {
@@ -370,14 +371,14 @@
                 *ends_at > now
             });
             for (account, length) in lengths.iter().enumerate() {
-                let claim = body(["a", "b", "c", "d", "e"][account % 5]);
-                for id in fill(&mut memory, now, &claim, *length) {
+                let requester = body(["a", "b", "c", "d", "e"][account % 5]);
+                for id in fill(&mut memory, now, &requester, *length) {
                     memory.complete_upload(id);
                     running.push((now + ends_after, id));
                 }
             }
             if now >= next_try {
-                if begin(&mut memory, now, &body("rare"), wanted).is_ok() {
+                if reserve(&mut memory, now, &body("rare"), wanted).is_ok() {
                     return Ok(());
                 }
                 next_try = now + retries;
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because servers crash under them, one case at a time.
+//! Requests that are quarantined because servers crash while they run them, one case at a time.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -8,8 +8,8 @@
 };
 
 const SERVICE: u64 = 7;
-/// Some time after a crash, when its keeper judges it.
-const SETTLED: Millis = 600;
+/// Time after a crash at which its owner has judged it, in milliseconds.
+const SETTLE_MS: Millis = 600;
 
 fn fingerprint(number: u64) -> Fingerprint {
     Fingerprint::from_number(number)
@@ -21,61 +21,62 @@
     Crash { service: SERVICE, server, age: 0, runs: requests.iter().map(run).collect() }
 }
 
-/// Lets servers crash one after the other, and returns the requests that are refused then.
-fn judge(keeper: &mut Tracker, crashes: &[(Millis, Crash)]) -> Vec<u64> {
-    let mut refused = Vec::new();
+/// Reports crashes one after the other, and returns the requests that are quarantined because of
+/// them.
+fn judge(owner: &mut Tracker, crashes: &[(Millis, Crash)]) -> Vec<u64> {
+    let mut quarantined = Vec::new();
     let last = crashes.iter().map(|(at, _)| *at).max().unwrap_or(0);
-    for now in (0..=last + SETTLED).step_by(10) {
+    for now in (0..=last + SETTLE_MS).step_by(10) {
         for (_, crash) in crashes.iter().filter(|(at, _)| *at == now) {
-            keeper.merge_report(now, crash);
+            owner.merge_report(now, crash);
         }
-        refused.extend(list_refused(&keeper.judge(now)));
+        quarantined.extend(list_quarantined(&owner.judge(now)));
     }
-    refused
+    quarantined
 }
 
-fn list_refused(verdicts: &[Verdict]) -> Vec<u64> {
-    let refused = verdicts.iter().filter(|verdict| verdict.standing == Standing::Quarantined);
-    refused.map(|verdict| verdict.fingerprint.get_number()).collect()
+fn list_quarantined(verdicts: &[Verdict]) -> Vec<u64> {
+    let quarantined = verdicts.iter().filter(|verdict| verdict.standing == Standing::Quarantined);
+    quarantined.map(|verdict| verdict.fingerprint.get_number()).collect()
 }
 
 #[test]
-fn a_request_is_refused_after_three_ends_in_a_row() {
-    let mut keeper = Tracker::default();
+fn a_request_is_quarantined_after_three_consecutive_crashes() {
+    let mut owner = Tracker::default();
     let crashes =
         [(1_000, crash(1, &[5, 11])), (2_000, crash(2, &[5, 12])), (3_000, crash(3, &[5, 13]))];
-    assert_eq!(judge(&mut keeper, &crashes[..2]), Vec::<u64>::new());
-    assert_eq!(judge(&mut keeper, &crashes[2..]), [5]);
-    let refused_for = keeper.get_quarantine_remaining(4_000, fingerprint(5)).unwrap_or(0);
-    assert!(refused_for > QUARANTINE_PERIOD - 1_000, "{refused_for}");
-    assert_eq!(keeper.get_quarantine_remaining(4_000, fingerprint(11)), None);
+    assert_eq!(judge(&mut owner, &crashes[..2]), Vec::<u64>::new());
+    assert_eq!(judge(&mut owner, &crashes[2..]), [5]);
+    let remaining = owner.get_quarantine_remaining(4_000, fingerprint(5)).unwrap_or(0);
+    assert!(remaining > QUARANTINE_PERIOD - 1_000, "{remaining}");
+    assert_eq!(owner.get_quarantine_remaining(4_000, fingerprint(11)), None);
 }
 
 #[test]
-fn a_request_that_ran_beside_each_time_is_refused_only_once_nothing_else_can_be_the_cause() {
-    let mut keeper = Tracker::default();
-    // The second request goes to the same three servers as the cause, and then elsewhere.
+fn a_concurrent_request_delays_the_quarantine_until_the_cause_is_certain() {
+    let mut owner = Tracker::default();
+    // The second request is sent to the same three servers as the cause, and then elsewhere.
     let crashes = [
         (1_000, crash(1, &[5, 11])),
         (2_000, crash(2, &[5, 11])),
         (3_000, crash(3, &[5, 11])),
         (4_000, crash(4, &[5])),
     ];
-    assert_eq!(judge(&mut keeper, &crashes[..3]), Vec::<u64>::new());
-    assert_eq!(judge(&mut keeper, &crashes[3..]), [5]);
+    assert_eq!(judge(&mut owner, &crashes[..3]), Vec::<u64>::new());
+    assert_eq!(judge(&mut owner, &crashes[3..]), [5]);
 }
 
 #[test]
-fn requests_that_run_together_at_five_servers_that_end_are_both_refused() {
-    let mut keeper = Tracker::default();
+fn two_requests_that_ran_together_in_five_crashes_are_both_quarantined() {
+    let mut owner = Tracker::default();
     let crashes: Vec<_> = (1..=5).map(|n| (n * 1_000, crash(n, &[5, 6]))).collect();
-    assert_eq!(judge(&mut keeper, &crashes), [5, 6]);
+    assert_eq!(judge(&mut owner, &crashes), [5, 6]);
 }
 
 #[test]
-fn two_causes_at_different_servers_are_both_refused_and_none_between_them() {
-    let mut keeper = Tracker::default();
-    // Request 11 ran beside either cause, and at three servers in all.
+fn two_causes_at_different_servers_are_both_quarantined_and_nothing_else_is() {
+    let mut owner = Tracker::default();
+    // Request 11 ran next to both causes, at three servers in total.
     let crashes = [
         (1_000, crash(1, &[5, 11])),
         (1_500, crash(2, &[6, 11])),
@@ -86,55 +87,55 @@
         (4_000, crash(7, &[5])),
         (4_500, crash(8, &[6])),
     ];
-    let mut refused = judge(&mut keeper, &crashes);
-    refused.sort_unstable();
-    assert_eq!(refused, [5, 6]);
+    let mut quarantined = judge(&mut owner, &crashes);
+    quarantined.sort_unstable();
+    assert_eq!(quarantined, [5, 6]);
 }
 
 #[test]
-fn a_popular_request_is_not_refused_where_a_data_centre_is_lost() {
-    let mut keeper = Tracker::default();
-    // All its runs had been sent before the loss: together they are one crash in the row.
+fn a_popular_request_is_not_quarantined_when_a_data_centre_is_lost() {
+    let mut owner = Tracker::default();
+    // All attempts were sent before the loss, so together they count as one consecutive crash.
     let crashes: Vec<_> = (1..=40).map(|n| (1_000 + n * 10, crash(n, &[9]))).collect();
     let long = |(at, mut crash): (Millis, Crash)| {
         crash.runs[0].ran_for = 900;
         (at, crash)
     };
     let crashes: Vec<_> = crashes.into_iter().map(long).collect();
-    assert_eq!(judge(&mut keeper, &crashes), Vec::<u64>::new());
+    assert_eq!(judge(&mut owner, &crashes), Vec::<u64>::new());
 }
 
 #[test]
-fn a_request_that_was_answered_whole_is_neither_reported_nor_refused() {
+fn a_completed_request_is_neither_reported_nor_quarantined() {
     let mut node = Tracker::default();
     assert_eq!(node.record_completion(500, fingerprint(9)), None);
     for (n, at) in [1_000, 2_000, 3_000].into_iter().enumerate() {
         node.record_crash(at, crash(n as u64, &[9]));
     }
-    let keeper = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-    assert_eq!(node.take_due(3_000, |_| Some(keeper)), []);
+    let owner = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    assert_eq!(node.take_due(3_000, |_| Some(owner)), []);
 }
 
 #[test]
-fn an_answer_at_any_node_clears_a_request_that_is_suspected() {
-    let (mut keeper, mut node) = (Tracker::default(), Tracker::default());
-    keeper.merge_report(1_000, &crash(1, &[9]));
-    keeper.merge_report(2_000, &crash(2, &[9]));
-    let suspected = keeper.judge(2_000);
+fn a_completion_at_any_node_clears_a_suspected_request() {
+    let (mut owner, mut node) = (Tracker::default(), Tracker::default());
+    owner.merge_report(1_000, &crash(1, &[9]));
+    owner.merge_report(2_000, &crash(2, &[9]));
+    let suspected = owner.judge(2_000);
     assert_eq!(suspected.len(), 1);
     assert_eq!(suspected[0].standing, Standing::Suspected);
     assert!(node.merge(50_000, suspected[0]).is_news);
-    // It is told once.
+    // The owner is told once.
     assert_eq!(node.record_completion(50_100, fingerprint(9)), Some(SERVICE));
     assert_eq!(node.record_completion(50_200, fingerprint(9)), None);
-    let cleared = keeper.merge_completion(2_300, fingerprint(9)).map(|verdict| verdict.standing);
+    let cleared = owner.merge_completion(2_300, fingerprint(9)).map(|verdict| verdict.standing);
     assert_eq!(cleared, Some(Standing::Cleared));
     let later = [(3_000, crash(3, &[9])), (4_000, crash(4, &[9]))];
-    assert_eq!(judge(&mut keeper, &later), Vec::<u64>::new());
+    assert_eq!(judge(&mut owner, &later), Vec::<u64>::new());
 }
 
 #[test]
-fn a_node_that_has_served_a_suspected_request_says_so() {
+fn a_node_that_completed_a_suspected_request_says_so() {
     let mut node = Tracker::default();
     node.record_completion(1_000, fingerprint(9));
     let verdict = verdict(9, Standing::Suspected, 60_000);
@@ -143,40 +144,40 @@
 }
 
 #[test]
-fn a_request_that_is_answered_after_all_is_served_again() {
-    let mut keeper = Tracker::default();
+fn a_quarantined_request_that_completes_is_served_again() {
+    let mut owner = Tracker::default();
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
-    assert_eq!(judge(&mut keeper, &crashes), [5]);
-    // It was running at another server meanwhile.
-    let cleared = keeper.merge_completion(4_000, fingerprint(5));
+    assert_eq!(judge(&mut owner, &crashes), [5]);
+    // It was still running at another server.
+    let cleared = owner.merge_completion(4_000, fingerprint(5));
     assert_eq!(cleared.map(|verdict| verdict.standing), Some(Standing::Cleared));
-    assert_eq!(keeper.get_quarantine_remaining(4_000, fingerprint(5)), None);
+    assert_eq!(owner.get_quarantine_remaining(4_000, fingerprint(5)), None);
 }
 
 #[test]
-fn a_refusal_ends_with_time_and_comes_back_after_one_more_end() {
-    let mut keeper = Tracker::default();
+fn a_quarantine_expires_and_returns_after_one_more_crash() {
+    let mut owner = Tracker::default();
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
-    assert_eq!(judge(&mut keeper, &crashes), [5]);
+    assert_eq!(judge(&mut owner, &crashes), [5]);
     let later = 3_700 + QUARANTINE_PERIOD;
-    assert_eq!(keeper.get_quarantine_remaining(later, fingerprint(5)), None);
-    keeper.merge_report(later, &crash(9, &[5, 11]));
-    assert_eq!(list_refused(&keeper.judge(later + SETTLED)), [5]);
-    assert!(keeper.get_quarantine_remaining(later + SETTLED, fingerprint(5)).is_some());
+    assert_eq!(owner.get_quarantine_remaining(later, fingerprint(5)), None);
+    owner.merge_report(later, &crash(9, &[5, 11]));
+    assert_eq!(list_quarantined(&owner.judge(later + SETTLE_MS)), [5]);
+    assert!(owner.get_quarantine_remaining(later + SETTLE_MS, fingerprint(5)).is_some());
 }
 
 #[test]
-fn the_reports_of_several_nodes_are_one_end_and_a_server_that_is_back_ends_anew() {
-    let mut keeper = Tracker::default();
+fn the_reports_of_several_nodes_are_one_crash_and_a_restarted_server_may_crash_again() {
+    let mut owner = Tracker::default();
     let same = [(1_000, crash(1, &[5])), (1_100, crash(1, &[5])), (1_300, crash(1, &[5]))];
-    assert_eq!(judge(&mut keeper, &same), Vec::<u64>::new());
-    // The server comes back under its name, and crashes twice more.
+    assert_eq!(judge(&mut owner, &same), Vec::<u64>::new());
+    // The server returns under its name, and crashes twice more.
     let again = [(4_000, crash(1, &[5])), (8_000, crash(1, &[5]))];
-    assert_eq!(judge(&mut keeper, &again), [5]);
+    assert_eq!(judge(&mut owner, &again), [5]);
 }
 
 #[test]
-fn a_keeper_that_takes_the_place_of_another_gets_the_reports_of_the_last_minute() {
+fn a_new_owner_gets_the_reports_of_the_last_minute() {
     let mut node = Tracker::default();
     let first = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let second = SocketAddr::from((Ipv4Addr::LOCALHOST, 2));
@@ -188,13 +189,13 @@
     }
     assert_eq!(node.take_due(2_600, |_| Some(first)), []);
     let due = node.take_due(30_000, |_| Some(second));
-    let ages: Vec<_> = due.iter().map(|(keeper, crash)| (*keeper, crash.age)).collect();
+    let ages: Vec<_> = due.iter().map(|(owner, crash)| (*owner, crash.age)).collect();
     assert_eq!(ages, [(second, 29_000), (second, 28_000)]);
     assert_eq!(node.take_due(62_500, |_| Some(first)), []);
 }
 
 #[test]
-fn verdicts_do_not_outlive_their_time_by_being_passed_on() {
+fn gossip_does_not_extend_verdicts() {
     let (mut one, mut other) = (Tracker::default(), Tracker::default());
     one.merge(0, verdict(5, Standing::Quarantined, 60_000));
     for now in (100..120_000).step_by(100) {
@@ -209,14 +210,14 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
-    let mut book = Tracker::default();
+fn the_state_is_bounded() {
+    let mut tracker = Tracker::default();
     for number in 0..5_000 {
-        book.merge(1_000, verdict(number, Standing::Quarantined, 60_000 + number));
-        book.merge_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
+        tracker.merge(1_000, verdict(number, Standing::Quarantined, 60_000 + number));
+        tracker.merge_report(1_000 + number, &crash(number, &[number, number + 1, number + 2]));
     }
-    assert_eq!(book.count_quarantined(1_001), 256);
-    assert_eq!(book.get_gossip_batch(1_001, 3).len(), 8);
+    assert_eq!(tracker.count_quarantined(1_001), 256);
+    assert_eq!(tracker.get_gossip_batch(1_001, 3).len(), 8);
 }
 
 #[test]
