--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Time of the decisions that each request or token needs.
+//! Benchmarks of the decisions for each request or token.
 
 #![allow(missing_docs)]
 
@@ -19,7 +19,7 @@
     queue
 }
 
-fn ask(number: usize, prefix: &[u64]) -> GrantRequest {
+fn make_request(number: usize, prefix: &[u64]) -> GrantRequest {
     GrantRequest {
         id: number.to_string(),
         group: "flood".to_owned(),
@@ -43,7 +43,7 @@
             |bencher| {
                 bencher.iter(|| {
                     number += 1;
-                    let decision = queue.submit(number as u64, ask(number, &prefix));
+                    let decision = queue.submit(number as u64, make_request(number, &prefix));
                     if let Decision::Granted(grant) = black_box(decision) {
                         queue.record_first_token(&grant.id);
                         queue.release(number as u64, &grant.id, None);
@@ -60,7 +60,7 @@
             let full = || {
                 let mut queue = queue(1);
                 for number in 0..64 + waiting {
-                    queue.submit(0, GrantRequest { wait: 1_000_000, ..ask(number, &[]) });
+                    queue.submit(0, GrantRequest { wait: 1_000_000, ..make_request(number, &[]) });
                 }
                 queue
             };
--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -1,4 +1,4 @@
-//! Time of the decisions of relayed exchanges, by the number of nodes.
+//! Benchmarks of the decisions for relayed requests, by the number of nodes.
 
 #![allow(missing_docs)]
 
@@ -22,12 +22,12 @@
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::topology::Topology;
 
-/// Nodes, and servers before which they stand.
+/// Numbers of nodes and of servers.
 const SIZES: [(usize, usize); 6] =
     [(7, 18), (83, 112), (300, 200), (1_000, 600), (1_000, 10_000), (2_000, 20_000)];
-/// The numbers of nodes alone.
+/// Numbers of nodes.
 const NODES: [usize; 5] = [7, 83, 300, 1_000, 2_000];
-/// Servers of a list that changes.
+/// Numbers of servers in a list that changes.
 const LISTS: [usize; 3] = [200, 10_000, 20_000];
 /// Servers at which a node has requests in flight.
 const BUSY: usize = 7;
@@ -81,18 +81,18 @@
     };
     for (nodes, count) in SIZES {
         let servers = servers(count);
-        let mut book = LoadTracker::default();
+        let mut tracker = LoadTracker::default();
         let is_grouped = members(nodes).is_grouped();
         let reporting = if is_grouped { 0 } else { nodes };
         for node in 0..reporting {
             let busy = servers.iter().skip(node * 3 % count).take(BUSY);
             let load = Load { requests: 1, ..Load::default() };
             let loads = busy.map(|server| (short_id(&server.id), load)).collect();
-            book.merge(u64::MAX, &node.to_string(), loads);
+            tracker.merge(u64::MAX, &node.to_string(), loads);
         }
-        let weigh = |server| Candidate {
+        let make_candidate = |server| Candidate {
             server,
-            load: book.total(&server.id),
+            load: tracker.total(&server.id),
             is_ejected: false,
             slowness: 1.0,
         };
@@ -104,21 +104,22 @@
                     true => shortlist(servers.iter(), &criteria, random, false, |_| true),
                     false => servers.iter().collect(),
                 };
-                let candidates: Vec<Candidate<'_>> = listed.into_iter().map(weigh).collect();
+                let candidates: Vec<Candidate<'_>> =
+                    listed.into_iter().map(make_candidate).collect();
                 black_box(choose(&candidates, &criteria, random));
             });
         });
     }
 }
 
-/// The data centres of two regions, as a node of the first one sees them.
+/// The data centres of two regions, as seen from a node of the first one.
 fn two_regions() -> Arc<Topology> {
     let region = |number: usize| if number.is_multiple_of(2) { "a" } else { "b" };
     let data_centres = (0..6).map(|number| (format!("z{number}"), region(number).to_owned()));
     Arc::new(Topology::new("z0", data_centres.collect()).expect("a known data centre"))
 }
 
-/// The choice in the own region of two, which most requests need only.
+/// The choice in the own region of two, which is all that most requests need.
 fn regions(criterion: &mut Criterion) {
     let criteria = Criteria {
         shared_prefix: Some(7),
@@ -136,10 +137,10 @@
             continue;
         }
         let servers = servers(count);
-        let book = LoadTracker::default();
-        let weigh = |server| Candidate {
+        let tracker = LoadTracker::default();
+        let make_candidate = |server| Candidate {
             server,
-            load: book.total(&server.id),
+            load: tracker.total(&server.id),
             is_ejected: false,
             slowness: 1.0,
         };
@@ -148,9 +149,10 @@
         criterion.bench_function(&name, |bencher| {
             bencher.iter(|| {
                 random += 1;
-                let near = servers.iter().filter(|server| topology.is_local(&server.data_centre));
-                let listed = shortlist(near, &criteria, random, false, |_| true);
-                let candidates: Vec<Candidate<'_>> = listed.into_iter().map(weigh).collect();
+                let local = servers.iter().filter(|server| topology.is_local(&server.data_centre));
+                let listed = shortlist(local, &criteria, random, false, |_| true);
+                let candidates: Vec<Candidate<'_>> =
+                    listed.into_iter().map(make_candidate).collect();
                 let choice = choose(&candidates, &criteria, random);
                 black_box(Offer::of(&choice, &candidates));
             });
@@ -193,7 +195,7 @@
     }
 }
 
-/// Ranks among nodes that join one after the other.
+/// The ranking among nodes that join one after the other.
 fn joining(criterion: &mut Criterion) {
     for nodes in [83, 1_000, 2_000] {
         let mut members = members(nodes);
@@ -232,14 +234,14 @@
             });
         });
     }
-    let mut book = LoadTracker::default();
+    let mut tracker = LoadTracker::default();
     let work = RequestCost { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
     criterion.bench_function("one load told and read", |bencher| {
         bencher.iter(|| {
-            book.merge_server(u64::MAX, "node", 7, Load { requests: 1, ..Load::default() });
-            book.begin("server", &work);
-            black_box(book.total("server"));
-            book.end("server", &work, true);
+            tracker.merge_server(u64::MAX, "node", 7, Load { requests: 1, ..Load::default() });
+            tracker.begin("server", &work);
+            black_box(tracker.total("server"));
+            tracker.end("server", &work, true);
         });
     });
 }
@@ -248,7 +250,8 @@
     let limit = Limit { rate_per_second: 1e9, burst: 1e9 };
     for nodes in NODES {
         let is_grouped = members(nodes).is_grouped();
-        // In groups a node hears its aggregator only, and an aggregator the others and its group.
+        // In groups a node hears only its aggregator, and an aggregator hears the others and its
+        // group.
         let heard = if is_grouped { (nodes as f64).sqrt().ceil() as usize * 2 } else { nodes };
         let reach = Reachability { heard: nodes, known: nodes, report_delay: 400, is_grouped };
         let mut quotas = Quotas::new(0, Tolerance::default());
@@ -269,14 +272,14 @@
     }
 }
 
-/// What requests that crash servers cost each request, and their keeper where its tables are full.
+/// The cost of the quarantine for each request, and for the owner with full tables.
 fn quarantine(criterion: &mut Criterion) {
     let body = vec![b'x'; 4_096];
     let content = Content { account: "acme", host: "gauges.example", path: "/x/y", body: &body };
     criterion.bench_function("quarantine, fingerprint of 4 KB", |bencher| {
         bencher.iter(|| black_box(Fingerprint::new(&content)));
     });
-    let mut book = Tracker::default();
+    let mut tracker = Tracker::default();
     for number in 0..256 {
         let verdict = Verdict {
             fingerprint: Fingerprint::from_number(number * 7),
@@ -285,15 +288,15 @@
             left: 600_000,
             servers_crashed: 3,
         };
-        book.merge(1_000, verdict);
+        tracker.merge(1_000, verdict);
     }
     criterion.bench_function("quarantine, a request beside a full list", |bencher| {
         bencher.iter(|| {
-            black_box(book.get_quarantine_remaining(2_000, Fingerprint::from_number(8)));
-            black_box(book.record_completion(2_000, Fingerprint::from_number(8)))
+            black_box(tracker.get_quarantine_remaining(2_000, Fingerprint::from_number(8)));
+            black_box(tracker.record_completion(2_000, Fingerprint::from_number(8)))
         });
     });
-    let end = |server: u64| {
+    let make_crash = |server: u64| {
         let run = |number| InterruptedRequest {
             fingerprint: Fingerprint::from_number(number),
             ran_for: 50,
@@ -306,14 +309,14 @@
         }
     };
     for server in 0..512 {
-        book.merge_report(10_000 + server, &end(server));
+        tracker.merge_report(10_000 + server, &make_crash(server));
     }
     let mut server = 512;
     criterion.bench_function("quarantine, an end at a full keeper", |bencher| {
         bencher.iter(|| {
             server += 1;
-            book.merge_report(20_000 + server, &end(server));
-            black_box(book.judge(20_000 + server))
+            tracker.merge_report(20_000 + server, &make_crash(server));
+            black_box(tracker.judge(20_000 + server))
         });
     });
 }
--- a/crates/core/tests/serving/refusal.rs
+++ b/crates/core/tests/serving/refusal.rs
@@ -3,7 +3,7 @@
 use keeljunction_core::serving::refusal::Refusal;
 
 #[test]
-fn what_may_have_run_never_gets_a_status_that_says_it_has_not() {
+fn a_request_that_may_have_run_never_gets_a_status_that_denies_it() {
     for refusal in [Refusal::Timeout, Refusal::BrokenAnswer] {
         assert!(refusal.may_have_run());
         assert!(![408, 421, 429, 503].contains(&refusal.get_status()));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_node_that_does_not_know_denies_nothing() {
+fn a_node_without_knowledge_responds_with_503() {
     for refusal in [Refusal::NotConfigured, Refusal::Stale, Refusal::NoServer, Refusal::Busy] {
         assert_eq!(refusal.get_status(), 503);
         assert!(!refusal.may_have_run());
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_node_without_memory_says_when_to_come_back_and_that_nothing_has_run() {
+fn a_node_without_memory_says_when_to_retry_and_that_nothing_has_run() {
     assert_eq!(Refusal::NoMemory.get_status(), 503);
     assert!(!Refusal::NoMemory.may_have_run());
     let wait = Refusal::NoMemory.get_retry_after(400, 15_000);
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn callers_come_back_within_a_third_of_their_time() {
+fn callers_retry_within_a_third_of_their_remaining_time() {
     assert_eq!(Refusal::Busy.get_retry_after(400, 15_000), Some(Duration::from_millis(400)));
     assert_eq!(Refusal::Busy.get_retry_after(9_000, 3_000), Some(Duration::from_millis(900)));
     assert_eq!(Refusal::OverQuota.get_retry_after(0, 3_000), Some(Duration::from_millis(1)));
 }
 
 #[test]
-fn a_refusal_that_another_try_cannot_mend_names_no_time() {
+fn a_refusal_that_a_retry_cannot_fix_has_no_retry_time() {
     for refusal in [Refusal::BadRequest, Refusal::NoRoute, Refusal::UnknownKey] {
         assert_eq!(refusal.get_retry_after(400, 15_000), None);
     }
--- a/crates/core/tests/serving/rollout_trials.rs
+++ b/crates/core/tests/serving/rollout_trials.rs
@@ -1,6 +1,6 @@
-//! Roll-outs of good versions and of each kind of bad ones, over many nodes: what a bad version
-//! gets, how long it takes to be found, and how often a good one is taken for bad. The sequential
-//! test of the product is compared with fixed thresholds.
+//! Rollouts of good versions and of each kind of bad ones, over many nodes: how many requests a bad
+//! version gets, how long its detection takes, and how often a good one is judged bad. The
+//! sequential test of the product is compared with fixed thresholds.
 
 use std::collections::VecDeque;
 
@@ -8,56 +8,58 @@
     Action, Comparison, Exposure, Phase, Progress, Series, Snapshot, Stage, Tallies, Tolerance,
 };
 
-/// How a version is bad.
+/// The kind of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     Good,
-    /// Good, and prompts of one route take 1.7 times as long because nothing is cached.
+    /// Good, but prompts of one route take 1.7 times as long because nothing is cached.
     Cold,
-    /// Three in ten answers fail.
+    /// Three in ten requests fail.
     Failing,
-    /// One in ten answers fails.
+    /// One in ten requests fails.
     FailingSeldom,
-    /// Three in ten answers take four times as long.
+    /// Three in ten responses take four times as long.
     Slow,
-    /// Half of the answers of one route fail.
+    /// Half of the requests of one route fail.
     OneRoute,
-    /// Three in ten answers fail from the fifth second on.
+    /// Three in ten requests fail from the fifth second on.
     Later,
-    /// Half of the answers fail while it gets more than a fifth of the requests: its servers are
-    /// few, so that the canary does not load them.
+    /// Half of the requests fail while the version gets more than a fifth of them: its servers are
+    /// few, so the canary does not load them.
     UnderLoad,
 }
 
 const BAD: [Kind; 6] =
     [Kind::Failing, Kind::FailingSeldom, Kind::Slow, Kind::OneRoute, Kind::Later, Kind::UnderLoad];
 
-/// Who decides.
+/// The decision procedure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Decider {
     Sequential,
-    /// Bad from five failures at three times the others' rate, or a median of twice theirs.
+    /// Bad from five failures at three times the baseline's rate, or from a median of twice the
+    /// baseline's.
     Thresholds,
 }
 
-/// Routes with the share of requests, and the median of the first token in milliseconds.
+/// Routes with their share of requests and the median time to the first token in milliseconds.
 const ROUTES: [(&str, f64, f64); 3] =
     [("brief", 0.2, 185.0), ("explain", 0.4, 40.0), ("alert", 0.4, 60.0)];
-/// The scale of the logarithms of first tokens, whose distribution is taken for logistic: half, one
-/// in ten and one in a hundred of 3,495 measured ones were above 185, 544 and 1,785 ms.
-const SPREAD: f64 = 0.49;
+/// The scale of the logarithm of the time to the first token, which is assumed to be logistic:
+/// half, one in ten and one in a hundred of 3,495 measured ones were above 185, 544 and 1,785 ms.
+const TTFT_LOG_SCALE: f64 = 0.49;
 /// The mean time between the pieces of a stream, in milliseconds, and the scale of its logarithm.
-const PACE: f64 = 60.0;
-const PACE_SPREAD: f64 = 0.25;
-/// Failures of good servers.
-const FAILING: f64 = 0.004;
+const MEAN_GAP_MS: f64 = 60.0;
+const GAP_LOG_SCALE: f64 = 0.25;
+/// The failure rate of good servers.
+const GOOD_FAILURE_RATE: f64 = 0.004;
 const DURATION: u64 = 12_000;
 const TICK: u64 = 200;
-/// How long counts take to reach the holder where nodes report in groups, and a stage all nodes.
-const REPORTED_AFTER: usize = 4;
-const TOLD_AFTER: u64 = 60;
-/// Time from an order until the new servers take requests.
-const BOOT: u64 = 1_500;
+/// The delay of counts on their way to the duty holder if nodes report in groups, and of a stage to
+/// all nodes.
+const REPORT_DELAY_TICKS: usize = 4;
+const ANNOUNCEMENT_DELAY: u64 = 60;
+/// Time from an order until the new servers accept requests.
+const BOOT_TIME: u64 = 1_500;
 const SHARE: f64 = 0.1;
 const SLACK: f64 = 50.0;
 
@@ -75,12 +77,12 @@
     decided_at: u64,
     sent: u64,
     sent_to_target: u64,
-    /// Requests to a bad version later than five seconds after its 50th bad answer.
+    /// Requests to a bad version later than five seconds after its 50th bad response.
     too_late: u64,
 }
 
 impl Trial {
-    fn play(&self) -> Outcome {
+    fn run(&self) -> Outcome {
         let mut random = fastrand::Rng::with_seed(self.seed);
         let mut exposures = vec![Exposure::default(); self.nodes];
         let tolerance = Tolerance { share: SHARE, slack: SLACK, nodes: self.nodes };
@@ -91,29 +93,29 @@
         let mut stages = vec![(0, stage)];
         let mut outcome = Outcome::default();
         let mut bad_answers: Vec<u64> = Vec::new();
-        let mut owed = 0.0;
+        let mut due_requests = 0.0;
         for now in (0..DURATION).step_by(TICK as usize) {
             reported.push_back(tallies.clone());
-            if reported.len() > REPORTED_AFTER {
+            if reported.len() > REPORT_DELAY_TICKS {
                 reported.pop_front();
             }
             let known = reported.front().cloned().unwrap_or_default();
             if let Some(next) = self.decide(&mut progress, stage, now, &known) {
                 stage = next;
-                stages.push((now + TOLD_AFTER, next));
+                stages.push((now + ANNOUNCEMENT_DELAY, next));
                 if next.is_final() {
                     outcome.decided_at = now;
                 }
             }
-            owed += self.per_second * TICK as f64 / 1_000.0;
-            while owed >= 1.0 {
-                owed -= 1.0;
+            due_requests += self.per_second * TICK as f64 / 1_000.0;
+            while due_requests >= 1.0 {
+                due_requests -= 1.0;
                 let at = now + random.u64(..TICK);
                 let known = stages.iter().rfind(|(since, _)| *since <= at);
                 let known = known.map_or(Stage::Pending, |(_, stage)| *stage);
                 let exposure = &mut exposures[random.usize(..self.nodes)];
                 let is_target = match known {
-                    Stage::Canary => at >= BOOT && exposure.has_room(&tolerance),
+                    Stage::Canary => at >= BOOT_TIME && exposure.has_room(&tolerance),
                     Stage::Ramp => random.f64() < 0.3,
                     Stage::Shifting | Stage::Completed => true,
                     Stage::Pending | Stage::RolledBack => false,
@@ -142,7 +144,8 @@
         tallies: &Tallies,
     ) -> Option<Stage> {
         let is_open = matches!(stage, Stage::Canary | Stage::Ramp | Stage::Shifting);
-        if self.decider == Decider::Thresholds && is_open && tallies.iter().any(is_beyond) {
+        if self.decider == Decider::Thresholds && is_open && tallies.iter().any(exceeds_thresholds)
+        {
             return Some(Stage::RolledBack);
         }
         let nothing = Tallies::default();
@@ -155,7 +158,8 @@
             other_servers: 4,
             in_flight: u32::from(elapsed < 9_000),
         };
-        // With thresholds only the times and the number of answers are the product's.
+        // The thresholds only replace the test; the times and the minimum number of responses are
+        // the product's.
         let next = match self.decider {
             Decider::Sequential => progress.step(&snapshot),
             Decider::Thresholds if stage == Stage::Canary && tallies.count_target() < 30 => {
@@ -181,19 +185,20 @@
     }
 }
 
-fn is_beyond((_, pair): (&Series, &Comparison)) -> bool {
+fn exceeds_thresholds((_, comparison): (&Series, &Comparison)) -> bool {
     let rate = |failed: u64, all: u64| failed as f64 / all.max(1) as f64;
-    let target = rate(pair.target.failed, pair.target.len());
-    let rest = rate(pair.baseline.failed, pair.baseline.len());
+    let target = rate(comparison.target.failed, comparison.target.len());
+    let baseline = rate(comparison.baseline.failed, comparison.baseline.len());
     let median =
         |latencies: &keeljunction_core::serving::rollout::Latencies| latencies.get_quantile(0.5);
-    let is_compared = pair.target.latencies.len() >= 10 && pair.baseline.latencies.len() >= 50;
-    let is_slow =
-        is_compared && median(&pair.target.latencies) > 2 * median(&pair.baseline.latencies);
-    (pair.target.failed >= 5 && target > 3.0 * rest) || is_slow
+    let is_compared =
+        comparison.target.latencies.len() >= 10 && comparison.baseline.latencies.len() >= 50;
+    let is_slow = is_compared
+        && median(&comparison.target.latencies) > 2 * median(&comparison.baseline.latencies);
+    (comparison.target.failed >= 5 && target > 3.0 * baseline) || is_slow
 }
 
-/// Runs a request; returns `true` if its answer was made bad.
+/// Runs a request. Returns `true` if its response was forced to be bad.
 fn run(
     tallies: &mut Tallies,
     kind: Kind,
@@ -202,12 +207,12 @@
     is_loaded: bool,
     random: &mut fastrand::Rng,
 ) -> bool {
-    let mut point = random.f64();
-    let mut drawn = ROUTES[0];
+    let mut remaining = random.f64();
+    let mut picked = ROUTES[0];
     for route in ROUTES {
-        drawn = route;
-        point -= route.1;
-        if point < 0.0 {
+        picked = route;
+        remaining -= route.1;
+        if remaining < 0.0 {
             break;
         }
     }
@@ -216,7 +221,7 @@
         Kind::Failing => 0.3,
         Kind::FailingSeldom => 0.1,
         Kind::OneRoute => {
-            if drawn.0 == "explain" {
+            if picked.0 == "explain" {
                 0.5
             } else {
                 0.0
@@ -237,22 +242,23 @@
             }
         }
     };
-    let is_made_slow = kind == Kind::Slow && random.f64() < 0.3;
-    let is_made_to_fail = random.f64() < failing;
-    let series = Series { route: drawn.0.to_owned(), phase: Phase::FirstToken };
+    let is_forced_slow = kind == Kind::Slow && random.f64() < 0.3;
+    let is_forced_failure = random.f64() < failing;
+    let series = Series { route: picked.0.to_owned(), phase: Phase::FirstToken };
     let tally = tallies.get_mut(series, is_target);
-    if is_made_to_fail || random.f64() < FAILING {
+    if is_forced_failure || random.f64() < GOOD_FAILURE_RATE {
         tally.record_failure();
     } else {
-        let is_cold = kind == Kind::Cold && drawn.0 == "brief";
-        let slowed = if is_made_slow { 4.0 } else { 1.0 } * if is_cold { 1.7 } else { 1.0 };
-        tally.record_success(Some((drawn.2 * slowed * draw_factor(SPREAD, random)) as u64));
-        let series = Series { route: drawn.0.to_owned(), phase: Phase::Stream };
-        let slowed = if is_made_slow { 4.0 } else { 1.0 };
-        let pace = PACE * slowed * draw_factor(PACE_SPREAD, random);
-        tallies.get_mut(series, is_target).record_success(Some(pace as u64));
+        let is_cold = kind == Kind::Cold && picked.0 == "brief";
+        let slowed = if is_forced_slow { 4.0 } else { 1.0 } * if is_cold { 1.7 } else { 1.0 };
+        tally
+            .record_success(Some((picked.2 * slowed * draw_factor(TTFT_LOG_SCALE, random)) as u64));
+        let series = Series { route: picked.0.to_owned(), phase: Phase::Stream };
+        let slowed = if is_forced_slow { 4.0 } else { 1.0 };
+        let gap = MEAN_GAP_MS * slowed * draw_factor(GAP_LOG_SCALE, random);
+        tallies.get_mut(series, is_target).record_success(Some(gap as u64));
     }
-    is_made_to_fail || is_made_slow
+    is_forced_failure || is_forced_slow
 }
 
 /// Draws a factor around 1 whose logarithm has a logistic distribution.
@@ -261,7 +267,7 @@
     (scale * (even / (1.0 - even)).ln()).exp()
 }
 
-/// Sums of some trials.
+/// Sums of several trials.
 #[derive(Debug, Default)]
 struct Sum {
     trials: u64,
@@ -269,19 +275,19 @@
     completed: u64,
     exceeded: u64,
     too_late: u64,
-    worst_share: f64,
+    max_share: f64,
     decided_at: u64,
 }
 
 fn sum(kind: Kind, decider: Decider, nodes: usize, per_second: f64, trials: u64) -> Sum {
     let mut sum = Sum { trials, ..Sum::default() };
     for seed in 0..trials {
-        let outcome = Trial { kind, decider, nodes, per_second, seed }.play();
+        let outcome = Trial { kind, decider, nodes, per_second, seed }.run();
         sum.rolled_back += u64::from(outcome.stage == Stage::RolledBack);
         sum.completed += u64::from(outcome.stage == Stage::Completed);
         let allowed = SHARE * outcome.sent as f64 + SLACK;
         sum.exceeded += u64::from(outcome.sent_to_target as f64 > allowed);
-        sum.worst_share = sum.worst_share.max(outcome.sent_to_target as f64 / allowed);
+        sum.max_share = sum.max_share.max(outcome.sent_to_target as f64 / allowed);
         sum.too_late += outcome.too_late;
         sum.decided_at += outcome.decided_at;
     }
@@ -289,18 +295,18 @@
     sum
 }
 
-/// Loads in requests a second to one service, with nodes.
+/// Sizes: nodes, and requests per second to one service.
 const SIZES: [(usize, f64); 3] = [(7, 60.0), (78, 376.0), (300, 1_400.0)];
 
 #[test]
-fn bad_versions_are_found_within_what_is_tolerated() {
+fn bad_versions_are_detected_within_the_tolerance() {
     for (nodes, per_second) in SIZES {
         for kind in BAD {
             let found = sum(kind, Decider::Sequential, nodes, per_second, 20);
             println!("{kind:?} at {nodes} nodes, {per_second} a second: {found:?}");
             assert_eq!(found.too_late, 0, "{kind:?} at {nodes} nodes: {found:?}");
-            // One that fails one in ten answers may pass within twelve seconds of few requests; one
-            // that is bad under load only shows when it has the load.
+            // With few requests, a version that fails one request in ten may pass within twelve
+            // seconds, and one that is bad under load only shows it under load.
             let is_sure = !matches!(kind, Kind::FailingSeldom | Kind::UnderLoad | Kind::Slow);
             if is_sure && per_second > 100.0 {
                 assert_eq!(found.rolled_back, found.trials, "{kind:?} at {nodes}: {found:?}");
@@ -311,7 +317,7 @@
 }
 
 #[test]
-fn good_versions_are_not_taken_for_bad() {
+fn good_versions_are_not_rolled_back() {
     let mut rolled_back = 0;
     for kind in [Kind::Good, Kind::Cold] {
         for (nodes, per_second) in [(7, 60.0), (78, 376.0)] {
@@ -324,16 +330,16 @@
 }
 
 #[test]
-fn fixed_thresholds_compare_worse() {
+fn fixed_thresholds_decide_worse() {
     let mut wrong = [0, 0];
-    for (place, decider) in [Decider::Sequential, Decider::Thresholds].into_iter().enumerate() {
+    for (index, decider) in [Decider::Sequential, Decider::Thresholds].into_iter().enumerate() {
         for (nodes, per_second) in SIZES {
             for kind in [Kind::Good, Kind::Cold].into_iter().chain(BAD) {
                 let found = sum(kind, decider, nodes, per_second, 20);
                 println!("{decider:?}, {kind:?} at {nodes} nodes: {found:?}");
                 let is_good = matches!(kind, Kind::Good | Kind::Cold);
-                let right = if is_good { found.completed } else { found.rolled_back };
-                wrong[place] += found.trials - right;
+                let correct = if is_good { found.completed } else { found.rolled_back };
+                wrong[index] += found.trials - correct;
             }
         }
     }
--- a/crates/core/tests/serving/throughput.rs
+++ b/crates/core/tests/serving/throughput.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_few_samples_give_no_figure() {
+fn a_few_samples_give_no_estimate() {
     let mut throughput = Throughput::default();
     for _ in 0..9 {
         throughput.add(1_000, sample(6_000, 110));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn fixed_costs_are_taken_off() {
+fn fixed_costs_are_subtracted() {
     let mut throughput = Throughput::default();
     for _ in 0..10 {
         throughput.add(1_000, sample(100, 10));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn old_samples_leave() {
+fn old_samples_expire() {
     let mut throughput = Throughput::default();
     for _ in 0..10 {
         throughput.add(1_000, sample(6_000, 1_000));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn samples_of_peers_count_and_are_not_told_on() {
+fn samples_of_peers_count_and_are_not_reported() {
     let mut throughput = Throughput::default();
     for _ in 0..9 {
         throughput.merge(1_000, sample(6_000, 100));
@@ -57,8 +57,8 @@
     assert!(throughput.take_unreported().is_empty());
 }
 
-/// A throughput of usual servers that read 60 tokens in a millisecond.
-fn usual_pace() -> Throughput {
+/// The throughput of usual servers that read 60 tokens per millisecond.
+fn make_usual() -> Throughput {
     let mut throughput = Throughput::default();
     for server in (10..20).flat_map(|server| [server; 5]) {
         throughput.add(1_000, Sample { server, ..sample(6_000, 100) });
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn a_server_that_takes_longer_is_told_apart_in_steps() {
-    let mut throughput = usual_pace();
+fn the_slowness_of_a_server_is_rounded_to_steps() {
+    let mut throughput = make_usual();
     for (server, first_token_ms) in [(1, 132), (2, 115), (3, 400), (4, 90_000)] {
         for _ in 0..5 {
             throughput.merge(1_000, Sample { server, ..sample(6_000, first_token_ms) });
@@ -81,7 +81,7 @@
 
 #[test]
 fn prompts_that_waited_do_not_make_a_server_slow() {
-    let mut throughput = usual_pace();
+    let mut throughput = make_usual();
     for _ in 0..9 {
         throughput.merge(1_000, Sample { is_alone: false, ..sample(6_000, 400) });
     }
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn what_a_server_showed_is_forgotten_with_it() {
-    let mut throughput = usual_pace();
+fn the_rating_of_a_server_is_forgotten_with_it() {
+    let mut throughput = make_usual();
     for _ in 0..5 {
         throughput.merge(1_000, sample(6_000, 400));
     }
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn slow_answers_count_for_a_time() {
-    let mut throughput = usual_pace();
+fn slow_responses_expire() {
+    let mut throughput = make_usual();
     for _ in 0..5 {
         throughput.merge(1_000, sample(6_000, 400));
     }
--- a/crates/core/tests/serving/topology.rs
+++ b/crates/core/tests/serving/topology.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn without_regions_everything_is_near() {
+fn without_regions_everything_is_local() {
     let topology = Topology::new("a1", BTreeMap::new()).unwrap();
 
     assert!(topology.is_local("a1") && topology.is_local("elsewhere"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn data_centres_of_other_regions_and_unknown_ones_are_far() {
+fn data_centres_of_other_regions_and_unknown_ones_are_remote() {
     let topology = Topology::new("a1", two_regions()).unwrap();
 
     assert!(topology.is_local("a2"));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_node_whose_data_centre_is_in_no_region_is_an_error_that_lists_those_that_are() {
+fn a_node_in_no_region_is_an_error_that_lists_the_known_data_centres() {
     let error = Topology::new("c1", two_regions()).unwrap_err();
 
     assert_eq!(error.get_kind(), ErrorKind::InvalidValue);
@@ -39,26 +39,26 @@
 }
 
 #[test]
-fn a_region_that_was_not_measured_is_waited_for_longer_than_one_round_trip() {
-    let distances = RoundTrips::default();
+fn the_timeout_of_an_unmeasured_region_is_longer_than_one_round_trip() {
+    let round_trips = RoundTrips::default();
 
-    assert_eq!(distances.get_round_trip("b"), 100);
-    assert_eq!(distances.get_timeout("b", 25), 150);
+    assert_eq!(round_trips.get_round_trip("b"), 100);
+    assert_eq!(round_trips.get_timeout("b", 25), 150);
 }
 
 #[test]
-fn the_wait_follows_the_measured_round_trips_and_is_bounded() {
-    let mut distances = RoundTrips::default();
+fn the_timeout_follows_the_measured_round_trips_and_is_bounded() {
+    let mut round_trips = RoundTrips::default();
     for _ in 0..50 {
-        distances.record("b", 60);
+        round_trips.record("b", 60);
     }
 
-    assert_eq!(distances.get_round_trip("b"), 60);
-    assert_eq!(distances.get_timeout("b", 25), 61);
-    assert_eq!(distances.get_timeout("b", 90), 90);
+    assert_eq!(round_trips.get_round_trip("b"), 60);
+    assert_eq!(round_trips.get_timeout("b", 25), 61);
+    assert_eq!(round_trips.get_timeout("b", 90), 90);
 
     for _ in 0..50 {
-        distances.record("b", 2_000);
+        round_trips.record("b", 2_000);
     }
-    assert_eq!(distances.get_timeout("b", 25), 300);
+    assert_eq!(round_trips.get_timeout("b", 25), 300);
 }
