--- a/crates/core/tests/serving/rollout.rs
+++ b/crates/core/tests/serving/rollout.rs
@@ -175,7 +175,8 @@
     assert_eq!((sum.tallies.count_target(), sum.in_flight), (3, 3));
 }
 
-/// Returns tallies with the given numbers of responses, `failed` of which are failures of the target.
+/// Returns tallies with the given numbers of responses, of which `failed` responses of the target
+/// failed.
 fn make_tallies(target: u64, failed: u64, baseline: u64) -> Tallies {
     let mut tallies = Tallies::default();
     for number in 0..target {
