--- a/crates/core/tests/serving/suspension.rs
+++ b/crates/core/tests/serving/suspension.rs
@@ -69,7 +69,7 @@
         let fingerprint = Fingerprint::from_number(5);
         let standing = Standing::Quarantined;
         book.merge(SUSPENDED_AT, Verdict { fingerprint, service: 1, standing, left: 20_000, servers_crashed: 3 });
-        let left = book.get_quarantine_left(SUSPENDED_AT + suspension, fingerprint);
+        let left = book.get_quarantine_remaining(SUSPENDED_AT + suspension, fingerprint);
         prop_assert_eq!(left, 20_000_u64.checked_sub(suspension).filter(|left| *left > 0));
     }
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -387,7 +387,7 @@
     /// serving it; `None` if it is not quarantined.
     pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
-        self.with(|state| state.quarantine.get_quarantine_left(now, fingerprint))
+        self.with(|state| state.quarantine.get_quarantine_remaining(now, fingerprint))
     }
 
     /// Returns `true` if the node lacks memory and clients should use other nodes.
