--- a/crates/gateway/src/node/peers/discovery.rs
+++ b/crates/gateway/src/node/peers/discovery.rs
@@ -134,7 +134,7 @@
 async fn register_until_done(node: &Node) {
     let mut back_off = INITIAL_REGISTRATION_BACK_OFF;
     while let Err(error) = register(node).await {
-        emit_failure("register this node", &error);
+        emit_failure("list this node", &error);
         runtime::sleep(jitter(back_off)).await;
         if read_with_retries(node, Part::Sample { is_settled: false }).await {
             return;
--- a/crates/gateway/src/node/rollout_controller.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -271,20 +271,17 @@
     match next {
         Action::Wait => None,
         Action::Begin => Some((Stage::Canary, reason("ordered"))),
-        Action::Ramp => Some((Stage::Ramp, reason("on par with the other versions"))),
-        Action::Shift => {
-            Some((Stage::Shifting, reason("on par with the other versions under load")))
+        Action::Ramp => Some((Stage::Ramp, reason("as good as the others"))),
+        Action::Shift => Some((Stage::Shifting, reason("as good as the others under load"))),
+        Action::Complete { cut } => {
+            Some((Stage::Completed, Reason { in_flight: cut, ..reason("carries the load") }))
         }
-        Action::Complete { cut } => Some((
-            Stage::Completed,
-            Reason { in_flight: cut, ..reason("the target version carries the load") },
-        )),
         Action::RollBack(fault) => {
             let route = fault.series.map(|series| series.route);
             Some((Stage::RolledBack, Reason { route, ..reason(fault.symptom.as_str()) }))
         }
         Action::GiveUp => {
-            Some((Stage::RolledBack, reason("too few responses or servers to decide")))
+            Some((Stage::RolledBack, reason("too few answers or servers to judge by")))
         }
     }
 }
--- a/crates/gateway/src/node/rollout_status.rs
+++ b/crates/gateway/src/node/rollout_status.rs
@@ -89,5 +89,5 @@
 }
 
 fn emit_failure(error: &TableError) {
-    event::emit(&Event::TableCallFailed { what: "rollout status", error: error.to_string() });
+    event::emit(&Event::TableCallFailed { what: "status of a roll-out", error: error.to_string() });
 }
