--- a/crates/keeljunction/src/caller/check.rs
+++ b/crates/keeljunction/src/caller/check.rs
@@ -12,7 +12,7 @@
 use crate::http;
 use crate::node::accept::Naming;
 use crate::node::request::Prompt;
-use crate::node::state::Force;
+use crate::node::state::ActiveBundle;
 use crate::node::{Node, Request};
 
 const CLASS: &str = "keeljunction-class";
@@ -52,10 +52,10 @@
 /// Returns the [`Problem`] to answer with; nothing was dispatched.
 pub async fn check(
     node: &Node,
-    force: &Force,
+    active: &ActiveBundle,
     request: HttpRequest<Incoming>,
 ) -> Result<Checked, Problem> {
-    let bundle = &force.document;
+    let bundle = &active.document;
     let (head, body) = request.into_parts();
     let (group, account) = authenticate(bundle, &head.headers)?;
     let class = find_class(bundle, &head.headers)?.clone();
--- a/crates/keeljunction/src/caller/handler.rs
+++ b/crates/keeljunction/src/caller/handler.rs
@@ -43,12 +43,12 @@
     if node.is_closed() {
         return closed(node);
     }
-    let Some(force) = node.get_force() else {
-        let why = node.get_unready().unwrap_or("not ready");
+    let Some(active) = node.get_active_bundle() else {
+        let why = node.get_unready_reason().unwrap_or("not ready");
         let problem = Problem::refused(StatusCode::SERVICE_UNAVAILABLE, why);
         return respond(&problem.retry_after(CLOSED_RETRY_MS));
     };
-    let checked = match check::check(node, &force, request).await {
+    let checked = match check::check(node, &active, request).await {
         Ok(checked) => checked,
         Err(problem) => {
             node.metric.count("requests_bad", 1);
--- a/crates/keeljunction/src/caller/operator.rs
+++ b/crates/keeljunction/src/caller/operator.rs
@@ -62,7 +62,7 @@
 }
 
 fn ready(node: &Node) -> Response<Body> {
-    match node.get_unready() {
+    match node.get_unready_reason() {
         None => Response::new(Body::from("ready\n")),
         Some(why) => respond(&Problem::refused(StatusCode::SERVICE_UNAVAILABLE, why)),
     }
@@ -99,9 +99,12 @@
     Status {
         node: node.get_name().to_owned(),
         data_centre: node.settings.node.data_centre.clone(),
-        ready: node.get_unready().is_none(),
+        ready: node.get_unready_reason().is_none(),
         roll: node.get_roll(),
-        version: node.get_force().map(|force| force.roll.version.clone()).unwrap_or_default(),
+        version: node
+            .get_active_bundle()
+            .map(|active| active.roll.version.clone())
+            .unwrap_or_default(),
         running: node.get_running(),
         records: runtime::lock(&node.records).len(),
         members,
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -17,7 +17,7 @@
 use crate::runtime;
 
 /// When to come back where all seats are taken, in milliseconds.
-const SEAT_RETRY_MS: u64 = 500;
+const SATURATED_RETRY_AFTER_MS: u64 = 500;
 /// When to come back where neither a peer nor the platform answers, in milliseconds.
 const OUTAGE_RETRY_MS: u64 = 1_000;
 
@@ -73,11 +73,11 @@
         let lost = unknown(409, "no node knows this answer; ask again without Last-Event-ID", 0);
         return ending::refuse(&node, &answer, lost);
     }
-    let Some(seat) = node.take_seat(&answer.request.account) else {
+    let Some(permit) = node.try_acquire_permit(&answer.request.account) else {
         return ending::refuse(
             &node,
             &answer,
-            not_run(429, "too many requests are in flight", SEAT_RETRY_MS),
+            not_run(429, "too many requests are in flight", SATURATED_RETRY_AFTER_MS),
         );
     };
     match prepare(&node, &answer).await {
@@ -88,11 +88,11 @@
         }
         Err(Instead::End(ended)) => ending::refuse(&node, &answer, ended),
         Err(Instead::RunsAt(runner)) => {
-            drop(seat);
+            drop(permit);
             return follow_runner(&node, &answer, &runner).await;
         }
     }
-    drop(seat);
+    drop(permit);
 }
 
 /// What becomes of a request that is not run here.
@@ -117,7 +117,7 @@
 /// Gets all that an accepted request needs.
 async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, Instead> {
     let request = &answer.request;
-    node.count_try(&request.service.name);
+    node.count_first_attempt(&request.service.name);
     let want = Want {
         wait: request.class.first_token_ms / 2,
         priority: request.class.priority,
--- a/crates/keeljunction/src/node/adoption.rs
+++ b/crates/keeljunction/src/node/adoption.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::directory::Server;
 use keeljunction_core::{Error, ErrorKind};
 
-use super::state::Force;
+use super::state::ActiveBundle;
 use super::{Node, grant};
 use crate::peer::wire;
 use crate::platform::ROLL_KEY;
@@ -29,12 +29,12 @@
         .map_err(|_| Error::new(ErrorKind::Malformed, "the bundle is not text"))?;
     let document = bundle::parse(text)?;
     let (number, version) = (roll.number, roll.version.clone());
-    let is_adopted = node.set_force(Force { roll, body, document });
+    let is_adopted = node.activate(ActiveBundle { roll, body, document });
     if is_adopted {
         log::info!(target: "audit", "roll {number}, version {version}, is in force");
         node.metric.gauge("roll", number);
         grant::sync_all(node);
-        node.post_news();
+        node.notify_peers();
     }
     Ok(is_adopted)
 }
@@ -43,7 +43,7 @@
 pub async fn watch(node: Arc<Node>) {
     let mut turn: u64 = 0;
     loop {
-        if node.is_turn_to_read(ROLL_KEY, turn) || node.get_force().is_none() {
+        if node.is_read_due(ROLL_KEY, turn) || node.get_active_bundle().is_none() {
             read_roll(&node).await;
         }
         turn += 1;
@@ -88,14 +88,14 @@
 /// Writes what this node knows for a peer whose roll is older.
 pub fn reply(node: &Node, above_roll: u64) -> wire::FetchReply {
     let servers = servers(node);
-    let force = node.get_force().filter(|force| force.roll.number > above_roll);
-    let Some(force) = force else {
+    let active = node.get_active_bundle().filter(|active| active.roll.number > above_roll);
+    let Some(active) = active else {
         return wire::FetchReply { servers, ..wire::FetchReply::default() };
     };
     wire::FetchReply {
-        roll: force.roll.number,
-        row: serde_json::to_vec(&force.roll).unwrap_or_default(),
-        body: force.body.clone(),
+        roll: active.roll.number,
+        row: serde_json::to_vec(&active.roll).unwrap_or_default(),
+        body: active.body.clone(),
         servers,
     }
 }
--- a/crates/keeljunction/src/node/control.rs
+++ b/crates/keeljunction/src/node/control.rs
@@ -12,7 +12,7 @@
 use super::fleet::Buyer;
 use super::lease::Tenure;
 use super::order::Orders;
-use super::state::Force;
+use super::state::ActiveBundle;
 use super::{Node, fleet, grant, order};
 use crate::runtime;
 
@@ -30,9 +30,9 @@
 pub async fn run(node: Arc<Node>) {
     let mut parts: HashMap<String, Part> = HashMap::new();
     loop {
-        if let Some(force) = node.get_force().filter(|_| !node.is_stopping()) {
-            for service in &force.document.services {
-                act(&node, &force, service, &mut parts).await;
+        if let Some(active) = node.get_active_bundle().filter(|_| !node.is_stopping()) {
+            for service in &active.document.services {
+                act(&node, &active, service, &mut parts).await;
             }
         }
         runtime::sleep(PERIOD).await;
@@ -41,7 +41,7 @@
 
 async fn act(
     node: &Arc<Node>,
-    force: &Force,
+    active: &ActiveBundle,
     service: &Service,
     parts: &mut HashMap<String, Part>,
 ) {
@@ -55,6 +55,6 @@
     if let Err(fault) = part.tenure.keep(node, &format!("lease/{}", service.name)).await {
         log::debug!("the lease of {} was not renewed: {fault}", service.name);
     }
-    part.orders.send(node, force, service, &mut part.tenure).await;
-    part.buyer.buy(node, force, service, &part.tenure).await;
+    part.orders.send(node, active, service, &mut part.tenure).await;
+    part.buyer.buy(node, active, service, &part.tenure).await;
 }
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -23,7 +23,7 @@
     log::info!("server {} is leaving in {left} ms", departure.server);
     node.metric.count("departures", 1);
     grant::sync_all(node);
-    node.post_news();
+    node.notify_peers();
     steer(node, &departure.server, left);
 }
 
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -8,7 +8,7 @@
 use keeljunction_core::rendezvous;
 
 use super::request::succession_key;
-use super::state::Held;
+use super::state::HeldRecord;
 use super::{Answer, Node, copy, ending, takeover};
 use crate::peer::wire;
 use crate::runtime;
@@ -98,7 +98,7 @@
         return Found::Mismatch;
     }
     let now = node.now();
-    let held = Held { deadline: now + record.deadline_left_ms, since: now, record };
+    let held = HeldRecord { deadline: now + record.deadline_left_ms, since: now, record };
     takeover::revive_into(node, answer, held).await;
     Found::Here
 }
--- a/crates/keeljunction/src/node/fleet.rs
+++ b/crates/keeljunction/src/node/fleet.rs
@@ -14,7 +14,7 @@
 
 use super::Node;
 use super::lease::Tenure;
-use super::state::Force;
+use super::state::ActiveBundle;
 use crate::platform::{Commit, Fault, Row, Start, Transaction};
 use crate::runtime;
 
@@ -39,7 +39,7 @@
     pub async fn buy(
         &mut self,
         node: &Arc<Node>,
-        force: &Force,
+        active: &ActiveBundle,
         service: &Service,
         tenure: &Tenure,
     ) {
@@ -55,7 +55,7 @@
         if let Some(unanswered) = open.iter().find(|open| !open.is_started) {
             return self.ask(node, &unanswered.row, &unanswered.start, tenure).await;
         }
-        let offers = self.offers(force, service);
+        let offers = self.offers(active, service);
         let demand =
             Demand { target: service.floor, after_loss: service.after_loss, floor: service.floor };
         let plan = fleet::plan(node.now(), &offers, &demand);
@@ -93,9 +93,9 @@
         }
     }
 
-    fn offers(&self, force: &Force, service: &Service) -> Vec<Offer> {
+    fn offers(&self, active: &ActiveBundle, service: &Service) -> Vec<Offer> {
         let prices =
-            force.document.prices.iter().filter(|price| price.vm_class == service.vm_class);
+            active.document.prices.iter().filter(|price| price.vm_class == service.vm_class);
         let offer = |price: &keeljunction_core::bundle::Price| Offer {
             data_centre: price.data_centre.clone(),
             vm_class: price.vm_class.clone(),
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -38,7 +38,7 @@
 /// Sends a few nodes what is new at once, each time that there is something, for as long as the
 /// process lives.
 pub async fn run_urgent(node: Arc<Node>) {
-    while node.wait_for_news().await {
+    while node.wait_for_urgent_news().await {
         spread(&node);
     }
 }
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -353,7 +353,7 @@
     if let Some(shard) = runtime::lock(shards).get(key) {
         return Some(shard.clone());
     }
-    let service: Service = node.get_force()?.document.get_service(&key.0)?.clone();
+    let service: Service = node.get_active_bundle()?.document.get_service(&key.0)?.clone();
     let queue = Queue::new(service.slots, service.prefill_tokens_per_second)
         .shared_by(sharers)
         .policy(node.settings.routing.policy);
@@ -364,7 +364,7 @@
 }
 
 fn sync(node: &Arc<Node>, key: &ShardKey, shard: &Shard) {
-    let Some(force) = node.get_force() else { return };
+    let Some(active) = node.get_active_bundle() else { return };
     let directory = runtime::lock(&node.directory);
     let count = shard::shard_count(directory.iter_service(&key.0).count());
     let servers =
@@ -381,6 +381,6 @@
         .collect();
     shard.with(|queue, _| {
         queue.set_servers(listed.into_iter());
-        queue.set_weights(force.document.groups.iter().map(|g| (g.name.as_str(), g.weight)));
+        queue.set_weights(active.document.groups.iter().map(|g| (g.name.as_str(), g.weight)));
     });
 }
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use super::lease::{LONGEST_ORDER_MS, Tenure};
-use super::state::Force;
+use super::state::ActiveBundle;
 use super::{Node, attempt};
 use crate::backend::Ordered;
 use crate::runtime;
@@ -33,7 +33,7 @@
     pub async fn send(
         &mut self,
         node: &Arc<Node>,
-        force: &Force,
+        active: &ActiveBundle,
         service: &Service,
         tenure: &mut Tenure,
     ) {
@@ -41,19 +41,19 @@
             return;
         }
         for (name, address) in staying(node, service) {
-            if self.sent.get(&name) == Some(&force.roll.number) {
+            if self.sent.get(&name) == Some(&active.roll.number) {
                 continue;
             }
             let Some(fence) = tenure.get_fence(node.now()) else { return };
             let order = json!({
-                "fence": fence, "node": node.get_name(), "roll": force.roll.number, "models": service.models,
+                "fence": fence, "node": node.get_name(), "roll": active.roll.number, "models": service.models,
             });
             let engine = attempt::engine(node, address);
             let sending = engine.order(&order);
             let answer = runtime::timeout(Duration::from_millis(LONGEST_ORDER_MS), sending).await;
             match answer {
                 Some(Ordered::Taken) => {
-                    self.sent.insert(name, force.roll.number);
+                    self.sent.insert(name, active.roll.number);
                     node.metric.count("orders_sent", 1);
                 }
                 Some(Ordered::OldFence) => {
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -64,7 +64,7 @@
     println!("{}", serde_json::to_string(&at).unwrap_or_default());
     log::info!("node {} listens: {at:?}", node.get_name());
     runtime::spawn(wait_for_signal(node.clone()));
-    node.ended.wait().await;
+    node.stopped.wait().await;
     runtime::sleep(LINGER).await;
     stop.send();
     let waited = runtime::timeout(WRITE_OUT, async {
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -10,7 +10,7 @@
 
 use super::grant::{self, ShardKey};
 use super::request::Id;
-use super::state::Held;
+use super::state::HeldRecord;
 use super::{Answer, Node, adoption, copy, gossip, takeover};
 use crate::peer::wire;
 use crate::peer::wire::peer_server::Peer;
@@ -124,7 +124,7 @@
         return false;
     }
     let deadline = now + record.deadline_left_ms;
-    records.insert(id.clone(), Held { record, since: now, deadline });
+    records.insert(id.clone(), HeldRecord { record, since: now, deadline });
     drop(records);
     if is_handover {
         takeover::revive(node, &id);
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -25,18 +25,18 @@
 use crate::runtime::{self, Clock};
 use crate::settings::Settings;
 
-const CONNECT_WITHIN: Duration = Duration::from_millis(500);
-const DEAD_MEMORY_MS: Millis = 600_000;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const DEAD_MEMBER_RETENTION_MS: Millis = 600_000;
 /// Nodes that read the platform at the full rate on behalf of all.
-const WATCHERS: usize = 3;
+const FULL_RATE_READERS: usize = 3;
 /// The window in which retries are counted against first tries, as in the examples' settings.
-const BUDGET_WINDOW_MS: Millis = 10_000;
+const RETRY_BUDGET_WINDOW_MS: Millis = 10_000;
 /// How many times more seldom the others read it.
-const SELDOM: u64 = 10;
+const REDUCED_RATE_DIVISOR: u64 = 10;
 
 /// The bundle in force, with the roll that put it there.
 #[derive(Debug)]
-pub struct Force {
+pub struct ActiveBundle {
     /// The roll.
     pub roll: Roll,
     /// The body, as it was signed.
@@ -47,7 +47,7 @@
 
 /// A record that this node holds for another.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldRecord {
     /// The record.
     pub record: wire::Record,
     /// When it came, on this node's clock.
@@ -56,7 +56,7 @@
     pub deadline: Millis,
 }
 
-impl Held {
+impl HeldRecord {
     /// Returns `true` if the request has ended without its answer, so that asking again begins anew.
     pub fn is_spent(&self) -> bool {
         self.record.r#final.as_ref().is_some_and(|ended| ended.outcome != Outcome::Done.as_str())
@@ -84,17 +84,17 @@
     /// The requests that this node runs or ran.
     pub answers: Mutex<HashMap<Id, Arc<Answer>>>,
     /// The records held for other nodes.
-    pub records: Mutex<HashMap<Id, Held>>,
+    pub records: Mutex<HashMap<Id, HeldRecord>>,
     /// Queues of shards, and grants that are out.
     pub book: Book,
     /// Claims waiting to be written.
     pub claims: Claims,
     /// Given once the node has stopped.
-    pub ended: http::StopSignal,
+    pub stopped: http::StopSignal,
     urgent: (Sender<()>, Receiver<()>),
-    force: Mutex<Option<Arc<Force>>>,
+    active: Mutex<Option<Arc<ActiveBundle>>>,
     budget: Mutex<Budget>,
-    seats: Mutex<HashMap<String, usize>>,
+    in_flight: Mutex<HashMap<String, usize>>,
     is_stopping: AtomicBool,
     is_closed: AtomicBool,
     running: AtomicUsize,
@@ -104,20 +104,22 @@
     /// Makes a node that knows only itself. Its peers reach it at `peer_address`.
     pub fn new(settings: Settings, peer_address: String) -> Arc<Self> {
         let clock = Clock::new();
-        let me = Member {
+        let local = Member {
             name: settings.node.name.clone(),
             data_centre: settings.node.data_centre.clone(),
             address: peer_address,
             incarnation: runtime::unix_ms(),
             state: State::Alive,
         };
-        let timing =
-            Timing { suspicion: settings.membership.suspicion_ms, dead_retention: DEAD_MEMORY_MS };
-        let http = http::Client::new(CONNECT_WITHIN);
+        let timing = Timing {
+            suspicion: settings.membership.suspicion_ms,
+            dead_retention: DEAD_MEMBER_RETENTION_MS,
+        };
+        let http = http::Client::new(CONNECT_TIMEOUT);
         let allowance = Allowance {
             ratio: settings.routing.retry_per_mille as f64 / 1_000.0,
             min_retries: settings.routing.retry_burst as f64,
-            window: BUDGET_WINDOW_MS,
+            window: RETRY_BUDGET_WINDOW_MS,
             usable_fraction: 1.0,
         };
         Arc::new(Self {
@@ -126,17 +128,17 @@
             platform: platform::Client::new(settings.platform.clone(), http.clone()),
             http,
             peers: Pool::new(&settings.peer_credential),
-            members: Mutex::new(List::new(me, timing)),
+            members: Mutex::new(List::new(local, timing)),
             directory: Mutex::default(),
             answers: Mutex::default(),
             records: Mutex::default(),
             book: Book::default(),
             claims: Claims::new(),
-            ended: http::StopSignal::new(),
+            stopped: http::StopSignal::new(),
             urgent: async_channel::bounded(1),
-            force: Mutex::default(),
+            active: Mutex::default(),
             budget: Mutex::new(Budget::new(allowance)),
-            seats: Mutex::default(),
+            in_flight: Mutex::default(),
             is_stopping: AtomicBool::new(false),
             is_closed: AtomicBool::new(false),
             running: AtomicUsize::new(0),
@@ -155,35 +157,35 @@
     }
 
     /// Returns the bundle in force.
-    pub fn get_force(&self) -> Option<Arc<Force>> {
-        runtime::lock(&self.force).clone()
+    pub fn get_active_bundle(&self) -> Option<Arc<ActiveBundle>> {
+        runtime::lock(&self.active).clone()
     }
 
     /// Returns the number of the roll in force; 0 where there is none.
     pub fn get_roll(&self) -> u64 {
-        self.get_force().map_or(0, |force| force.roll.number)
+        self.get_active_bundle().map_or(0, |active| active.roll.number)
     }
 
     /// Puts a bundle in force if its roll is newer; returns `true` if it did.
-    pub fn set_force(&self, force: Force) -> bool {
+    pub fn activate(&self, active: ActiveBundle) -> bool {
         use keeljunction_core::bundle::{Adoption, adopt};
-        let mut current = runtime::lock(&self.force);
-        let number = current.as_ref().map_or(0, |force| force.roll.number);
-        if adopt(number, force.roll.number) == Adoption::Keep {
+        let mut current = runtime::lock(&self.active);
+        let number = current.as_ref().map_or(0, |active| active.roll.number);
+        if adopt(number, active.roll.number) == Adoption::Keep {
             return false;
         }
-        *current = Some(Arc::new(force));
+        *current = Some(Arc::new(active));
         true
     }
 
     /// Has a few peers notified at once of what is new.
-    pub fn post_news(&self) {
+    pub fn notify_peers(&self) {
         // One notification that waits already covers this one.
         let _ = self.urgent.0.try_send(());
     }
 
     /// Waits until peers must be notified at once; `false` once that cannot be any more.
-    pub async fn wait_for_news(&self) -> bool {
+    pub async fn wait_for_urgent_news(&self) -> bool {
         self.urgent.1.recv().await.is_ok()
     }
 
@@ -201,11 +203,12 @@
     /// Returns `true` if it is this node's turn to read something of the platform that all nodes want.
     ///
     /// A few nodes read it each time, the others far more seldom: they hear of it from their peers.
-    pub fn is_turn_to_read(&self, what: &str, turn: u64) -> bool {
+    pub fn is_read_due(&self, what: &str, turn: u64) -> bool {
         let nodes = self.usable_nodes();
         let order = rendezvous::rank(what, nodes.iter().map(|(name, _)| name.as_str()));
-        let is_watcher = order.iter().take(WATCHERS).any(|name| *name == self.get_name());
-        is_watcher || turn.is_multiple_of(SELDOM)
+        let is_full_rate_reader =
+            order.iter().take(FULL_RATE_READERS).any(|name| *name == self.get_name());
+        is_full_rate_reader || turn.is_multiple_of(REDUCED_RATE_DIVISOR)
     }
 
     /// Returns where a node is reached by its peers.
@@ -214,7 +217,7 @@
     }
 
     /// Counts a first try of a service.
-    pub fn count_try(&self, service: &str) {
+    pub fn count_first_attempt(&self, service: &str) {
         runtime::lock(&self.budget).count_request(self.now(), service);
     }
 
@@ -227,16 +230,16 @@
     }
 
     /// Takes a seat for a request of an account; `None` where all are taken.
-    pub fn take_seat(self: &Arc<Self>, account: &str) -> Option<Seat> {
+    pub fn try_acquire_permit(self: &Arc<Self>, account: &str) -> Option<RequestPermit> {
         let limits = &self.settings.limits;
-        let mut seats = runtime::lock(&self.seats);
-        let taken = seats.entry(account.to_owned()).or_default();
+        let mut in_flight = runtime::lock(&self.in_flight);
+        let taken = in_flight.entry(account.to_owned()).or_default();
         if *taken >= limits.requests_per_account || self.get_running() >= limits.requests {
             return None;
         }
         *taken += 1;
         self.running.fetch_add(1, Ordering::SeqCst);
-        Some(Seat { node: self.clone(), account: account.to_owned() })
+        Some(RequestPermit { node: self.clone(), account: account.to_owned() })
     }
 
     /// Returns how many requests run.
@@ -265,11 +268,11 @@
     }
 
     /// Explains why the node is not ready; `None` where it is.
-    pub fn get_unready(&self) -> Option<&'static str> {
+    pub fn get_unready_reason(&self) -> Option<&'static str> {
         if self.is_stopping() {
             return Some("the node is stopping");
         }
-        if self.get_force().is_none() {
+        if self.get_active_bundle().is_none() {
             return Some("no bundle is in force: neither the platform nor a peer has given one");
         }
         None
@@ -277,19 +280,19 @@
 }
 
 /// A place among the requests in flight, given back when dropped.
-pub struct Seat {
+pub struct RequestPermit {
     node: Arc<Node>,
     account: String,
 }
 
-impl Drop for Seat {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         self.node.running.fetch_sub(1, Ordering::SeqCst);
-        let mut seats = runtime::lock(&self.node.seats);
-        if let Some(taken) = seats.get_mut(&self.account) {
+        let mut in_flight = runtime::lock(&self.node.in_flight);
+        if let Some(taken) = in_flight.get_mut(&self.account) {
             *taken = taken.saturating_sub(1);
             if *taken == 0 {
-                seats.remove(&self.account);
+                in_flight.remove(&self.account);
             }
         }
     }
--- a/crates/keeljunction/src/node/stop.rs
+++ b/crates/keeljunction/src/node/stop.rs
@@ -23,14 +23,14 @@
     let node = node.clone();
     runtime::spawn(async move {
         run(&node, within).await;
-        node.ended.send();
+        node.stopped.send();
     });
 }
 
 async fn run(node: &Arc<Node>, within: Duration) {
     let started = node.now();
     runtime::lock(&node.members).leave();
-    node.post_news();
+    node.notify_peers();
     unfinished(node).iter().for_each(|answer| answer.press());
     let grace = Duration::from_millis(node.settings.times.stop_grace_ms).min(within / 4);
     runtime::sleep(grace).await;
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -8,7 +8,7 @@
 use super::answer::{Attempt, not_run, unknown};
 use super::relay::Start;
 use super::request::Id;
-use super::state::Held;
+use super::state::HeldRecord;
 use super::{Answer, Node, Request, claims, copy, ending, relay};
 use crate::peer::wire::{Final, Record};
 use crate::runtime;
@@ -34,10 +34,10 @@
     }
     let held = runtime::lock(&node.records).get(id).cloned();
     let Some(held) = held else { return false };
-    let Some(force) = node.get_force() else { return false };
+    let Some(active) = node.get_active_bundle() else { return false };
     let mut record = held.record.clone();
     record.deadline_left_ms = held.deadline.saturating_sub(node.now());
-    let Some(request) = Request::from_record(node.now(), &record, &force.document) else {
+    let Some(request) = Request::from_record(node.now(), &record, &active.document) else {
         return false;
     };
     let answer = Arc::new(Answer::new(request));
@@ -50,7 +50,7 @@
 }
 
 /// Fills an answer from a record and goes on with it.
-pub async fn revive_into(node: &Arc<Node>, answer: &Arc<Answer>, held: Held) {
+pub async fn revive_into(node: &Arc<Node>, answer: &Arc<Answer>, held: HeldRecord) {
     runtime::lock(&node.records).remove(&answer.request.get_id());
     answer.push(held.record.tokens.clone());
     if let Some(ended) = held.record.r#final.clone() {
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -24,7 +24,7 @@
 pub async fn vms(node: Arc<Node>) {
     let mut turn: u64 = 0;
     loop {
-        if node.is_turn_to_read(VMS_KEY, turn) {
+        if node.is_read_due(VMS_KEY, turn) {
             read_vms(&node).await;
         }
         turn += 1;
@@ -100,8 +100,8 @@
 }
 
 fn read_loads(node: &Arc<Node>, key: &ShardKey, shard: &Arc<Shard>) {
-    let force = node.get_force();
-    let kind = force.and_then(|force| Some(force.document.get_service(&key.0)?.kind));
+    let active = node.get_active_bundle();
+    let kind = active.and_then(|active| Some(active.document.get_service(&key.0)?.kind));
     let servers = shard.with(|queue, _| {
         let staying = queue.get_servers().iter().filter(|server| !server.is_leaving);
         staying.map(|s| (s.name.clone(), s.address.clone())).collect::<Vec<_>>()
