--- a/crates/keeljunction/src/caller/operator.rs
+++ b/crates/keeljunction/src/caller/operator.rs
@@ -89,7 +89,7 @@
     let servers =
         directory.iter().map(|s| (s.name.clone(), server_state(&s.name).to_owned())).collect();
     drop(directory);
-    let owned: Vec<_> = runtime::lock(&node.book.owned)
+    let owned: Vec<_> = runtime::lock(&node.grants.owned)
         .iter()
         .map(|(key, shard)| (key.clone(), shard.clone()))
         .collect();
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -10,7 +10,7 @@
 use uuid::Uuid;
 
 use super::answer::{not_run, unknown};
-use super::grant::{Usage, Want};
+use super::grant::{GrantOptions, Usage};
 use super::relay::Start;
 use super::{Answer, Node, Request, claims, copy, ending, find, grant, relay};
 use crate::peer::wire::Final;
@@ -118,12 +118,12 @@
 async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, Instead> {
     let request = &answer.request;
     node.count_first_attempt(&request.service.name);
-    let want = Want {
+    let options = GrantOptions {
         wait: request.class.first_token_ms / 2,
         priority: request.class.priority,
         avoid: &[],
     };
-    let granted = grant::acquire(node, request, want).await;
+    let granted = grant::acquire(node, request, options).await;
     let no_room = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
     let grant = granted.map_err(|refusal| Instead::End(no_room(refusal)))?;
     let place = if request.is_safe() { None } else { Some(copy::place(node, answer).await) };
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -138,7 +138,7 @@
             Disposition::Gap(_) => return broken("tokens are missing"),
         }
         if let Some(grant) = unread.take() {
-            grant::first_token(node, grant);
+            grant::record_first_token(node, grant);
         }
     }
 }
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -175,9 +175,9 @@
 
 /// Does what must be done when a node is gone.
 fn mourn(node: &Arc<Node>, name: &str) {
-    let shards: Vec<_> = runtime::lock(&node.book.owned).values().cloned().collect();
+    let shards: Vec<_> = runtime::lock(&node.grants.owned).values().cloned().collect();
     for shard in shards {
-        shard.drop_node(name);
+        shard.release_node(name);
     }
     takeover::take_over(node, name);
 }
--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -17,33 +17,33 @@
 use crate::runtime;
 
 /// Time for an owner's answer beyond the time that the request may wait, in milliseconds.
-const OWNER_SLACK_MS: Millis = 300;
+const OWNER_ANSWER_MARGIN_MS: Millis = 300;
 /// How often a grant on a server that leaves is given back for another.
-const STALE_GRANTS: usize = 4;
+const MAX_STALE_GRANTS: usize = 4;
 /// When to come back where no server is known, in milliseconds.
-const NO_SERVER_RETRY_MS: Millis = 1_000;
+const NO_SERVER_RETRY_AFTER_MS: Millis = 1_000;
 
 /// A shard of a service.
 pub type ShardKey = (String, u32);
 
 /// The queues that this node keeps, and the grants that it has.
 #[derive(Default)]
-pub struct Book {
+pub struct GrantTable {
     /// The queues of the shards that this node owns.
     pub owned: Mutex<HashMap<ShardKey, Arc<Shard>>>,
     /// The queues by which this node decides alone.
-    pub alone: Mutex<HashMap<ShardKey, Arc<Shard>>>,
+    pub fallback: Mutex<HashMap<ShardKey, Arc<Shard>>>,
     /// The grants that this node has, by name.
-    pub out: Mutex<HashMap<String, Out>>,
+    pub held: Mutex<HashMap<String, HeldGrant>>,
     /// Messages to owners that wait to be sent together.
     pub outbox: Mutex<HashMap<(String, ShardKey), wire::SettleRequest>>,
     /// Signals that there are messages in the outbox.
-    pub posted: Event,
+    pub outbox_changed: Event,
 }
 
 /// A grant that this node has.
 #[derive(Clone, Debug)]
-pub struct Out {
+pub struct HeldGrant {
     /// The grant.
     pub grant: Grant,
     /// The shard that it is of.
@@ -54,7 +54,7 @@
 
 /// How a request asks for a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct GrantOptions<'a> {
     /// How long it may wait for its turn.
     pub wait: Millis,
     /// Its priority; 0 is the most urgent.
@@ -80,13 +80,13 @@
 pub async fn acquire(
     node: &Arc<Node>,
     request: &Request,
-    want: Want<'_>,
+    options: GrantOptions<'_>,
 ) -> Result<Grant, Refusal> {
-    let mut avoid = want.avoid.to_vec();
-    let mut refusal = Refusal { retry_after: NO_SERVER_RETRY_MS };
-    for _ in 0..STALE_GRANTS {
-        let want = Want { avoid: &avoid, ..want };
-        let grant = match acquire_from_shards(node, request, want).await {
+    let mut avoid = options.avoid.to_vec();
+    let mut refusal = Refusal { retry_after: NO_SERVER_RETRY_AFTER_MS };
+    for _ in 0..MAX_STALE_GRANTS {
+        let options = GrantOptions { avoid: &avoid, ..options };
+        let grant = match acquire_from_shards(node, request, options).await {
             Ok(grant) => grant,
             Err(refused) => {
                 refusal = refused;
@@ -104,16 +104,16 @@
 
 /// Gives a grant back.
 pub fn release(node: &Arc<Node>, id: &str, usage: Usage) {
-    let Some(out) = runtime::lock(&node.book.out).remove(id) else { return };
-    match &out.owner {
+    let Some(held) = runtime::lock(&node.grants.held).remove(id) else { return };
+    match &held.owner {
         Some(owner) if owner != node.get_name() => {
-            let cost = usage.cost.unwrap_or(out.grant.cost);
-            let released = wire::Grant { cost, failed: usage.is_failed, ..to_wire(&out.grant) };
-            with_outbox(node, owner, &out.shard, |message| message.released.push(released));
+            let cost = usage.cost.unwrap_or(held.grant.cost);
+            let released = wire::Grant { cost, failed: usage.is_failed, ..to_wire(&held.grant) };
+            with_outbox(node, owner, &held.shard, |message| message.released.push(released));
         }
         _ => {
-            if let Some(shard) = find_local(node, &out) {
-                note_end(&shard, &out.grant.server, usage.is_failed);
+            if let Some(shard) = find_local(node, &held) {
+                record_result(&shard, &held.grant.server, usage.is_failed);
                 shard.release(id, usage.cost);
             }
         }
@@ -121,14 +121,14 @@
 }
 
 /// Notes that the first token came for a grant.
-pub fn first_token(node: &Arc<Node>, id: &str) {
-    let Some(out) = runtime::lock(&node.book.out).get(id).cloned() else { return };
-    match &out.owner {
+pub fn record_first_token(node: &Arc<Node>, id: &str) {
+    let Some(held) = runtime::lock(&node.grants.held).get(id).cloned() else { return };
+    match &held.owner {
         Some(owner) if owner != node.get_name() => {
-            with_outbox(node, owner, &out.shard, |message| message.read.push(id.to_owned()));
+            with_outbox(node, owner, &held.shard, |message| message.read.push(id.to_owned()));
         }
         _ => {
-            if let Some(shard) = find_local(node, &out) {
+            if let Some(shard) = find_local(node, &held) {
                 shard.with(|queue, _| queue.record_first_token(id));
             }
         }
@@ -136,7 +136,7 @@
 }
 
 /// Notes how a grant's server did.
-pub fn note_end(shard: &Shard, server: &str, is_failed: bool) {
+pub fn record_result(shard: &Shard, server: &str, is_failed: bool) {
     shard.with(|queue, now| {
         if is_failed { queue.record_failure(now, server) } else { queue.record_success(server) }
     });
@@ -151,12 +151,12 @@
 
 /// Returns the queue of a shard that this node owns, made anew where it is not there yet.
 pub fn owned_shard(node: &Arc<Node>, key: &ShardKey) -> Option<Arc<Shard>> {
-    local_shard(node, &node.book.owned, key, 1)
+    local_shard(node, &node.grants.owned, key, 1)
 }
 
 /// Brings the servers and weights of all queues of this node up to date.
 pub fn sync_all(node: &Arc<Node>) {
-    for shards in [&node.book.owned, &node.book.alone] {
+    for shards in [&node.grants.owned, &node.grants.fallback] {
         let shards: Vec<(ShardKey, Arc<Shard>)> =
             runtime::lock(shards).iter().map(|(key, shard)| (key.clone(), shard.clone())).collect();
         for (key, shard) in shards {
@@ -194,13 +194,13 @@
 async fn acquire_from_shards(
     node: &Arc<Node>,
     request: &Request,
-    want: Want<'_>,
+    options: GrantOptions<'_>,
 ) -> Result<Grant, Refusal> {
-    let mut refusal = Refusal { retry_after: NO_SERVER_RETRY_MS };
+    let mut refusal = Refusal { retry_after: NO_SERVER_RETRY_AFTER_MS };
     for number in shard_order(node, request) {
         let key = (request.service.name.clone(), number);
-        let ask = make_ask(node, request, want);
-        match acquire_from(node, &key, ask).await {
+        let grant_request = make_grant_request(node, request, options);
+        match acquire_from(node, &key, grant_request).await {
             Ok(grant) => return Ok(grant),
             Err(refused) => refusal = refused,
         }
@@ -224,81 +224,83 @@
     order.into_iter().take(2).filter_map(|label| label.parse().ok()).collect()
 }
 
-fn make_ask(node: &Node, request: &Request, want: Want<'_>) -> GrantRequest {
+fn make_grant_request(node: &Node, request: &Request, options: GrantOptions<'_>) -> GrantRequest {
     GrantRequest {
         id: Uuid::new_v4().to_string(),
         group: request.group.clone(),
-        priority: want.priority,
+        priority: options.priority,
         deadline: request.deadline,
-        wait: want.wait.min(request.deadline.saturating_sub(node.now())),
+        wait: options.wait.min(request.deadline.saturating_sub(node.now())),
         prompt_tokens: request.prompt.tokens,
         output_tokens: request.prompt.output_tokens,
         prefix: request.prompt.prefix.clone(),
-        avoid: want.avoid.to_vec(),
+        avoid: options.avoid.to_vec(),
     }
 }
 
 async fn acquire_from(
     node: &Arc<Node>,
     key: &ShardKey,
-    ask: GrantRequest,
+    grant_request: GrantRequest,
 ) -> Result<Grant, Refusal> {
     let owner = if node.settings.routing.owners { owner_of(node, key) } else { None };
     let (grant, owner) = match owner {
-        Some(owner) if owner != node.get_name() => match ask_owner(node, &owner, key, &ask).await {
-            Ok(answer) => (answer?, Some(owner)),
-            Err(status) => {
-                node.metric.count("grants_alone", 1);
-                log::debug!("owner {owner} did not answer: {}", status.message());
-                (decide_alone(node, key, ask).await?, None)
+        Some(owner) if owner != node.get_name() => {
+            match ask_owner(node, &owner, key, &grant_request).await {
+                Ok(answer) => (answer?, Some(owner)),
+                Err(status) => {
+                    node.metric.count("grants_alone", 1);
+                    log::debug!("owner {owner} did not answer: {}", status.message());
+                    (grant_locally(node, key, grant_request).await?, None)
+                }
             }
-        },
+        }
         Some(owner) => {
             let shard =
-                owned_shard(node, key).ok_or(Refusal { retry_after: NO_SERVER_RETRY_MS })?;
-            (shard.acquire(ask, node.get_name()).await?, Some(owner))
+                owned_shard(node, key).ok_or(Refusal { retry_after: NO_SERVER_RETRY_AFTER_MS })?;
+            (shard.acquire(grant_request, node.get_name()).await?, Some(owner))
         }
-        None => (decide_alone(node, key, ask).await?, None),
+        None => (grant_locally(node, key, grant_request).await?, None),
     };
-    let out = Out { grant: grant.clone(), shard: key.clone(), owner };
-    runtime::lock(&node.book.out).insert(grant.id.clone(), out);
+    let held = HeldGrant { grant: grant.clone(), shard: key.clone(), owner };
+    runtime::lock(&node.grants.held).insert(grant.id.clone(), held);
     Ok(grant)
 }
 
-async fn decide_alone(
+async fn grant_locally(
     node: &Arc<Node>,
     key: &ShardKey,
-    ask: GrantRequest,
+    grant_request: GrantRequest,
 ) -> Result<Grant, Refusal> {
     let nodes = node.usable_nodes().len().max(1) as u32;
-    let shard = local_shard(node, &node.book.alone, key, nodes);
-    let shard = shard.ok_or(Refusal { retry_after: NO_SERVER_RETRY_MS })?;
-    shard.acquire(ask, node.get_name()).await
+    let shard = local_shard(node, &node.grants.fallback, key, nodes);
+    let shard = shard.ok_or(Refusal { retry_after: NO_SERVER_RETRY_AFTER_MS })?;
+    shard.acquire(grant_request, node.get_name()).await
 }
 
 async fn ask_owner(
     node: &Node,
     owner: &str,
     key: &ShardKey,
-    ask: &GrantRequest,
+    grant_request: &GrantRequest,
 ) -> Result<Result<Grant, Refusal>, Status> {
     let address = node.get_peer_address(owner);
     let address = address.ok_or_else(|| Status::not_found("the owner's address is not known"))?;
     let message = wire::AcquireRequest {
         service: key.0.clone(),
         shard: key.1,
-        group: ask.group.clone(),
-        priority: ask.priority,
-        deadline_left_ms: ask.deadline.saturating_sub(node.now()),
-        wait_ms: ask.wait,
-        prompt_tokens: ask.prompt_tokens,
-        output_tokens: ask.output_tokens,
-        prefix: ask.prefix.clone(),
-        avoid: ask.avoid.clone(),
-        grant: ask.id.clone(),
+        group: grant_request.group.clone(),
+        priority: grant_request.priority,
+        deadline_left_ms: grant_request.deadline.saturating_sub(node.now()),
+        wait_ms: grant_request.wait,
+        prompt_tokens: grant_request.prompt_tokens,
+        output_tokens: grant_request.output_tokens,
+        prefix: grant_request.prefix.clone(),
+        avoid: grant_request.avoid.clone(),
+        grant: grant_request.id.clone(),
         node: node.get_name().to_owned(),
     };
-    let time = Duration::from_millis(ask.wait + OWNER_SLACK_MS);
+    let time = Duration::from_millis(grant_request.wait + OWNER_ANSWER_MARGIN_MS);
     let call =
         node.peers.call(&address, time, |mut peer| async move { peer.acquire(message).await });
     let reply = call.await?;
@@ -309,28 +311,28 @@
         return Ok(Err(Refusal { retry_after: reply.retry_after_ms }));
     }
     Ok(Ok(Grant {
-        id: ask.id.clone(),
-        group: ask.group.clone(),
+        id: grant_request.id.clone(),
+        group: grant_request.group.clone(),
         server: reply.server,
         address: reply.address,
         cached_tokens: reply.cached_tokens,
-        uncached_tokens: ask.prompt_tokens.saturating_sub(reply.cached_tokens),
+        uncached_tokens: grant_request.prompt_tokens.saturating_sub(reply.cached_tokens),
         cost: reply.cost,
     }))
 }
 
-fn find_local(node: &Node, out: &Out) -> Option<Arc<Shard>> {
-    let shards = if out.owner.is_some() { &node.book.owned } else { &node.book.alone };
-    runtime::lock(shards).get(&out.shard).cloned()
+fn find_local(node: &Node, held: &HeldGrant) -> Option<Arc<Shard>> {
+    let shards = if held.owner.is_some() { &node.grants.owned } else { &node.grants.fallback };
+    runtime::lock(shards).get(&held.shard).cloned()
 }
 
 fn with_outbox(
     node: &Node,
     owner: &str,
     shard: &ShardKey,
-    act: impl FnOnce(&mut wire::SettleRequest),
+    update: impl FnOnce(&mut wire::SettleRequest),
 ) {
-    let mut outbox = runtime::lock(&node.book.outbox);
+    let mut outbox = runtime::lock(&node.grants.outbox);
     let message =
         outbox.entry((owner.to_owned(), shard.clone())).or_insert_with(|| wire::SettleRequest {
             node: node.get_name().to_owned(),
@@ -338,9 +340,9 @@
             shard: shard.1,
             ..wire::SettleRequest::default()
         });
-    act(message);
+    update(message);
     drop(outbox);
-    node.book.posted.notify(1);
+    node.grants.outbox_changed.notify(1);
 }
 
 /// Returns a queue of this node's own, whose limits are shared by `sharers` nodes.
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -12,7 +12,7 @@
 
 use super::answer::{Attempt, not_run, unknown};
 use super::attempt;
-use super::grant::{self, Usage, Want};
+use super::grant::{self, GrantOptions, Usage};
 use super::{Answer, Node, claims};
 use crate::runtime;
 
@@ -197,8 +197,8 @@
     async fn next_grant(&mut self) -> Option<Grant> {
         loop {
             let left = self.answer.request.deadline.saturating_sub(self.node.now());
-            let want = Want { wait: left, priority: 0, avoid: &self.avoid };
-            let refusal = match grant::acquire(&self.node, &self.answer.request, want).await {
+            let options = GrantOptions { wait: left, priority: 0, avoid: &self.avoid };
+            let refusal = match grant::acquire(&self.node, &self.answer.request, options).await {
                 Ok(grant) => return Some(grant),
                 Err(refusal) => refusal,
             };
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -209,7 +209,7 @@
         return not_owner;
     }
     let Some(shard) = grant::owned_shard(node, &key) else { return not_owner };
-    let ask = GrantRequest {
+    let grant_request = GrantRequest {
         id: message.grant,
         group: message.group,
         priority: message.priority,
@@ -220,7 +220,7 @@
         prefix: message.prefix,
         avoid: message.avoid,
     };
-    match shard.acquire(ask, &message.node).await {
+    match shard.acquire(grant_request, &message.node).await {
         Ok(grant) => wire::AcquireReply {
             server: grant.server,
             address: grant.address,
@@ -243,7 +243,7 @@
         shard.with(|queue, _| queue.record_first_token(id));
     }
     for released in &message.released {
-        grant::note_end(&shard, &released.server, released.failed);
+        grant::record_result(&shard, &released.server, released.failed);
         shard.release(&released.grant, Some(released.cost));
     }
     if message.full {
--- a/crates/keeljunction/src/node/settlement.rs
+++ b/crates/keeljunction/src/node/settlement.rs
@@ -9,24 +9,24 @@
 
 use keeljunction_core::shard::Grant;
 
-use super::grant::{self, Out, ShardKey};
+use super::grant::{self, HeldGrant, ShardKey};
 use super::{Node, service};
 use crate::peer::wire;
 use crate::runtime;
 
-const GATHER: Duration = Duration::from_millis(10);
-const ANNOUNCE: Duration = Duration::from_millis(1_000);
-const CALL: Duration = Duration::from_millis(500);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Sends gathered news for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
     loop {
-        let posted = node.book.posted.listen();
-        if runtime::lock(&node.book.outbox).is_empty() {
-            posted.await;
-            runtime::sleep(GATHER).await;
+        let outbox_changed = node.grants.outbox_changed.listen();
+        if runtime::lock(&node.grants.outbox).is_empty() {
+            outbox_changed.await;
+            runtime::sleep(BATCH_DELAY).await;
         }
-        let outbox = std::mem::take(&mut *runtime::lock(&node.book.outbox));
+        let outbox = std::mem::take(&mut *runtime::lock(&node.grants.outbox));
         for ((owner, _), message) in outbox {
             send(&node, &owner, message);
         }
@@ -38,20 +38,20 @@
     let mut announced = HashSet::new();
     loop {
         announced = announce_once(&node, &announced);
-        drop_strange_shards(&node);
-        runtime::sleep(ANNOUNCE).await;
+        drop_unowned_shards(&node);
+        runtime::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
 /// Announces all grants to the present owners, and an empty list where the last was not empty.
 fn announce_once(node: &Arc<Node>, before: &HashSet<ShardKey>) -> HashSet<ShardKey> {
-    let held = held_by_shard(node);
+    let held = group_by_shard(node);
     let emptied = before.iter().filter(|shard| !held.contains_key(*shard));
     let empty = emptied.map(|shard| (shard.clone(), Vec::new()));
     let lists: Vec<(ShardKey, Vec<Grant>)> = empty.chain(held.clone()).collect();
     for (shard, grants) in lists {
         let Some(owner) = grant::owner_of(node, &shard) else { continue };
-        point_to(node, &shard, &owner);
+        set_owner(node, &shard, &owner);
         let message = wire::SettleRequest {
             node: node.get_name().to_owned(),
             service: shard.0.clone(),
@@ -65,18 +65,19 @@
     held.into_keys().collect()
 }
 
-fn held_by_shard(node: &Node) -> HashMap<ShardKey, Vec<Grant>> {
+fn group_by_shard(node: &Node) -> HashMap<ShardKey, Vec<Grant>> {
     let mut held: HashMap<ShardKey, Vec<Grant>> = HashMap::new();
-    let out = runtime::lock(&node.book.out);
-    for Out { grant, shard, .. } in out.values().filter(|out| out.owner.is_some()) {
+    let held_grants = runtime::lock(&node.grants.held);
+    for HeldGrant { grant, shard, .. } in held_grants.values().filter(|held| held.owner.is_some()) {
         held.entry(shard.clone()).or_default().push(grant.clone());
     }
     held
 }
 
-fn point_to(node: &Node, shard: &ShardKey, owner: &str) {
-    let mut out = runtime::lock(&node.book.out);
-    for held in out.values_mut().filter(|out| out.owner.is_some() && out.shard == *shard) {
+fn set_owner(node: &Node, shard: &ShardKey, owner: &str) {
+    let mut held_grants = runtime::lock(&node.grants.held);
+    for held in held_grants.values_mut().filter(|held| held.owner.is_some() && held.shard == *shard)
+    {
         held.owner = Some(owner.to_owned());
     }
 }
@@ -89,8 +90,9 @@
     let Some(address) = node.get_peer_address(owner) else { return };
     let node = node.clone();
     runtime::spawn(async move {
-        let call =
-            node.peers.call(&address, CALL, |mut peer| async move { peer.settle(message).await });
+        let call = node
+            .peers
+            .call(&address, CALL_TIMEOUT, |mut peer| async move { peer.settle(message).await });
         if call.await.is_err() {
             node.metric.count("settlements_lost", 1);
         }
@@ -98,11 +100,11 @@
 }
 
 /// Forgets the queues of shards that this node no longer owns.
-fn drop_strange_shards(node: &Arc<Node>) {
-    let keys: Vec<ShardKey> = runtime::lock(&node.book.owned).keys().cloned().collect();
+fn drop_unowned_shards(node: &Arc<Node>) {
+    let keys: Vec<ShardKey> = runtime::lock(&node.grants.owned).keys().cloned().collect();
     for key in keys {
         if grant::owner_of(node, &key).as_deref() != Some(node.get_name()) {
-            runtime::lock(&node.book.owned).remove(&key);
+            runtime::lock(&node.grants.owned).remove(&key);
         }
     }
 }
--- a/crates/keeljunction/src/node/shard.rs
+++ b/crates/keeljunction/src/node/shard.rs
@@ -11,7 +11,7 @@
 use crate::runtime::{self, Clock};
 
 /// A grant younger than this is kept though its node does not list it yet, in milliseconds.
-const UNLISTED_GRACE_MS: Millis = 5_000;
+const UNLISTED_GRANT_GRACE_MS: Millis = 5_000;
 
 /// The queue of one shard, with the requests that wait at it.
 pub struct Shard {
@@ -45,28 +45,28 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`], at once or when the turn has not come in time.
-    pub async fn acquire(&self, ask: GrantRequest, node: &str) -> Result<Grant, Refusal> {
-        let id = ask.id.clone();
+    pub async fn acquire(&self, request: GrantRequest, node: &str) -> Result<Grant, Refusal> {
+        let id = request.id.clone();
         let (sender, receiver) = async_channel::bounded(1);
         runtime::lock(&self.waiters).insert(id.clone(), sender);
-        let wait = Duration::from_millis(ask.wait);
-        let decision = runtime::lock(&self.queue).submit(self.clock.now(), ask);
-        let turn = Turn { shard: self, id: &id, receiver, is_taken: false };
+        let wait = Duration::from_millis(request.wait);
+        let decision = runtime::lock(&self.queue).submit(self.clock.now(), request);
+        let waiter = Waiter { shard: self, id: &id, receiver, is_received: false };
         let grant = match decision {
             Decision::Granted(grant) => Ok(grant),
             Decision::Refused(refusal) => Err(refusal),
-            Decision::Waiting => turn.wait(wait).await,
+            Decision::Waiting => waiter.wait(wait).await,
         };
         runtime::lock(&self.waiters).remove(&id);
         if grant.is_ok() {
-            self.note_holder(&id, node);
+            self.record_holder(&id, node);
         }
         grant
     }
 
     /// Works on the queue, then notifies the requests whose turn has come.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Queue, Millis) -> T) -> T {
-        let output = act(&mut runtime::lock(&self.queue), self.clock.now());
+    pub fn with<T>(&self, update: impl FnOnce(&mut Queue, Millis) -> T) -> T {
+        let output = update(&mut runtime::lock(&self.queue), self.clock.now());
         self.poll();
         output
     }
@@ -76,8 +76,8 @@
         let decided = runtime::lock(&self.queue).poll(self.clock.now());
         for (id, decision) in decided {
             let waiter = runtime::lock(&self.waiters).remove(&id);
-            let is_told = waiter.is_some_and(|sender| sender.try_send(decision).is_ok());
-            if !is_told {
+            let is_notified = waiter.is_some_and(|sender| sender.try_send(decision).is_ok());
+            if !is_notified {
                 runtime::lock(&self.queue).release(self.clock.now(), &id, Some(0));
             }
         }
@@ -95,7 +95,9 @@
         let listed: HashSet<&str> = held.iter().map(|grant| grant.id.as_str()).collect();
         let holders = runtime::lock(&self.holders);
         let is_lost = |id: &str, holder: &Holder| {
-            holder.node == node && !listed.contains(id) && now > holder.since + UNLISTED_GRACE_MS
+            holder.node == node
+                && !listed.contains(id)
+                && now > holder.since + UNLISTED_GRANT_GRACE_MS
         };
         let lost: Vec<String> =
             holders.iter().filter(|(id, h)| is_lost(id, h)).map(|(id, _)| id.clone()).collect();
@@ -104,13 +106,13 @@
             self.release(&id, None);
         }
         for grant in held {
-            self.note_holder(&grant.id, node);
+            self.record_holder(&grant.id, node);
             self.with(|queue, _| queue.restore(grant));
         }
     }
 
     /// Takes back all grants of a node that is gone.
-    pub fn drop_node(&self, node: &str) {
+    pub fn release_node(&self, node: &str) {
         let holders = runtime::lock(&self.holders);
         let held: Vec<String> =
             holders.iter().filter(|(_, h)| h.node == node).map(|(id, _)| id.clone()).collect();
@@ -130,7 +132,7 @@
         runtime::lock(&self.next_events).insert(server.to_owned(), number);
     }
 
-    fn note_holder(&self, id: &str, node: &str) {
+    fn record_holder(&self, id: &str, node: &str) {
         let holder = Holder { node: node.to_owned(), since: self.clock.now() };
         runtime::lock(&self.holders).entry(id.to_owned()).or_insert(holder);
     }
@@ -138,14 +140,14 @@
 
 /// A request that waits. Dropped before its turn, it leaves the queue, and gives back a grant
 /// that came too late.
-struct Turn<'a> {
+struct Waiter<'a> {
     shard: &'a Shard,
     id: &'a str,
     receiver: Receiver<Decision>,
-    is_taken: bool,
+    is_received: bool,
 }
 
-impl Turn<'_> {
+impl Waiter<'_> {
     /// Waits for the turn. When the time is over the queue is made to say so.
     async fn wait(mut self, time: Duration) -> Result<Grant, Refusal> {
         let decision = match runtime::timeout(time, self.receiver.recv()).await {
@@ -155,18 +157,18 @@
                 self.receiver.recv().await
             }
         };
-        self.is_taken = true;
+        self.is_received = true;
         match decision {
             Ok(Decision::Granted(grant)) => Ok(grant),
             Ok(Decision::Refused(refusal)) => Err(refusal),
-            Ok(Decision::Waiting) | Err(_) => Err(Refusal { retry_after: UNLISTED_GRACE_MS }),
+            Ok(Decision::Waiting) | Err(_) => Err(Refusal { retry_after: UNLISTED_GRANT_GRACE_MS }),
         }
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        if self.is_taken {
+        if self.is_received {
             return;
         }
         runtime::lock(&self.shard.waiters).remove(self.id);
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -16,7 +16,7 @@
 
 use super::Answer;
 use super::claims::Claims;
-use super::grant::Book;
+use super::grant::GrantTable;
 use super::request::Id;
 use crate::http;
 use crate::metric::Metric;
@@ -86,7 +86,7 @@
     /// The records held for other nodes.
     pub records: Mutex<HashMap<Id, HeldRecord>>,
     /// Queues of shards, and grants that are out.
-    pub book: Book,
+    pub grants: GrantTable,
     /// Claims waiting to be written.
     pub claims: Claims,
     /// Given once the node has stopped.
@@ -132,7 +132,7 @@
             directory: Mutex::default(),
             answers: Mutex::default(),
             records: Mutex::default(),
-            book: Book::default(),
+            grants: GrantTable::default(),
             claims: Claims::new(),
             stopped: http::StopSignal::new(),
             urgent: async_channel::bounded(1),
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -51,7 +51,7 @@
 /// Reads the load of the servers of this node's queues for as long as the process lives.
 pub async fn loads(node: Arc<Node>) {
     loop {
-        for shards in [&node.book.owned, &node.book.alone] {
+        for shards in [&node.grants.owned, &node.grants.fallback] {
             let shards: Vec<(ShardKey, Arc<Shard>)> =
                 runtime::lock(shards).iter().map(|(k, s)| (k.clone(), s.clone())).collect();
             for (key, shard) in shards {
