--- a/crates/keeljunction/src/caller/handler.rs
+++ b/crates/keeljunction/src/caller/handler.rs
@@ -74,14 +74,14 @@
     let shape = Shape { key: request.key.clone(), model, is_chat };
     let answer = accept::accept(node, request, naming);
     let mut response = if is_model && stream {
-        match answer.accepted().await {
+        match answer.wait_accepted().await {
             Some(ended) if !is_done(&ended) && answer.get_length() == 0 => {
                 respond(&Problem::from_final(&ended))
             }
             _ => events(node, answer, shape.clone(), offset),
         }
     } else {
-        let ended = answer.ended().await;
+        let ended = answer.wait_ended().await;
         match is_done(&ended) {
             false => respond(&Problem::from_final(&ended)),
             true if is_model => whole(&answer, &shape, &ended),
@@ -148,18 +148,18 @@
     let time = Duration::from_millis(node.settings.limits.write_ms);
     let mut offset = offset;
     loop {
-        let news = answer.beyond(offset).await;
+        let update = answer.wait_beyond(offset).await;
         let mut text = String::new();
-        for token in &news.tokens {
+        for token in &update.tokens {
             text.push_str(&shape.token(offset, token));
             offset += 1;
         }
-        if let Some(ended) = &news.ended {
+        if let Some(ended) = &update.ended {
             text.push_str(&last(shape, ended, offset));
         }
-        node.metric.count("tokens_relayed", news.tokens.len() as u64);
+        node.metric.count("tokens_relayed", update.tokens.len() as u64);
         put(sender, Bytes::from(text), time).await?;
-        if news.ended.is_some() {
+        if update.ended.is_some() {
             return Some(());
         }
     }
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -38,7 +38,7 @@
     let answer = {
         let mut answers = runtime::lock(&node.answers);
         let known = answers.get(&id);
-        if let Some(known) = known.filter(|a| naming == Naming::Returning || !a.is_spent()) {
+        if let Some(known) = known.filter(|a| naming == Naming::Returning || !a.is_failed()) {
             return same_or_refused(node, known, request);
         }
         let answer = Arc::new(Answer::new(request));
@@ -82,8 +82,8 @@
     };
     match prepare(&node, &answer).await {
         Ok(start) => {
-            answer.own();
-            answer.accept();
+            answer.set_own();
+            answer.set_accepted();
             relay::run(node.clone(), answer, start).await;
         }
         Err(Instead::End(ended)) => ending::refuse(&node, &answer, ended),
--- a/crates/keeljunction/src/node/answer.rs
+++ b/crates/keeljunction/src/node/answer.rs
@@ -24,7 +24,7 @@
 
 /// What was added to an answer since an offset.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct Update {
     /// The tokens from the offset on.
     pub tokens: Vec<String>,
     /// How the request ended, once it has.
@@ -37,15 +37,15 @@
     pub request: Request,
     state: Mutex<State>,
     changed: Event,
-    pressing: Event,
-    steering: (async_channel::Sender<Action>, async_channel::Receiver<Action>),
+    replication_due: Event,
+    drain_requests: (async_channel::Sender<Action>, async_channel::Receiver<Action>),
 }
 
 #[derive(Default)]
 struct State {
     is_accepted: bool,
     is_own: bool,
-    is_pressed: bool,
+    is_replication_expedited: bool,
     is_sent: bool,
     tokens: Vec<String>,
     attempt: Option<Attempt>,
@@ -60,19 +60,19 @@
             request,
             state: Mutex::default(),
             changed: Event::new(),
-            pressing: Event::new(),
-            steering: async_channel::bounded(4),
+            replication_due: Event::new(),
+            drain_requests: async_channel::bounded(4),
         }
     }
 
     /// Notes that the request is accepted: it will be carried through.
-    pub fn accept(&self) {
+    pub fn set_accepted(&self) {
         runtime::lock(&self.state).is_accepted = true;
         self.changed.notify(usize::MAX);
     }
 
     /// Notes that this node itself carries the request, and does not follow another that does.
-    pub fn own(&self) {
+    pub fn set_own(&self) {
         runtime::lock(&self.state).is_own = true;
     }
 
@@ -83,14 +83,14 @@
 
     /// Adds tokens.
     pub fn push(&self, tokens: impl IntoIterator<Item = String>) {
-        let is_pressed = {
+        let is_replication_expedited = {
             let mut state = runtime::lock(&self.state);
             state.tokens.extend(tokens);
-            state.is_pressed
+            state.is_replication_expedited
         };
         self.changed.notify(usize::MAX);
-        if is_pressed {
-            self.pressing.notify(usize::MAX);
+        if is_replication_expedited {
+            self.replication_due.notify(usize::MAX);
         }
     }
 
@@ -103,13 +103,13 @@
         }
         drop(state);
         self.changed.notify(usize::MAX);
-        self.pressing.notify(usize::MAX);
+        self.replication_due.notify(usize::MAX);
     }
 
     /// Notes the attempt that runs now.
     pub fn set_attempt(&self, attempt: Attempt) {
         runtime::lock(&self.state).attempt = Some(attempt);
-        self.pressing.notify(usize::MAX);
+        self.replication_due.notify(usize::MAX);
     }
 
     /// Notes that bytes of the request may have reached a backend server.
@@ -138,20 +138,20 @@
     }
 
     /// Returns what was added since an offset.
-    pub fn get_since(&self, offset: u64) -> News {
+    pub fn get_since(&self, offset: u64) -> Update {
         let state = runtime::lock(&self.state);
         let tokens = state.tokens.get(offset as usize..).unwrap_or_default().to_vec();
-        News { tokens, ended: state.ended.clone() }
+        Update { tokens, ended: state.ended.clone() }
     }
 
     /// Returns `true` if the request has ended without its answer, so that asking again begins anew.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_failed(&self) -> bool {
         let state = runtime::lock(&self.state);
         state.ended.as_ref().is_some_and(|ended| ended.outcome != Outcome::Done.as_str())
     }
 
     /// Waits until the request is accepted or has ended, and returns its end if it has.
-    pub async fn accepted(&self) -> Option<Final> {
+    pub async fn wait_accepted(&self) -> Option<Final> {
         loop {
             let changed = self.changed.listen();
             {
@@ -165,42 +165,45 @@
     }
 
     /// Waits until there is something beyond an offset, or the answer has ended.
-    pub async fn beyond(&self, offset: u64) -> News {
+    pub async fn wait_beyond(&self, offset: u64) -> Update {
         loop {
             let changed = self.changed.listen();
-            let news = self.get_since(offset);
-            if !news.tokens.is_empty() || news.ended.is_some() {
-                return news;
+            let update = self.get_since(offset);
+            if !update.tokens.is_empty() || update.ended.is_some() {
+                return update;
             }
             changed.await;
         }
     }
 
     /// Asks for the copy of this answer to be kept closely up to date from now on.
-    pub fn press(&self) {
-        runtime::lock(&self.state).is_pressed = true;
-        self.pressing.notify(usize::MAX);
+    pub fn expedite_replication(&self) {
+        runtime::lock(&self.state).is_replication_expedited = true;
+        self.replication_due.notify(usize::MAX);
     }
 
     /// Waits until its copy should be brought up to date at once: it has ended, another attempt
     /// runs than the one that is known, or there are new tokens and it is pressed.
-    pub async fn pressing(&self, length: u64, attempt: Option<&Attempt>) {
+    pub async fn wait_replication_due(&self, length: u64, attempt: Option<&Attempt>) {
         loop {
-            let pressing = self.pressing.listen();
+            let replication_due = self.replication_due.listen();
             {
                 let state = runtime::lock(&self.state);
                 let is_longer = state.tokens.len() as u64 > length;
-                let is_other = state.attempt.as_ref() != attempt;
-                if state.ended.is_some() || is_other || (state.is_pressed && is_longer) {
+                let is_new_attempt = state.attempt.as_ref() != attempt;
+                if state.ended.is_some()
+                    || is_new_attempt
+                    || (state.is_replication_expedited && is_longer)
+                {
                     return;
                 }
             }
-            pressing.await;
+            replication_due.await;
         }
     }
 
     /// Waits for the end.
-    pub async fn ended(&self) -> Final {
+    pub async fn wait_ended(&self) -> Final {
         loop {
             let changed = self.changed.listen();
             if let Some(ended) = runtime::lock(&self.state).ended.clone() {
@@ -211,18 +214,18 @@
     }
 
     /// Asks the relay to take the stream off its server.
-    pub fn steer(&self, action: Action) {
-        let _ = self.steering.0.try_send(action);
+    pub fn request_drain(&self, action: Action) {
+        let _ = self.drain_requests.0.try_send(action);
     }
 
     /// Waits until the stream must be taken off its server.
-    pub async fn steered(&self) -> Action {
-        self.steering.1.recv().await.unwrap_or(Action::Finish)
+    pub async fn wait_drain_request(&self) -> Action {
+        self.drain_requests.1.recv().await.unwrap_or(Action::Finish)
     }
 
     /// Forgets steering that came too late.
-    pub fn unsteer(&self) {
-        while self.steering.1.try_recv().is_ok() {}
+    pub fn clear_drain_requests(&self) {
+        while self.drain_requests.1.try_recv().is_ok() {}
     }
 }
 
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -148,7 +148,7 @@
     let left = answer.request.deadline.saturating_sub(node.now());
     let idle = node.settings.limits.idle_ms;
     let piece = async { Ok(tokens.next().await) };
-    let steered = async { Err(End::Drained(answer.steered().await)) };
+    let steered = async { Err(End::Drained(answer.wait_drain_request().await)) };
     let late = async {
         runtime::sleep(Duration::from_millis(left.min(idle))).await;
         Err(if left <= idle { End::DeadlineExceeded } else { broken("the engine fell silent") })
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -135,18 +135,18 @@
     let mut known: Option<Attempt> = None;
     let mut failures = 0;
     loop {
-        runtime::timeout(period, answer.pressing(acknowledged, known.as_ref())).await;
+        runtime::timeout(period, answer.wait_replication_due(acknowledged, known.as_ref())).await;
         if !node.usable_nodes().iter().any(|(name, _)| name == holder) {
             return Pumped::Lost;
         }
-        let news = answer.get_since(acknowledged);
+        let update = answer.get_since(acknowledged);
         let attempt = answer.get_attempt();
-        let is_last = news.ended.is_some();
-        let count = news.tokens.len() as u64;
+        let is_last = update.ended.is_some();
+        let count = update.tokens.len() as u64;
         if !is_last && count == 0 && attempt == known {
             continue;
         }
-        let message = progress(node, answer, acknowledged, news, attempt.as_ref());
+        let message = progress(node, answer, acknowledged, update, attempt.as_ref());
         if send(node, holder, message).await {
             failures = 0;
             acknowledged += count;
@@ -168,7 +168,7 @@
     node: &Node,
     answer: &Answer,
     from_offset: u64,
-    news: super::answer::News,
+    update: super::answer::Update,
     attempt: Option<&Attempt>,
 ) -> wire::HoldRequest {
     let request = &answer.request;
@@ -176,17 +176,17 @@
         account: request.account.clone(),
         key: request.key.clone(),
         owner: node.get_name().to_owned(),
-        tokens: news.tokens,
-        r#final: news.ended,
+        tokens: update.tokens,
+        r#final: update.ended,
         ..with_attempt(wire::Record::default(), attempt)
     };
     wire::HoldRequest { record: Some(record), progress: true, from_offset, handover: false }
 }
 
 fn full_record(node: &Node, answer: &Answer) -> wire::Record {
-    let news = answer.get_since(0);
+    let update = answer.get_since(0);
     let record = answer.request.to_record(node.now(), node.get_name());
-    let record = wire::Record { tokens: news.tokens, r#final: news.ended, ..record };
+    let record = wire::Record { tokens: update.tokens, r#final: update.ended, ..record };
     with_attempt(record, answer.get_attempt().as_ref())
 }
 
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -34,7 +34,7 @@
     let sharers = node.usable_nodes().len().max(1) as u64;
     let export = first.request.service.export_tokens_per_second / sharers;
     let limits = Limits { notice, export_tokens_per_second: export };
-    answers.iter().for_each(|answer| answer.press());
+    answers.iter().for_each(|answer| answer.expedite_replication());
     let streams: Vec<Stream> = answers.iter().map(|answer| describe(answer)).collect();
     for (attempt, action) in drain::plan(&limits, &streams) {
         let name = match action {
@@ -48,7 +48,7 @@
         }
         let is_it = |answer: &&Arc<Answer>| answer.get_attempt().is_some_and(|a| a.id == attempt);
         if let Some(answer) = answers.iter().find(is_it) {
-            answer.steer(action);
+            answer.request_drain(action);
         }
     }
 }
--- a/crates/keeljunction/src/node/ending.rs
+++ b/crates/keeljunction/src/node/ending.rs
@@ -28,10 +28,10 @@
     if !answer.request.needs_claim() {
         return;
     }
-    let news = answer.get_since(0);
-    let Some(ended) = news.ended else { return };
+    let update = answer.get_since(0);
+    let Some(ended) = update.ended else { return };
     let body =
-        if answer.request.is_model() { news.tokens.concat().into_bytes() } else { ended.body };
+        if answer.request.is_model() { update.tokens.concat().into_bytes() } else { ended.body };
     let recorded = claim::Answer {
         status: ended.status as u16,
         media_type: ended.media_type,
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -48,7 +48,7 @@
             true
         }
         Found::At(address) => {
-            answer.accept();
+            answer.set_accepted();
             mirror(node, answer, address).await;
             true
         }
@@ -59,7 +59,7 @@
 pub async fn follow_at(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) -> bool {
     for _ in 0..RUNNER_LOOKS {
         if let Some(address) = ask_owner(node, answer, runner).await {
-            answer.accept();
+            answer.set_accepted();
             mirror(node, answer, address).await;
             return true;
         }
@@ -71,7 +71,7 @@
 async fn search(node: &Arc<Node>, answer: &Arc<Answer>) -> Found {
     let id = answer.request.get_id();
     let held = runtime::lock(&node.records).get(&id).cloned();
-    if let Some(held) = held.filter(|held| !held.is_spent()) {
+    if let Some(held) = held.filter(|held| !held.is_failed()) {
         if held.record.body_digest != answer.request.digest {
             return Found::Mismatch;
         }
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -132,30 +132,30 @@
     true
 }
 
-fn update(node: &Node, id: &Id, news: wire::Record, from_offset: u64) -> bool {
+fn update(node: &Node, id: &Id, progress: wire::Record, from_offset: u64) -> bool {
     let mut records = runtime::lock(&node.records);
-    if news.r#final.as_ref().is_some_and(copy::is_forgotten) {
+    if progress.r#final.as_ref().is_some_and(copy::is_forgotten) {
         records.remove(id);
         return true;
     }
     let Some(held) = records.get_mut(id) else { return false };
     let record = &mut held.record;
-    if record.owner != news.owner {
+    if record.owner != progress.owner {
         return false;
     }
     let mut tokens = Tokens::new(std::mem::take(&mut record.tokens));
-    let is_taken = tokens.extend(from_offset, news.tokens);
+    let is_taken = tokens.extend(from_offset, progress.tokens);
     record.tokens = tokens.into_inner();
     if !is_taken {
         return false;
     }
-    if !news.attempt.is_empty() {
-        record.attempt = news.attempt;
-        record.server = news.server;
-        record.server_address = news.server_address;
+    if !progress.attempt.is_empty() {
+        record.attempt = progress.attempt;
+        record.server = progress.server;
+        record.server_address = progress.server_address;
     }
-    if news.r#final.is_some() {
-        record.r#final = news.r#final;
+    if progress.r#final.is_some() {
+        record.r#final = progress.r#final;
     }
     true
 }
@@ -165,7 +165,7 @@
         takeover::revive(node, id);
     }
     let answer = runtime::lock(&node.answers).get(id).cloned();
-    if let Some(answer) = answer.filter(|answer| answer.is_own() && !answer.is_spent()) {
+    if let Some(answer) = answer.filter(|answer| answer.is_own() && !answer.is_failed()) {
         return wire::FindReply {
             known: true,
             here: true,
@@ -173,7 +173,7 @@
             body_digest: answer.request.digest.clone(),
         };
     }
-    match runtime::lock(&node.records).get(id).filter(|held| !held.is_spent()) {
+    match runtime::lock(&node.records).get(id).filter(|held| !held.is_failed()) {
         None => wire::FindReply::default(),
         Some(held) => wire::FindReply {
             known: true,
@@ -189,10 +189,10 @@
     runtime::spawn(async move {
         let mut offset = from_offset;
         loop {
-            let news = answer.beyond(offset).await;
-            let is_last = news.ended.is_some();
-            let count = news.tokens.len() as u64;
-            let reply = wire::FollowReply { tokens: news.tokens, offset, r#final: news.ended };
+            let update = answer.wait_beyond(offset).await;
+            let is_last = update.ended.is_some();
+            let count = update.tokens.len() as u64;
+            let reply = wire::FollowReply { tokens: update.tokens, offset, r#final: update.ended };
             if sender.send(Ok(reply)).await.is_err() || is_last {
                 return;
             }
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -58,7 +58,7 @@
 
 impl HeldRecord {
     /// Returns `true` if the request has ended without its answer, so that asking again begins anew.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_failed(&self) -> bool {
         self.record.r#final.as_ref().is_some_and(|ended| ended.outcome != Outcome::Done.as_str())
     }
 }
--- a/crates/keeljunction/src/node/stop.rs
+++ b/crates/keeljunction/src/node/stop.rs
@@ -31,7 +31,7 @@
     let started = node.now();
     runtime::lock(&node.members).leave();
     node.notify_peers();
-    unfinished(node).iter().for_each(|answer| answer.press());
+    unfinished(node).iter().for_each(|answer| answer.expedite_replication());
     let grace = Duration::from_millis(node.settings.times.stop_grace_ms).min(within / 4);
     runtime::sleep(grace).await;
     node.close();
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -54,14 +54,14 @@
     runtime::lock(&node.records).remove(&answer.request.get_id());
     answer.push(held.record.tokens.clone());
     if let Some(ended) = held.record.r#final.clone() {
-        answer.own();
-        answer.accept();
+        answer.set_own();
+        answer.set_accepted();
         answer.finish(node.now(), ended);
         return;
     }
     node.metric.count("requests_taken_over", 1);
-    answer.own();
-    answer.accept();
+    answer.set_own();
+    answer.set_accepted();
     if let Some(place) = copy::place(node, answer).await {
         copy::keep(node, answer, place);
     }
