--- a/crates/keeljunction/src/caller/check.rs
+++ b/crates/keeljunction/src/caller/check.rs
@@ -10,7 +10,7 @@
 
 use super::problem::Problem;
 use crate::http;
-use crate::node::accept::Naming;
+use crate::node::accept::KeySource;
 use crate::node::request::Prompt;
 use crate::node::state::ActiveBundle;
 use crate::node::{Node, Request};
@@ -30,7 +30,7 @@
     /// The request.
     pub request: Request,
     /// How the caller names it.
-    pub naming: Naming,
+    pub key_source: KeySource,
     /// The offset from which the caller wants the answer.
     pub offset: u64,
     /// The model, for a model request.
@@ -59,7 +59,7 @@
     let (head, body) = request.into_parts();
     let (group, account) = authenticate(bundle, &head.headers)?;
     let class = find_class(bundle, &head.headers)?.clone();
-    let (key, naming) = find_key(&head.headers, &class)?;
+    let (key, key_source) = find_key(&head.headers, &class)?;
     let offset = find_offset(&head.headers)?;
     let uri = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let route = find_route(&head.method, head.uri.path(), &uri)?;
@@ -93,9 +93,9 @@
         body,
         prompt,
     };
-    let naming = if offset > 0 { Naming::Returning } else { naming };
+    let key_source = if offset > 0 { KeySource::Resumption } else { key_source };
     let model = parsed["model"].as_str().unwrap_or_default().to_owned();
-    Ok(Checked { request, naming, offset, model, is_chat: uri.starts_with(CHAT) })
+    Ok(Checked { request, key_source, offset, model, is_chat: uri.starts_with(CHAT) })
 }
 
 fn authenticate(bundle: &Document, headers: &HeaderMap) -> Result<(String, String), Problem> {
@@ -123,14 +123,14 @@
     })
 }
 
-fn find_key(headers: &HeaderMap, class: &Class) -> Result<(String, Naming), Problem> {
+fn find_key(headers: &HeaderMap, class: &Class) -> Result<(String, KeySource), Problem> {
     match header(headers, KEY) {
-        Some(key) if is_key(key) => Ok((key.to_owned(), Naming::Given)),
+        Some(key) if is_key(key) => Ok((key.to_owned(), KeySource::Client)),
         Some(_) => {
             let detail = "Idempotency-Key takes 1 to 128 of A-Z a-z 0-9 . _ : -";
             Err(Problem::refused(StatusCode::BAD_REQUEST, detail))
         }
-        None if class.repeatable => Ok((Uuid::new_v4().to_string(), Naming::Drawn)),
+        None if class.repeatable => Ok((Uuid::new_v4().to_string(), KeySource::Generated)),
         None => {
             let detail =
                 "a request of this class runs at most once; send an Idempotency-Key with it";
--- a/crates/keeljunction/src/caller/handler.rs
+++ b/crates/keeljunction/src/caller/handler.rs
@@ -68,11 +68,11 @@
 }
 
 async fn give(node: &Arc<Node>, checked: Checked) -> Response<Body> {
-    let Checked { request, naming, offset, model, is_chat } = checked;
+    let Checked { request, key_source, offset, model, is_chat } = checked;
     let is_model = request.is_model();
     let stream = request.stream;
     let shape = Shape { key: request.key.clone(), model, is_chat };
-    let answer = accept::accept(node, request, naming);
+    let answer = accept::accept(node, request, key_source);
     let mut response = if is_model && stream {
         match answer.wait_accepted().await {
             Some(ended) if !is_done(&ended) && answer.get_length() == 0 => {
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -19,38 +19,39 @@
 /// When to come back where all seats are taken, in milliseconds.
 const SATURATED_RETRY_AFTER_MS: u64 = 500;
 /// When to come back where neither a peer nor the platform answers, in milliseconds.
-const OUTAGE_RETRY_MS: u64 = 1_000;
+const OUTAGE_RETRY_AFTER_MS: u64 = 1_000;
 
 /// How a caller names its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Naming {
+pub enum KeySource {
     /// The key came with the request, so the request may be known somewhere.
-    Given,
+    Client,
     /// The key was drawn for it.
-    Drawn,
+    Generated,
     /// The caller comes back for the rest of an answer.
-    Returning,
+    Resumption,
 }
 
 /// Takes a request in, or finds the answer that it has. The answer may end at once as a refusal.
-pub fn accept(node: &Arc<Node>, request: Request, naming: Naming) -> Arc<Answer> {
+pub fn accept(node: &Arc<Node>, request: Request, key_source: KeySource) -> Arc<Answer> {
     let id = request.get_id();
     let answer = {
         let mut answers = runtime::lock(&node.answers);
         let known = answers.get(&id);
-        if let Some(known) = known.filter(|a| naming == Naming::Returning || !a.is_failed()) {
-            return same_or_refused(node, known, request);
+        if let Some(known) = known.filter(|a| key_source == KeySource::Resumption || !a.is_failed())
+        {
+            return reuse_or_refuse(node, known, request);
         }
         let answer = Arc::new(Answer::new(request));
         answers.insert(id, answer.clone());
         answer
     };
-    let (node, taken) = (node.clone(), answer.clone());
-    runtime::spawn(async move { take(node, taken, naming).await });
+    let (node, admitted) = (node.clone(), answer.clone());
+    runtime::spawn(async move { admit(node, admitted, key_source).await });
     answer
 }
 
-fn same_or_refused(node: &Node, known: &Arc<Answer>, request: Request) -> Arc<Answer> {
+fn reuse_or_refuse(node: &Node, known: &Arc<Answer>, request: Request) -> Arc<Answer> {
     if known.request.digest == request.digest {
         return known.clone();
     }
@@ -63,13 +64,15 @@
     not_run(422, "the key was used for another request", 0)
 }
 
-async fn take(node: Arc<Node>, answer: Arc<Answer>, naming: Naming) {
+async fn admit(node: Arc<Node>, answer: Arc<Answer>, key_source: KeySource) {
     // The claim of an unrepeatable request names who has it; others are looked for.
-    let is_sought = naming == Naming::Given && !answer.request.needs_claim();
-    if (is_sought || naming == Naming::Returning) && find::resume(&node, &answer).await {
+    let is_search_needed = key_source == KeySource::Client && !answer.request.needs_claim();
+    if (is_search_needed || key_source == KeySource::Resumption)
+        && find::follow_known(&node, &answer).await
+    {
         return;
     }
-    if naming == Naming::Returning {
+    if key_source == KeySource::Resumption {
         let lost = unknown(409, "no node knows this answer; ask again without Last-Event-ID", 0);
         return ending::refuse(&node, &answer, lost);
     }
@@ -86,8 +89,8 @@
             answer.set_accepted();
             relay::run(node.clone(), answer, start).await;
         }
-        Err(Instead::End(ended)) => ending::refuse(&node, &answer, ended),
-        Err(Instead::RunsAt(runner)) => {
+        Err(NotRunHere::End(ended)) => ending::refuse(&node, &answer, ended),
+        Err(NotRunHere::RunsAt(runner)) => {
             drop(permit);
             return follow_runner(&node, &answer, &runner).await;
         }
@@ -96,7 +99,7 @@
 }
 
 /// What becomes of a request that is not run here.
-enum Instead {
+enum NotRunHere {
     /// It ends at once.
     End(Final),
     /// Another node has its claim.
@@ -105,17 +108,17 @@
 
 /// Follows the node that has the claim of an unrepeatable request, where it answers for it.
 async fn follow_runner(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) {
-    if !find::follow_at(node, answer, runner).await && !find::resume(node, answer).await {
-        ending::refuse(node, answer, sent_before());
+    if !find::follow_runner(node, answer, runner).await && !find::follow_known(node, answer).await {
+        ending::refuse(node, answer, already_sent());
     }
 }
 
-fn sent_before() -> Final {
-    unknown(409, "the request was sent before and its answer is not known", OUTAGE_RETRY_MS)
+fn already_sent() -> Final {
+    unknown(409, "the request was sent before and its answer is not known", OUTAGE_RETRY_AFTER_MS)
 }
 
 /// Gets all that an accepted request needs.
-async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, Instead> {
+async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, NotRunHere> {
     let request = &answer.request;
     node.count_first_attempt(&request.service.name);
     let options = GrantOptions {
@@ -124,52 +127,52 @@
         avoid: &[],
     };
     let granted = grant::acquire(node, request, options).await;
-    let no_room = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
-    let grant = granted.map_err(|refusal| Instead::End(no_room(refusal)))?;
-    let place = if request.is_safe() { None } else { Some(copy::place(node, answer).await) };
-    if place == Some(None) {
+    let no_capacity = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
+    let grant = granted.map_err(|refusal| NotRunHere::End(no_capacity(refusal)))?;
+    let location = if request.is_safe() { None } else { Some(copy::create(node, answer).await) };
+    if location == Some(None) {
         release_grant(node, &grant);
-        let ended = not_run(503, "the request's record could not be copied", OUTAGE_RETRY_MS);
-        return Err(Instead::End(ended));
+        let ended = not_run(503, "the request's record could not be copied", OUTAGE_RETRY_AFTER_MS);
+        return Err(NotRunHere::End(ended));
     }
-    let place = place.flatten();
+    let location = location.flatten();
     let attempt = Uuid::new_v4().to_string();
     if request.needs_claim()
-        && let Err(instead) = get_claim(node, answer, &attempt).await
+        && let Err(not_run_here) = claim_request(node, answer, &attempt).await
     {
         release_grant(node, &grant);
-        if let Some(place) = &place {
-            copy::forget(node, answer, place).await;
+        if let Some(location) = &location {
+            copy::discard(node, answer, location).await;
         }
-        return Err(instead);
+        return Err(not_run_here);
     }
-    if let Some(place) = place {
-        copy::keep(node, answer, place);
+    if let Some(location) = location {
+        copy::keep_updated(node, answer, location);
     }
     Ok(Start::Granted(grant, attempt))
 }
 
 /// Claims a request that must not be repeated, or says what its caller gets instead.
-async fn get_claim(node: &Arc<Node>, answer: &Answer, attempt: &str) -> Result<(), Instead> {
+async fn claim_request(node: &Arc<Node>, answer: &Answer, attempt: &str) -> Result<(), NotRunHere> {
     match claims::claim(node, &answer.request, attempt).await {
-        Ok(Verdict::HeldByOther(runner)) => Err(Instead::RunsAt(runner)),
-        Ok(verdict) => judged(verdict).map_err(Instead::End),
+        Ok(Verdict::HeldByOther(runner)) => Err(NotRunHere::RunsAt(runner)),
+        Ok(verdict) => resolve_verdict(verdict).map_err(NotRunHere::End),
         Err(fault) => {
             claims::release(node, &answer.request, attempt);
             node.metric.count("claims_failed", 1);
             let why = format!("the request could not be claimed: {fault}");
-            Err(Instead::End(not_run(503, &why, OUTAGE_RETRY_MS)))
+            Err(NotRunHere::End(not_run(503, &why, OUTAGE_RETRY_AFTER_MS)))
         }
     }
 }
 
 /// Turns the verdict over a claim into leave to run, or into what the caller gets instead.
-fn judged(verdict: Verdict) -> Result<(), Final> {
+fn resolve_verdict(verdict: Verdict) -> Result<(), Final> {
     match verdict {
         Verdict::Run => Ok(()),
         Verdict::Recorded(answer) => Err(ending::recorded(&answer)),
         Verdict::Released => Err(not_run(503, "the request was given up before it was sent", 0)),
-        Verdict::HeldByOther(_) | Verdict::Available => Err(sent_before()),
+        Verdict::HeldByOther(_) | Verdict::Available => Err(already_sent()),
         Verdict::Mismatch => Err(key_reused()),
     }
 }
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -18,16 +18,16 @@
 use crate::runtime;
 
 /// Peers that are tried in turn.
-const TRIES: usize = 3;
-const CALL: Duration = Duration::from_millis(500);
+const MAX_HOLDER_ATTEMPTS: usize = 3;
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two messages about the same request at least.
-const PAUSE: Duration = Duration::from_millis(100);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Messages that may fail one after another before another holder is looked for.
-const FAILURES: u32 = 3;
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
 /// Where a record is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// At a peer, by name, with so many tokens of the answer.
     Peer(String, u64),
     /// In the object store.
@@ -35,35 +35,35 @@
 }
 
 /// Copies the record of a request; `None` where neither a peer nor the store took it.
-pub async fn place(node: &Node, answer: &Answer) -> Option<Place> {
+pub async fn create(node: &Node, answer: &Answer) -> Option<Location> {
     let record = full_record(node, answer);
     let copied = record.tokens.len() as u64;
     let mut nodes = node.usable_nodes();
-    for _ in 0..TRIES {
-        let Some(holder) = pick(node, &answer.request, &nodes) else { break };
+    for _ in 0..MAX_HOLDER_ATTEMPTS {
+        let Some(holder) = pick_holder(node, &answer.request, &nodes) else { break };
         let message =
             wire::HoldRequest { record: Some(record.clone()), ..wire::HoldRequest::default() };
         if send(node, &holder, message).await {
-            return Some(Place::Peer(holder, copied));
+            return Some(Location::Peer(holder, copied));
         }
         nodes.retain(|(name, _)| *name != holder);
     }
     node.metric.count("records_in_store", 1);
     let key = object_key(&answer.request);
     let stored = node.platform.put_object(&key, record.encode_to_vec().into());
-    stored.await.is_ok().then_some(Place::Store)
+    stored.await.is_ok().then_some(Location::Store)
 }
 
 /// Keeps the copy up to date until the answer has ended.
-pub fn keep(node: &Arc<Node>, answer: &Arc<Answer>, place: Place) {
+pub fn keep_updated(node: &Arc<Node>, answer: &Arc<Answer>, location: Location) {
     let (node, answer) = (node.clone(), answer.clone());
     runtime::spawn(async move {
-        let mut place = place;
-        while let Place::Peer(holder, copied) = &place {
-            match pump(&node, &answer, holder, *copied).await {
-                Pumped::Ended => return,
-                Pumped::Lost => match self::place(&node, &answer).await {
-                    Some(another) => place = another,
+        let mut location = location;
+        while let Location::Peer(holder, copied) = &location {
+            match replicate(&node, &answer, holder, *copied).await {
+                ReplicationEnd::Ended => return,
+                ReplicationEnd::HolderLost => match self::create(&node, &answer).await {
+                    Some(other) => location = other,
                     None => return,
                 },
             }
@@ -79,15 +79,15 @@
         ..wire::HoldRequest::default()
     };
     let nodes = node.usable_nodes();
-    match pick(node, &answer.request, &nodes) {
+    match pick_holder(node, &answer.request, &nodes) {
         Some(holder) => send(node, &holder, message).await,
-        None => place(node, answer).await.is_some(),
+        None => create(node, answer).await.is_some(),
     }
 }
 
 /// Lets the holder forget a request that did not run.
-pub async fn forget(node: &Node, answer: &Answer, place: &Place) {
-    if let Place::Peer(holder, _) = place {
+pub async fn discard(node: &Node, answer: &Answer, location: &Location) {
+    if let Location::Peer(holder, _) = location {
         let record = wire::Record {
             r#final: Some(super::answer::not_run(503, "refused", 0)),
             body: Vec::new(),
@@ -115,13 +115,13 @@
 }
 
 /// Returns `true` if an end leaves nothing to remember.
-pub fn is_forgotten(ended: &wire::Final) -> bool {
+pub fn is_discardable(ended: &wire::Final) -> bool {
     ended.outcome == Outcome::NotRun.as_str()
 }
 
-enum Pumped {
+enum ReplicationEnd {
     Ended,
-    Lost,
+    HolderLost,
 }
 
 /// Sends what is new to the holder, until the answer has ended or the holder goes.
@@ -129,38 +129,42 @@
 /// The tokens are at the engine, and a holder attaches to the running attempt there. So the copy
 /// needs the attempt at once, and the tokens only now and then, unless the engine's VM or this
 /// node is known to go.
-async fn pump(node: &Node, answer: &Answer, holder: &str, copied: u64) -> Pumped {
+async fn replicate(node: &Node, answer: &Answer, holder: &str, copied: u64) -> ReplicationEnd {
     let period = Duration::from_millis(node.settings.times.progress_ms);
     let mut acknowledged = copied;
-    let mut known: Option<Attempt> = None;
+    let mut replicated_attempt: Option<Attempt> = None;
     let mut failures = 0;
     loop {
-        runtime::timeout(period, answer.wait_replication_due(acknowledged, known.as_ref())).await;
+        runtime::timeout(
+            period,
+            answer.wait_replication_due(acknowledged, replicated_attempt.as_ref()),
+        )
+        .await;
         if !node.usable_nodes().iter().any(|(name, _)| name == holder) {
-            return Pumped::Lost;
+            return ReplicationEnd::HolderLost;
         }
         let update = answer.get_since(acknowledged);
         let attempt = answer.get_attempt();
         let is_last = update.ended.is_some();
         let count = update.tokens.len() as u64;
-        if !is_last && count == 0 && attempt == known {
+        if !is_last && count == 0 && attempt == replicated_attempt {
             continue;
         }
         let message = progress(node, answer, acknowledged, update, attempt.as_ref());
         if send(node, holder, message).await {
             failures = 0;
             acknowledged += count;
-            known = attempt;
+            replicated_attempt = attempt;
             if is_last {
-                return Pumped::Ended;
+                return ReplicationEnd::Ended;
             }
         } else {
             failures += 1;
-            if failures >= FAILURES {
-                return Pumped::Lost;
+            if failures >= MAX_CONSECUTIVE_FAILURES {
+                return ReplicationEnd::HolderLost;
             }
         }
-        runtime::sleep(PAUSE).await;
+        runtime::sleep(MIN_SEND_INTERVAL).await;
     }
 }
 
@@ -203,14 +207,15 @@
 }
 
 /// Picks the holder; `None` where there is no live peer.
-fn pick(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
-    let (me, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
+fn pick_holder(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
+    let (local, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
     let key = request.get_succession_key();
-    rendezvous::replica(&key, me, data_centre, nodes).map(str::to_owned)
+    rendezvous::replica(&key, local, data_centre, nodes).map(str::to_owned)
 }
 
 async fn send(node: &Node, holder: &str, message: wire::HoldRequest) -> bool {
     let Some(address) = node.get_peer_address(holder) else { return false };
-    let held = node.peers.call(&address, CALL, |mut peer| async move { peer.hold(message).await });
+    let held =
+        node.peers.call(&address, CALL_TIMEOUT, |mut peer| async move { peer.hold(message).await });
     held.await.is_ok_and(|reply| reply.held)
 }
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -11,7 +11,7 @@
 
 /// Takes news in that a VM is leaving: nothing new goes there, and its streams are moved. Of its
 /// own VM the node learns like that too, and stops.
-pub fn learn(node: &Arc<Node>, departure: &Departure) {
+pub fn apply(node: &Arc<Node>, departure: &Departure) {
     let is_new = runtime::lock(&node.directory).add_departure(departure);
     if !is_new {
         return;
@@ -24,18 +24,18 @@
     node.metric.count("departures", 1);
     grant::sync_all(node);
     node.notify_peers();
-    steer(node, &departure.server, left);
+    drain_streams(node, &departure.server, left);
 }
 
 /// Plans the streams of this node on a server that is leaving, and notifies their relays.
-fn steer(node: &Arc<Node>, server: &str, notice: u64) {
-    let answers = running_on(node, server);
+fn drain_streams(node: &Arc<Node>, server: &str, notice: u64) {
+    let answers = streams_on(node, server);
     let Some(first) = answers.first() else { return };
-    let sharers = node.usable_nodes().len().max(1) as u64;
-    let export = first.request.service.export_tokens_per_second / sharers;
+    let node_count = node.usable_nodes().len().max(1) as u64;
+    let export = first.request.service.export_tokens_per_second / node_count;
     let limits = Limits { notice, export_tokens_per_second: export };
     answers.iter().for_each(|answer| answer.expedite_replication());
-    let streams: Vec<Stream> = answers.iter().map(|answer| describe(answer)).collect();
+    let streams: Vec<Stream> = answers.iter().map(|answer| to_stream(answer)).collect();
     for (attempt, action) in drain::plan(&limits, &streams) {
         let name = match action {
             Action::Finish => "drain_finish",
@@ -46,25 +46,26 @@
         if action == Action::Finish {
             continue;
         }
-        let is_it = |answer: &&Arc<Answer>| answer.get_attempt().is_some_and(|a| a.id == attempt);
-        if let Some(answer) = answers.iter().find(is_it) {
+        let is_planned =
+            |answer: &&Arc<Answer>| answer.get_attempt().is_some_and(|a| a.id == attempt);
+        if let Some(answer) = answers.iter().find(is_planned) {
             answer.request_drain(action);
         }
     }
 }
 
 /// Lists the model answers that run on a server.
-fn running_on(node: &Node, server: &str) -> Vec<Arc<Answer>> {
+fn streams_on(node: &Node, server: &str) -> Vec<Arc<Answer>> {
     let answers = runtime::lock(&node.answers);
-    let is_there = |answer: &&Arc<Answer>| {
+    let is_running_there = |answer: &&Arc<Answer>| {
         answer.request.is_model()
             && answer.get_ended_at().is_none()
             && answer.get_attempt().is_some_and(|attempt| attempt.server == server)
     };
-    answers.values().filter(is_there).cloned().collect()
+    answers.values().filter(is_running_there).cloned().collect()
 }
 
-fn describe(answer: &Answer) -> Stream {
+fn to_stream(answer: &Answer) -> Stream {
     let generated = answer.get_length();
     let request = &answer.request;
     Stream {
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -14,40 +14,40 @@
 use crate::runtime;
 
 /// Nodes of the succession list that are queried.
-const QUERIED: usize = 4;
+const MAX_QUERIED_NODES: usize = 4;
 /// Time for one answer. It delays requests that came with a key while a node sleeps unnoticed.
-const CALL: Duration = Duration::from_millis(250);
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// How often the answer is looked for again when the node that held it is gone.
-const SEARCHES: u32 = 20;
+const MAX_SEARCHES: u32 = 20;
 /// How often the node that has a claim is queried, until it confirms that it runs the request.
-const RUNNER_LOOKS: u32 = 4;
-const RUNNER_PAUSE: Duration = Duration::from_millis(50);
-const PAUSE: Duration = Duration::from_millis(250);
+const MAX_RUNNER_QUERIES: u32 = 4;
+const RUNNER_QUERY_INTERVAL: Duration = Duration::from_millis(50);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is known of a request somewhere else.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
     /// A node runs it or has its answer; the address is for peers.
-    At(String),
+    Remote(String),
     /// This node has taken it over.
-    Here,
+    Local,
     /// The key was used for another request.
     Mismatch,
     /// None of the queried nodes knows it.
-    Nowhere,
+    NotFound,
 }
 
 /// Lets an answer follow one that is known elsewhere; returns `true` if there is one.
-pub async fn resume(node: &Arc<Node>, answer: &Arc<Answer>) -> bool {
+pub async fn follow_known(node: &Arc<Node>, answer: &Arc<Answer>) -> bool {
     match search(node, answer).await {
-        Found::Nowhere => false,
-        Found::Here => true,
+        Found::NotFound => false,
+        Found::Local => true,
         Found::Mismatch => {
             let ended = super::answer::not_run(422, "the key was used for another request", 0);
             ending::refuse(node, answer, ended);
             true
         }
-        Found::At(address) => {
+        Found::Remote(address) => {
             answer.set_accepted();
             mirror(node, answer, address).await;
             true
@@ -56,14 +56,14 @@
 }
 
 /// Lets an answer follow the named node, if that soon answers for the request.
-pub async fn follow_at(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) -> bool {
-    for _ in 0..RUNNER_LOOKS {
+pub async fn follow_runner(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) -> bool {
+    for _ in 0..MAX_RUNNER_QUERIES {
         if let Some(address) = ask_owner(node, answer, runner).await {
             answer.set_accepted();
             mirror(node, answer, address).await;
             return true;
         }
-        runtime::sleep(RUNNER_PAUSE).await;
+        runtime::sleep(RUNNER_QUERY_INTERVAL).await;
     }
     false
 }
@@ -76,10 +76,10 @@
             return Found::Mismatch;
         }
         if let Some(address) = ask_owner(node, answer, &held.record.owner).await {
-            return Found::At(address);
+            return Found::Remote(address);
         }
-        takeover::revive_into(node, answer, held).await;
-        return Found::Here;
+        takeover::resume_from_record(node, answer, held).await;
+        return Found::Local;
     }
     let peers = succession_list(node, answer);
     if peers.is_empty() {
@@ -92,15 +92,15 @@
 /// Looks for the record in the object store, where there is no peer to ask.
 async fn search_store(node: &Arc<Node>, answer: &Arc<Answer>) -> Found {
     let Some(record) = copy::read_stored(node, &answer.request).await else {
-        return Found::Nowhere;
+        return Found::NotFound;
     };
     if record.body_digest != answer.request.digest {
         return Found::Mismatch;
     }
     let now = node.now();
     let held = HeldRecord { deadline: now + record.deadline_left_ms, since: now, record };
-    takeover::revive_into(node, answer, held).await;
-    Found::Here
+    takeover::resume_from_record(node, answer, held).await;
+    Found::Local
 }
 
 /// Asks all peers at once; the first in the list that knows the request counts.
@@ -125,16 +125,16 @@
             return Found::Mismatch;
         }
         if reply.here {
-            return Found::At(address);
+            return Found::Remote(address);
         }
         if let Some(owner) = ask_owner(node, answer, &reply.owner).await {
-            return Found::At(owner);
+            return Found::Remote(owner);
         }
         if ask(node, answer, &address, true).await.is_some_and(|reply| reply.here) {
-            return Found::At(address);
+            return Found::Remote(address);
         }
     }
-    Found::Nowhere
+    Found::NotFound
 }
 
 /// Returns the address of the owner, if it still answers for the request.
@@ -150,7 +150,10 @@
 async fn ask(node: &Node, answer: &Answer, address: &str, revive: bool) -> Option<wire::FindReply> {
     let (account, key) = answer.request.get_id();
     let message = wire::FindRequest { account, key, revive };
-    node.peers.call(address, CALL, |mut peer| async move { peer.find(message).await }).await.ok()
+    node.peers
+        .call(address, CALL_TIMEOUT, |mut peer| async move { peer.find(message).await })
+        .await
+        .ok()
 }
 
 fn succession_list(node: &Node, answer: &Answer) -> Vec<String> {
@@ -159,21 +162,21 @@
     let others = members.iter().filter(|m| m.state != State::Dead && m.name != node.get_name());
     let names: Vec<&str> = others.map(|member| member.name.as_str()).collect();
     let order = rendezvous::rank(&key, names.into_iter());
-    order.into_iter().take(QUERIED).map(str::to_owned).collect()
+    order.into_iter().take(MAX_QUERIED_NODES).map(str::to_owned).collect()
 }
 
 /// Follows an answer at another node, and finds it again where that node goes.
 async fn mirror(node: &Arc<Node>, answer: &Arc<Answer>, address: String) {
     let mut address = address;
-    for _ in 0..SEARCHES {
+    for _ in 0..MAX_SEARCHES {
         if follow(node, answer, &address).await {
             return;
         }
-        runtime::sleep(PAUSE).await;
+        runtime::sleep(SEARCH_INTERVAL).await;
         match search(node, answer).await {
-            Found::At(another) => address = another,
-            Found::Here => return,
-            Found::Mismatch | Found::Nowhere => {}
+            Found::Remote(other) => address = other,
+            Found::Local => return,
+            Found::Mismatch | Found::NotFound => {}
         }
     }
     let lost = super::answer::unknown(502, "the node that had the answer is gone", 0);
@@ -184,8 +187,9 @@
 async fn follow(node: &Node, answer: &Answer, address: &str) -> bool {
     let (account, key) = answer.request.get_id();
     let message = wire::FollowRequest { account, key, from_offset: answer.get_length() };
-    let called =
-        node.peers.call(address, CALL, |mut peer| async move { peer.follow(message).await });
+    let called = node
+        .peers
+        .call(address, CALL_TIMEOUT, |mut peer| async move { peer.follow(message).await });
     let Ok(mut stream) = called.await else { return false };
     let idle = Duration::from_millis(node.settings.limits.idle_ms);
     loop {
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -11,12 +11,12 @@
 use crate::runtime;
 
 /// News of members and of departures in one message.
-const MEMBERS: usize = 6;
-const DEPARTURES: usize = 8;
+const MAX_MEMBER_UPDATES: usize = 6;
+const MAX_DEPARTURE_UPDATES: usize = 8;
 /// Members in a message to a node that is not known yet.
-const WELCOME: usize = 64;
+const MAX_FULL_UPDATE_MEMBERS: usize = 64;
 /// Nodes that get urgent news at once.
-const SPREAD: usize = 3;
+const URGENT_FANOUT: usize = 3;
 
 /// Probes nodes for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
@@ -30,7 +30,7 @@
             Some(target) => probe(&node, &target).await,
             None => probe_seeds(&node).await,
         }
-        bury(&node);
+        expire_suspects(&node);
         runtime::sleep(period).await;
     }
 }
@@ -38,48 +38,49 @@
 /// Sends a few nodes what is new at once, each time that there is something, for as long as the
 /// process lives.
 pub async fn run_urgent(node: Arc<Node>) {
-    while node.wait_for_urgent_news().await {
-        spread(&node);
+    while node.wait_for_urgent_update().await {
+        push_urgent(&node);
     }
 }
 
-fn spread(node: &Arc<Node>) {
+fn push_urgent(node: &Arc<Node>) {
     let targets = {
         let members = runtime::lock(&node.members);
-        members.pick_helpers("", SPREAD, &mut fastrand::Rng::new())
+        members.pick_helpers("", URGENT_FANOUT, &mut fastrand::Rng::new())
     };
     for target in targets {
         let node = node.clone();
         runtime::spawn(async move {
-            direct(&node, &target.address, "").await;
+            probe_address(&node, &target.address, "").await;
         });
     }
 }
 
 /// Writes the news that ride on one message.
-pub fn news(node: &Node) -> wire::News {
-    let members = runtime::lock(&node.members).take_updates(MEMBERS);
-    news_of(node, &members)
+pub fn take_updates(node: &Node) -> wire::News {
+    let members = runtime::lock(&node.members).take_updates(MAX_MEMBER_UPDATES);
+    to_wire_news(node, &members)
 }
 
 /// Writes the news for a node that probes. One that is not thought alive is notified of it, each time,
 /// since it can refute only what it hears: news sent while it slept were lost.
-pub fn news_for(node: &Node, from: &str) -> wire::News {
-    let mut news = news(node);
-    let doubted =
+pub fn take_updates_for(node: &Node, from: &str) -> wire::News {
+    let mut news = take_updates(node);
+    let not_alive =
         runtime::lock(&node.members).get(from).filter(|m| m.state != State::Alive).cloned();
-    news.members.extend(doubted.as_ref().map(to_wire));
+    news.members.extend(not_alive.as_ref().map(to_wire));
     news
 }
 
 /// Writes the news for a node that is not known yet: all the members there are.
-pub fn welcome(node: &Node) -> wire::News {
-    let members: Vec<Member> = runtime::lock(&node.members).iter().take(WELCOME).cloned().collect();
-    news_of(node, &members)
+pub fn full_update(node: &Node) -> wire::News {
+    let members: Vec<Member> =
+        runtime::lock(&node.members).iter().take(MAX_FULL_UPDATE_MEMBERS).cloned().collect();
+    to_wire_news(node, &members)
 }
 
 /// Takes news in that a peer at an address sent.
-pub fn hear(node: &Arc<Node>, news: wire::News, address: Option<String>) {
+pub fn apply(node: &Arc<Node>, news: wire::News, address: Option<String>) {
     let now = node.now();
     for member in news.members {
         let name = member.name.clone();
@@ -87,11 +88,14 @@
         let is_dead =
             runtime::lock(&node.members).get(&name).is_some_and(|m| m.state == State::Dead);
         if is_new && is_dead {
-            mourn(node, &name);
+            handle_dead_node(node, &name);
         }
     }
-    for heard in news.departures {
-        departure::learn(node, &Departure { server: heard.server, gone_at: now + heard.left_ms });
+    for departing in news.departures {
+        departure::apply(
+            node,
+            &Departure { server: departing.server, gone_at: now + departing.left_ms },
+        );
     }
     if let Some(address) = address.filter(|_| news.roll > node.get_roll()) {
         let node = node.clone();
@@ -100,13 +104,13 @@
 }
 
 /// Answers a probe of another node on behalf of a third.
-pub async fn probe_for(node: &Arc<Node>, target: &str) -> bool {
+pub async fn probe_on_behalf(node: &Arc<Node>, target: &str) -> bool {
     let Some(address) = node.get_peer_address(target) else { return false };
-    direct(node, &address, "").await
+    probe_address(node, &address, "").await
 }
 
 async fn probe(node: &Arc<Node>, target: &Member) {
-    if direct(node, &target.address, "").await || indirect(node, target).await {
+    if probe_address(node, &target.address, "").await || probe_indirectly(node, target).await {
         runtime::lock(&node.members).record_answer(&target.name);
         return;
     }
@@ -116,31 +120,32 @@
 
 async fn probe_seeds(node: &Arc<Node>) {
     for seed in &node.settings.seeds {
-        if direct(node, &seed.to_string(), "").await {
+        if probe_address(node, &seed.to_string(), "").await {
             adoption::fetch(node, &seed.to_string()).await;
         }
     }
 }
 
 /// Probes the node at an address, or through it another one.
-async fn direct(node: &Arc<Node>, address: &str, target: &str) -> bool {
+async fn probe_address(node: &Arc<Node>, address: &str, target: &str) -> bool {
     let hops = if target.is_empty() { 1 } else { 2 };
-    let time = Duration::from_millis(node.settings.membership.answer_ms * hops);
+    let timeout = Duration::from_millis(node.settings.membership.answer_ms * hops);
     let message = wire::ProbeRequest {
         from: node.get_name().to_owned(),
         target: target.to_owned(),
-        news: Some(news(node)),
+        news: Some(take_updates(node)),
     };
     node.metric.count("probes", 1);
-    let call = node.peers.call(address, time, |mut peer| async move { peer.probe(message).await });
+    let call =
+        node.peers.call(address, timeout, |mut peer| async move { peer.probe(message).await });
     let Ok(reply) = call.await else { return false };
     if let Some(news) = reply.news {
-        hear(node, news, Some(address.to_owned()));
+        apply(node, news, Some(address.to_owned()));
     }
     reply.alive
 }
 
-async fn indirect(node: &Arc<Node>, target: &Member) -> bool {
+async fn probe_indirectly(node: &Arc<Node>, target: &Member) -> bool {
     let helpers = {
         let members = runtime::lock(&node.members);
         members.pick_helpers(
@@ -153,7 +158,9 @@
         .into_iter()
         .map(|helper| {
             let (node, name) = (node.clone(), target.name.clone());
-            runtime::spawn_with_handle(async move { direct(&node, &helper.address, &name).await })
+            runtime::spawn_with_handle(
+                async move { probe_address(&node, &helper.address, &name).await },
+            )
         })
         .collect();
     for answer in probes {
@@ -165,26 +172,26 @@
 }
 
 /// Declares silent nodes dead.
-fn bury(node: &Arc<Node>) {
+fn expire_suspects(node: &Arc<Node>) {
     let dead = runtime::lock(&node.members).expire(node.now());
     for member in dead {
         log::warn!("node {} is taken for dead", member.name);
-        mourn(node, &member.name);
+        handle_dead_node(node, &member.name);
     }
 }
 
 /// Does what must be done when a node is gone.
-fn mourn(node: &Arc<Node>, name: &str) {
+fn handle_dead_node(node: &Arc<Node>, name: &str) {
     let shards: Vec<_> = runtime::lock(&node.grants.owned).values().cloned().collect();
     for shard in shards {
         shard.release_node(name);
     }
-    takeover::take_over(node, name);
+    takeover::take_over_node(node, name);
 }
 
-fn news_of(node: &Node, members: &[Member]) -> wire::News {
+fn to_wire_news(node: &Node, members: &[Member]) -> wire::News {
     let nodes = members.len().max(runtime::lock(&node.members).iter().count());
-    let departures = runtime::lock(&node.directory).take_updates(DEPARTURES, nodes);
+    let departures = runtime::lock(&node.directory).take_updates(MAX_DEPARTURE_UPDATES, nodes);
     let now = node.now();
     let write = |departure: &Departure| wire::Departure {
         server: departure.server.clone(),
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -43,11 +43,14 @@
         let is_known = runtime::lock(&node.members).get(&probe.from).is_some();
         if let Some(news) = probe.news {
             let address = node.get_peer_address(&probe.from);
-            gossip::hear(node, news, address);
+            gossip::apply(node, news, address);
         }
-        let alive = probe.target.is_empty() || gossip::probe_for(node, &probe.target).await;
-        let news =
-            if is_known { gossip::news_for(node, &probe.from) } else { gossip::welcome(node) };
+        let alive = probe.target.is_empty() || gossip::probe_on_behalf(node, &probe.target).await;
+        let news = if is_known {
+            gossip::take_updates_for(node, &probe.from)
+        } else {
+            gossip::full_update(node)
+        };
         Ok(Response::new(wire::ProbeReply { alive, news: Some(news) }))
     }
 
@@ -127,14 +130,14 @@
     records.insert(id.clone(), HeldRecord { record, since: now, deadline });
     drop(records);
     if is_handover {
-        takeover::revive(node, &id);
+        takeover::take_over_request(node, &id);
     }
     true
 }
 
 fn update(node: &Node, id: &Id, progress: wire::Record, from_offset: u64) -> bool {
     let mut records = runtime::lock(&node.records);
-    if progress.r#final.as_ref().is_some_and(copy::is_forgotten) {
+    if progress.r#final.as_ref().is_some_and(copy::is_discardable) {
         records.remove(id);
         return true;
     }
@@ -162,7 +165,7 @@
 
 fn find(node: &Arc<Node>, id: &Id, revive: bool) -> wire::FindReply {
     if revive {
-        takeover::revive(node, id);
+        takeover::take_over_request(node, id);
     }
     let answer = runtime::lock(&node.answers).get(id).cloned();
     if let Some(answer) = answer.filter(|answer| answer.is_own() && !answer.is_failed()) {
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -185,7 +185,7 @@
     }
 
     /// Waits until peers must be notified at once; `false` once that cannot be any more.
-    pub async fn wait_for_urgent_news(&self) -> bool {
+    pub async fn wait_for_urgent_update(&self) -> bool {
         self.urgent.1.recv().await.is_ok()
     }
 
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -14,21 +14,21 @@
 use crate::runtime;
 
 /// Takes over all requests of a node that is gone.
-pub fn take_over(node: &Arc<Node>, gone: &str) {
+pub fn take_over_node(node: &Arc<Node>, dead_node: &str) {
     let records = runtime::lock(&node.records);
     let ids: Vec<Id> = records
         .iter()
-        .filter(|(_, held)| held.record.owner == gone)
+        .filter(|(_, held)| held.record.owner == dead_node)
         .map(|(id, _)| id.clone())
         .collect();
     drop(records);
     for id in ids {
-        revive(node, &id);
+        take_over_request(node, &id);
     }
 }
 
 /// Goes on with the request of one record; returns `true` if this node answers for it now.
-pub fn revive(node: &Arc<Node>, id: &Id) -> bool {
+pub fn take_over_request(node: &Arc<Node>, id: &Id) -> bool {
     if runtime::lock(&node.answers).contains_key(id) {
         return true;
     }
@@ -45,12 +45,12 @@
         return true;
     }
     let node = node.clone();
-    runtime::spawn(async move { revive_into(&node, &answer, held).await });
+    runtime::spawn(async move { resume_from_record(&node, &answer, held).await });
     true
 }
 
 /// Fills an answer from a record and goes on with it.
-pub async fn revive_into(node: &Arc<Node>, answer: &Arc<Answer>, held: HeldRecord) {
+pub async fn resume_from_record(node: &Arc<Node>, answer: &Arc<Answer>, held: HeldRecord) {
     runtime::lock(&node.records).remove(&answer.request.get_id());
     answer.push(held.record.tokens.clone());
     if let Some(ended) = held.record.r#final.clone() {
@@ -62,10 +62,10 @@
     node.metric.count("requests_taken_over", 1);
     answer.set_own();
     answer.set_accepted();
-    if let Some(place) = copy::place(node, answer).await {
-        copy::keep(node, answer, place);
+    if let Some(location) = copy::create(node, answer).await {
+        copy::keep_updated(node, answer, location);
     }
-    match start(node, answer, &held.record).await {
+    match decide_start(node, answer, &held.record).await {
         Some(start) => {
             let (node, answer) = (node.clone(), answer.clone());
             runtime::spawn(relay::run(node, answer, start));
@@ -75,7 +75,7 @@
 }
 
 /// Decides how to go on; `None` where the answer has ended.
-async fn start(node: &Arc<Node>, answer: &Arc<Answer>, record: &Record) -> Option<Start> {
+async fn decide_start(node: &Arc<Node>, answer: &Arc<Answer>, record: &Record) -> Option<Start> {
     let request = &answer.request;
     let running = running_attempt(record);
     let facts = RequestFacts {
@@ -92,18 +92,18 @@
         takeover::Strategy::Attach => running.map(Start::Attached),
         takeover::Strategy::Rerun => Some(Start::Anew),
         takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
-        takeover::Strategy::Recorded(recorded) => end(node, answer, ending::recorded(&recorded)),
+        takeover::Strategy::Recorded(recorded) => finish(node, answer, ending::recorded(&recorded)),
         takeover::Strategy::NotRun => {
-            end(node, answer, not_run(503, "the request was given up before it was sent", 0))
+            finish(node, answer, not_run(503, "the request was given up before it was sent", 0))
         }
         takeover::Strategy::Unknown => {
             let why = "the node that had the request is gone and it is not to be repeated";
-            end(node, answer, unknown(502, why, 0))
+            finish(node, answer, unknown(502, why, 0))
         }
     }
 }
 
-fn end(node: &Node, answer: &Answer, ended: Final) -> Option<Start> {
+fn finish(node: &Node, answer: &Answer, ended: Final) -> Option<Start> {
     answer.finish(node.now(), ended);
     None
 }
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -41,7 +41,7 @@
         Ok(notices) => {
             for notice in notices {
                 let gone_at = node.now() + notice.left_ms;
-                departure::learn(node, &Departure { server: notice.vm, gone_at });
+                departure::apply(node, &Departure { server: notice.vm, gone_at });
             }
         }
         Err(fault) => log::debug!("the notices were not read: {fault}"),
@@ -80,7 +80,7 @@
     }
     runtime::lock(&node.directory).set_servers(now, servers.into_iter());
     for server in leaving {
-        departure::learn(node, &Departure { server, gone_at: now + UNNOTICED_MS });
+        departure::apply(node, &Departure { server, gone_at: now + UNNOTICED_MS });
     }
     grant::sync_all(node);
 }
