--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -12,11 +12,11 @@
 use crate::http::{self, Body, SendError};
 use crate::runtime;
 
-const MAX_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// What to send to an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Send<'a> {
+pub struct EngineRequest<'a> {
     /// The path of the caller's request.
     pub path: &'a str,
     /// The caller's body.
@@ -80,7 +80,7 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// Time for an answer's head.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 impl Engine<'_> {
@@ -90,14 +90,14 @@
     ///
     /// Returns [`SendError::NotSent`] where the engine cannot have run it, which it also says
     /// itself by status 429 or 503.
-    pub async fn send(&self, send: &Send<'_>) -> Result<Response<Tokens>, SendError> {
-        let body = engine_body(send).map_err(SendError::NotSent)?;
+    pub async fn send(&self, request: &EngineRequest<'_>) -> Result<Response<Tokens>, SendError> {
+        let body = engine_body(request).map_err(SendError::NotSent)?;
         let request = self
-            .request(Method::POST, send.path)
+            .request(Method::POST, request.path)
             .header("content-type", "application/json")
-            .header(ATTEMPT, send.attempt)
-            .header(PRIORITY, send.priority.to_string())
-            .header(KEY, send.key)
+            .header(ATTEMPT, request.attempt)
+            .header(PRIORITY, request.priority.to_string())
+            .header(KEY, request.key)
             .body(Body::from(body));
         self.stream(request).await
     }
@@ -136,7 +136,7 @@
     pub async fn order(&self, order: &Value) -> Ordered {
         let request = self.request(Method::POST, "/orders").body(Body::from(order.to_string()));
         let Ok(request) = request else { return Ordered::Failed };
-        let sent = runtime::timeout(self.within, self.http.send(self.address, request)).await;
+        let sent = runtime::timeout(self.timeout, self.http.send(self.address, request)).await;
         match sent {
             Some(Ok(response)) if response.status() == StatusCode::OK => Ordered::Taken,
             Some(Ok(response)) if response.status() == StatusCode::CONFLICT => Ordered::OldFence,
@@ -176,11 +176,11 @@
         let exchange = async {
             let response = self.http.send(self.address, request).await?;
             let status = response.status();
-            let content = http::read_body(response.into_body(), MAX_ANSWER).await;
+            let content = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
             let content = content.ok_or_else(|| SendError::MaybeSent("broke off".to_owned()))?;
             if status == StatusCode::OK { Ok(content) } else { Err(refused(status)) }
         };
-        runtime::timeout(self.within, exchange).await.unwrap_or_else(|| Err(late()))
+        runtime::timeout(self.timeout, exchange).await.unwrap_or_else(|| Err(timed_out()))
     }
 
     async fn stream(
@@ -188,8 +188,8 @@
         request: Result<Request<Body>, hyper::http::Error>,
     ) -> Result<Response<Tokens>, SendError> {
         let request = request.map_err(not_sent)?;
-        let sent = runtime::timeout(self.within, self.http.send(self.address, request)).await;
-        let response = sent.unwrap_or_else(|| Err(late()))?;
+        let sent = runtime::timeout(self.timeout, self.http.send(self.address, request)).await;
+        let response = sent.unwrap_or_else(|| Err(timed_out()))?;
         match response.status() {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 return Err(SendError::NotSent(format!(
@@ -206,11 +206,12 @@
 }
 
 /// Makes the body for the engine: always a stream, with the tokens that are already there.
-fn engine_body(send: &Send<'_>) -> Result<Vec<u8>, String> {
-    let mut body: Value = serde_json::from_slice(send.body).map_err(|error| error.to_string())?;
+fn engine_body(request: &EngineRequest<'_>) -> Result<Vec<u8>, String> {
+    let mut body: Value =
+        serde_json::from_slice(request.body).map_err(|error| error.to_string())?;
     body["stream"] = json!(true);
-    if !send.tokens.is_empty() {
-        body["resume"] = json!({ "tokens": send.tokens });
+    if !request.tokens.is_empty() {
+        body["resume"] = json!({ "tokens": request.tokens });
     }
     serde_json::to_vec(&body).map_err(|error| error.to_string())
 }
@@ -223,6 +224,6 @@
     SendError::MaybeSent(format!("status {status}"))
 }
 
-fn late() -> SendError {
+fn timed_out() -> SendError {
     SendError::MaybeSent("no answer in time".to_owned())
 }
--- a/crates/keeljunction/src/backend/mod.rs
+++ b/crates/keeljunction/src/backend/mod.rs
@@ -4,8 +4,8 @@
 mod plain;
 mod tokens;
 
-pub use engine::{Engine, Event, Events, Load, Ordered, Send};
-pub use plain::{Plain, Reply};
+pub use engine::{Engine, EngineRequest, Event, Events, Load, Ordered};
+pub use plain::{PlainRequest, Reply};
 pub use tokens::{Piece, Tokens};
 
 /// The header that names the attempt a request belongs to.
--- a/crates/keeljunction/src/backend/plain.rs
+++ b/crates/keeljunction/src/backend/plain.rs
@@ -10,12 +10,12 @@
 use crate::http::{self, Body, SendError};
 use crate::runtime;
 
-const MAX_ANSWER: usize = 16 << 20;
-const DEFAULT_TYPE: &str = "application/octet-stream";
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+const DEFAULT_MEDIA_TYPE: &str = "application/octet-stream";
 
 /// A request for a plain service.
 #[derive(Clone, Copy, Debug)]
-pub struct Plain<'a> {
+pub struct PlainRequest<'a> {
     /// The method.
     pub method: &'a str,
     /// The path on the server.
@@ -41,7 +41,7 @@
     pub body: Bytes,
 }
 
-impl Plain<'_> {
+impl PlainRequest<'_> {
     /// Sends the request and reads the answer whole, within a time.
     ///
     /// # Errors
@@ -69,13 +69,13 @@
             let status = response.status().as_u16();
             let media_type = response.headers().get("content-type");
             let media_type = media_type.and_then(|value| value.to_str().ok());
-            let media_type = media_type.unwrap_or(DEFAULT_TYPE).to_owned();
-            let body = http::read_body(response.into_body(), MAX_ANSWER).await;
+            let media_type = media_type.unwrap_or(DEFAULT_MEDIA_TYPE).to_owned();
+            let body = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
             let body =
                 body.ok_or_else(|| SendError::MaybeSent("the answer broke off".to_owned()))?;
             Ok(Reply { status, media_type, body })
         };
-        let late = || Err(SendError::MaybeSent("no answer in time".to_owned()));
-        runtime::timeout(time, exchange).await.unwrap_or_else(late)
+        let timed_out = || Err(SendError::MaybeSent("no answer in time".to_owned()));
+        runtime::timeout(time, exchange).await.unwrap_or_else(timed_out)
     }
 }
--- a/crates/keeljunction/src/node/adoption.rs
+++ b/crates/keeljunction/src/node/adoption.rs
@@ -13,7 +13,7 @@
 use crate::platform::ROLL_KEY;
 use crate::runtime;
 
-const FETCH: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Checks a roll and its bundle, and puts them in force if they are newer.
 ///
@@ -41,12 +41,12 @@
 
 /// Reads the roll from the table service for as long as the process lives.
 pub async fn watch(node: Arc<Node>) {
-    let mut turn: u64 = 0;
+    let mut round: u64 = 0;
     loop {
-        if node.is_read_due(ROLL_KEY, turn) || node.get_active_bundle().is_none() {
+        if node.is_read_due(ROLL_KEY, round) || node.get_active_bundle().is_none() {
             read_roll(&node).await;
         }
-        turn += 1;
+        round += 1;
         runtime::sleep(Duration::from_millis(node.settings.times.roll_poll_ms)).await;
     }
 }
@@ -65,7 +65,7 @@
         return;
     }
     match node.platform.get_object(&roll.digest).await {
-        Ok(body) => report(adopt(node, roll, body.to_vec())),
+        Ok(body) => log_rejection(adopt(node, roll, body.to_vec())),
         Err(fault) => log::warn!("the bundle of roll {} was not read: {fault}", roll.number),
     }
 }
@@ -73,14 +73,16 @@
 /// Reads a newer bundle, and the backend servers, from a peer.
 pub async fn fetch(node: &Arc<Node>, address: &str) {
     let message = wire::FetchRequest { above_roll: node.get_roll() };
-    let call = node.peers.call(address, FETCH, |mut peer| async move { peer.fetch(message).await });
+    let call = node
+        .peers
+        .call(address, FETCH_TIMEOUT, |mut peer| async move { peer.fetch(message).await });
     let Ok(reply) = call.await else { return };
-    add_servers(node, &reply.servers);
+    merge_servers(node, &reply.servers);
     if reply.roll <= node.get_roll() {
         return;
     }
     match serde_json::from_slice::<Roll>(&reply.row) {
-        Ok(roll) => report(adopt(node, roll, reply.body)),
+        Ok(roll) => log_rejection(adopt(node, roll, reply.body)),
         Err(error) => log::error!("a peer's roll is not understood: {error}"),
     }
 }
@@ -102,17 +104,17 @@
 
 fn servers(node: &Node) -> Vec<wire::Server> {
     let directory = runtime::lock(&node.directory);
-    let write = |server: &Server| wire::Server {
+    let to_wire = |server: &Server| wire::Server {
         name: server.name.clone(),
         service: server.service.clone(),
         address: server.address.clone(),
         data_centre: server.data_centre.clone(),
         leaving: directory.is_leaving(&server.name),
     };
-    directory.iter().map(write).collect()
+    directory.iter().map(to_wire).collect()
 }
 
-fn add_servers(node: &Arc<Node>, servers: &[wire::Server]) {
+fn merge_servers(node: &Arc<Node>, servers: &[wire::Server]) {
     let mut directory = runtime::lock(&node.directory);
     for server in servers.iter().filter(|server| !server.leaving) {
         directory.add(Server {
@@ -124,7 +126,7 @@
     }
 }
 
-fn report(adopted: Result<bool, Error>) {
+fn log_rejection(adopted: Result<bool, Error>) {
     if let Err(error) = adopted {
         log::error!("a bundle was refused: {error}");
     }
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -10,14 +10,14 @@
 
 use super::answer::{Attempt, done};
 use super::{Answer, Node, ending, grant};
-use crate::backend::{Engine, Piece, Plain, Send, Tokens};
+use crate::backend::{Engine, EngineRequest, Piece, PlainRequest, Tokens};
 use crate::http::SendError;
 use crate::runtime;
 
 /// Returns the engine at an address.
 pub fn engine(node: &Node, address: SocketAddr) -> Engine<'_> {
-    let within = Duration::from_millis(node.settings.limits.idle_ms);
-    Engine { http: &node.http, address, within }
+    let timeout = Duration::from_millis(node.settings.limits.idle_ms);
+    Engine { http: &node.http, address, timeout }
 }
 
 /// Sends a request to a model engine and follows its tokens.
@@ -32,7 +32,7 @@
     let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
     let request = &answer.request;
     let tokens = answer.get_since(0).tokens;
-    let send = Send {
+    let engine_request = EngineRequest {
         path: &request.path,
         body: &request.body,
         attempt: &attempt.id,
@@ -41,8 +41,8 @@
         tokens: &tokens,
     };
     cursor.switch(&attempt.id);
-    let sent = engine(node, address).send(&send).await;
-    note_sent(answer, sent.as_ref().err());
+    let sent = engine(node, address).send(&engine_request).await;
+    record_sent(answer, sent.as_ref().err());
     match sent {
         Ok(response) if response.status().is_success() => {
             let tokens_stream = response.into_body();
@@ -60,7 +60,7 @@
             End::Finished
         }
         Err(SendError::NotSent(why)) => not_sent(&why),
-        Err(SendError::MaybeSent(why)) => broken(&why),
+        Err(SendError::MaybeSent(why)) => interrupted(&why),
     }
 }
 
@@ -78,8 +78,8 @@
             node.metric.count("attempts_attached", 1);
             follow(node, answer, attempt, cursor, response.into_body(), None).await
         }
-        Ok(response) => broken(&format!("status {}", response.status())),
-        Err(failure) => broken(&failure.to_string()),
+        Ok(response) => interrupted(&format!("status {}", response.status())),
+        Err(failure) => interrupted(&failure.to_string()),
     }
 }
 
@@ -87,7 +87,7 @@
 pub async fn run_plain(node: &Arc<Node>, answer: &Answer, attempt: &Attempt) -> End {
     let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
     let request = &answer.request;
-    let plain = Plain {
+    let plain = PlainRequest {
         method: &request.method,
         path: &request.path,
         headers: &request.headers,
@@ -95,9 +95,9 @@
         attempt: &attempt.id,
         key: &request.key,
     };
-    let left = Duration::from_millis(request.deadline.saturating_sub(node.now()));
-    let sent = plain.send(&node.http, address, left).await;
-    note_sent(answer, sent.as_ref().err());
+    let remaining = Duration::from_millis(request.deadline.saturating_sub(node.now()));
+    let sent = plain.send(&node.http, address, remaining).await;
+    record_sent(answer, sent.as_ref().err());
     match sent {
         Ok(reply) => {
             let end = done(reply.status, &reply.media_type, reply.body.to_vec());
@@ -105,7 +105,7 @@
             End::Finished
         }
         Err(SendError::NotSent(why)) => not_sent(&why),
-        Err(SendError::MaybeSent(why)) => broken(&why),
+        Err(SendError::MaybeSent(why)) => interrupted(&why),
     }
 }
 
@@ -117,47 +117,55 @@
     mut tokens: Tokens,
     grant: Option<&str>,
 ) -> End {
-    let mut unread = grant;
+    let mut awaiting_first_token = grant;
     loop {
-        let piece = match next(node, answer, &mut tokens).await {
+        let piece = match next_piece(node, answer, &mut tokens).await {
             Ok(Some(piece)) => piece,
-            Ok(None) => return broken("the stream broke off"),
+            Ok(None) => return interrupted("the stream broke off"),
             Err(end) => return end,
         };
-        let Piece::Token { attempt: named, offset, text } = piece else {
+        let Piece::Token { attempt: piece_attempt, offset, text } = piece else {
             if cursor.has_gap() {
-                return broken("tokens are missing");
+                return interrupted("tokens are missing");
             }
             ending::finish_model(node, answer, attempt);
             return End::Finished;
         };
-        match cursor.take(&named, offset, &text) {
+        match cursor.take(&piece_attempt, offset, &text) {
             Disposition::Accept(tokens) => answer.push(tokens),
             Disposition::Buffered => node.metric.count("tokens_held", 1),
             Disposition::Duplicate | Disposition::Foreign => node.metric.count("tokens_dropped", 1),
-            Disposition::Gap(_) => return broken("tokens are missing"),
+            Disposition::Gap(_) => return interrupted("tokens are missing"),
         }
-        if let Some(grant) = unread.take() {
+        if let Some(grant) = awaiting_first_token.take() {
             grant::record_first_token(node, grant);
         }
     }
 }
 
 /// Waits for the next piece, for being steered, or until it is too late.
-async fn next(node: &Node, answer: &Answer, tokens: &mut Tokens) -> Result<Option<Piece>, End> {
-    let left = answer.request.deadline.saturating_sub(node.now());
+async fn next_piece(
+    node: &Node,
+    answer: &Answer,
+    tokens: &mut Tokens,
+) -> Result<Option<Piece>, End> {
+    let remaining = answer.request.deadline.saturating_sub(node.now());
     let idle = node.settings.limits.idle_ms;
     let piece = async { Ok(tokens.next().await) };
     let steered = async { Err(End::Drained(answer.wait_drain_request().await)) };
-    let late = async {
-        runtime::sleep(Duration::from_millis(left.min(idle))).await;
-        Err(if left <= idle { End::DeadlineExceeded } else { broken("the engine fell silent") })
+    let timed_out = async {
+        runtime::sleep(Duration::from_millis(remaining.min(idle))).await;
+        Err(if remaining <= idle {
+            End::DeadlineExceeded
+        } else {
+            interrupted("the engine fell silent")
+        })
     };
-    future::or(piece, future::or(steered, late)).await
+    future::or(piece, future::or(steered, timed_out)).await
 }
 
 /// Notes that bytes may have reached the server, unless it is certain that none did.
-fn note_sent(answer: &Answer, failure: Option<&SendError>) {
+fn record_sent(answer: &Answer, failure: Option<&SendError>) {
     if !failure.is_some_and(SendError::is_not_sent) {
         answer.set_sent();
     }
@@ -168,7 +176,7 @@
     End::NotSent
 }
 
-fn broken(why: &str) -> End {
+fn interrupted(why: &str) -> End {
     log::info!("a backend server broke a request off: {why}");
     End::Interrupted
 }
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -12,14 +12,14 @@
 use crate::runtime;
 
 /// Claims in one transaction at most.
-const BATCH: usize = 64;
+const MAX_BATCH_CLAIMS: usize = 64;
 /// How long the first claim of a batch waits for others.
-const GATHER: Duration = Duration::from_millis(3);
+const BATCH_DELAY: Duration = Duration::from_millis(3);
 /// Claims that may wait to be written.
-const WAITING: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 /// How often and with what pause a row is written that nobody waits for.
-const BACKGROUND_TRIES: u32 = 60;
-const BACKGROUND_PAUSE: Duration = Duration::from_millis(500);
+const MAX_SETTLE_ATTEMPTS: u32 = 60;
+const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Claims that wait to be written.
 pub struct Claims {
@@ -36,7 +36,7 @@
 impl Claims {
     /// Makes an empty queue of claims.
     pub fn new() -> Self {
-        let (sender, receiver) = async_channel::bounded(WAITING);
+        let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
         Self { sender, receiver }
     }
 }
@@ -59,16 +59,16 @@
     if node.claims.sender.try_send(pending).is_err() {
         return Err(Fault::NotSent("too many claims wait".to_owned()));
     }
-    let lost = |_| Err(Fault::NotSent("the claim was dropped".to_owned()));
-    replied.recv().await.unwrap_or_else(lost)
+    let dropped = |_| Err(Fault::NotSent("the claim was dropped".to_owned()));
+    replied.recv().await.unwrap_or_else(dropped)
 }
 
 /// Writes claims for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
     while let Ok(first) = node.claims.receiver.recv().await {
-        runtime::sleep(GATHER).await;
+        runtime::sleep(BATCH_DELAY).await;
         let mut batch = vec![first];
-        while batch.len() < BATCH {
+        while batch.len() < MAX_BATCH_CLAIMS {
             let Ok(next) = node.claims.receiver.try_recv() else { break };
             batch.push(next);
         }
@@ -103,7 +103,7 @@
 
 async fn write(node: &Node, mut batch: Vec<Pending>) {
     while !batch.is_empty() {
-        let committed = node.platform.commit(&insertion(&batch)).await;
+        let committed = node.platform.commit(&make_transaction(&batch)).await;
         match committed {
             Ok(Commit::Done(_)) => {
                 for pending in batch.drain(..) {
@@ -111,14 +111,19 @@
                 }
             }
             Ok(Commit::Conflict(keys)) => {
-                let is_taken = |pending: &Pending| keys.contains(&pending.key);
-                let (taken, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(is_taken);
-                if taken.is_empty() {
-                    fail(rest, &Fault::Refused(409));
+                let is_conflicting = |pending: &Pending| keys.contains(&pending.key);
+                let (conflicting, rest): (Vec<_>, Vec<_>) =
+                    batch.into_iter().partition(is_conflicting);
+                if conflicting.is_empty() {
+                    reply_failure(rest, &Fault::Refused(409));
                     return;
                 }
-                read_back(node, taken, &Fault::Unknown("a conflicting row vanished".to_owned()))
-                    .await;
+                read_back(
+                    node,
+                    conflicting,
+                    &Fault::Unknown("a conflicting row vanished".to_owned()),
+                )
+                .await;
                 batch = rest;
             }
             Err(fault @ Fault::Unknown(_)) => {
@@ -126,14 +131,14 @@
                 return;
             }
             Err(fault) => {
-                fail(batch, &fault);
+                reply_failure(batch, &fault);
                 return;
             }
         }
     }
 }
 
-fn insertion(batch: &[Pending]) -> Transaction {
+fn make_transaction(batch: &[Pending]) -> Transaction {
     batch.iter().fold(Transaction::new(), |transaction, pending| {
         let value = serde_json::to_string(&pending.row).unwrap_or_default();
         transaction.expect(&pending.key, None).put(&pending.key, value)
@@ -146,16 +151,16 @@
     let keys = batch.iter().map(|pending| pending.key.clone()).collect();
     let rows = match node.platform.read_all(keys).await {
         Ok(rows) => rows,
-        Err(fault) => return fail(batch, &fault),
+        Err(fault) => return reply_failure(batch, &fault),
     };
     let rows: HashMap<&str, &platform::Row> =
         rows.iter().map(|row| (row.key.as_str(), row)).collect();
     for pending in batch {
-        let stands = rows.get(pending.key.as_str());
-        let judged = stands.and_then(|row| Some((*row, serde_json::from_str(&row.value).ok()?)));
-        let verdict = match judged {
+        let current = rows.get(pending.key.as_str());
+        let parsed = current.and_then(|row| Some((*row, serde_json::from_str(&row.value).ok()?)));
+        let verdict = match parsed {
             None => Err(fault.clone()),
-            Some((row, stands)) => match claim::evaluate(&stands, &pending.row) {
+            Some((row, current)) => match claim::evaluate(&current, &pending.row) {
                 Verdict::Available => replace(node, row, &pending.row).await,
                 verdict => Ok(verdict),
             },
@@ -165,31 +170,31 @@
 }
 
 /// Takes a released claim over; whoever replaces the row first has it.
-async fn replace(node: &Node, stands: &platform::Row, mine: &Row) -> Result<Verdict, Fault> {
-    let value = serde_json::to_string(mine).unwrap_or_default();
+async fn replace(node: &Node, current: &platform::Row, new_row: &Row) -> Result<Verdict, Fault> {
+    let value = serde_json::to_string(new_row).unwrap_or_default();
     let transaction =
-        Transaction::new().expect(&stands.key, Some(stands.version)).put(&stands.key, value);
+        Transaction::new().expect(&current.key, Some(current.version)).put(&current.key, value);
     match node.platform.commit(&transaction).await? {
         Commit::Done(_) => Ok(Verdict::Run),
         Commit::Conflict(_) => Ok(Verdict::HeldByOther(String::new())),
     }
 }
 
-fn fail(batch: Vec<Pending>, fault: &Fault) {
+fn reply_failure(batch: Vec<Pending>, fault: &Fault) {
     for pending in batch {
         let _ = pending.reply.try_send(Err(fault.clone()));
     }
 }
 
 /// Writes the last state of a claim of this attempt's own, until that has worked.
-fn settle(node: &Arc<Node>, key: String, last: Row) {
+fn settle(node: &Arc<Node>, key: String, final_row: Row) {
     let node = node.clone();
     runtime::spawn(async move {
-        for _ in 0..BACKGROUND_TRIES {
-            if try_settle(&node, &key, &last).await {
+        for _ in 0..MAX_SETTLE_ATTEMPTS {
+            if try_settle(&node, &key, &final_row).await {
                 return;
             }
-            runtime::sleep(BACKGROUND_PAUSE).await;
+            runtime::sleep(SETTLE_RETRY_INTERVAL).await;
         }
         node.metric.count("claims_unsettled", 1);
         log::error!("the claim {key} could not be settled");
@@ -197,14 +202,15 @@
 }
 
 /// An absent row is written too, so that an insert whose answer was lost cannot arrive later.
-async fn try_settle(node: &Node, key: &str, last: &Row) -> bool {
+async fn try_settle(node: &Node, key: &str, final_row: &Row) -> bool {
     let Ok(row) = node.platform.read(key).await else { return false };
-    let stands: Option<Row> = row.as_ref().and_then(|row| serde_json::from_str(&row.value).ok());
-    let is_others = |stands: &Row| stands.attempt != last.attempt || stands.answer.is_some();
-    if stands.as_ref().is_some_and(is_others) {
+    let current: Option<Row> = row.as_ref().and_then(|row| serde_json::from_str(&row.value).ok());
+    let is_settled_or_other_attempt =
+        |current: &Row| current.attempt != final_row.attempt || current.answer.is_some();
+    if current.as_ref().is_some_and(is_settled_or_other_attempt) {
         return true;
     }
-    let value = serde_json::to_string(last).unwrap_or_default();
+    let value = serde_json::to_string(final_row).unwrap_or_default();
     let version = row.map(|row| row.version);
     let transaction = Transaction::new().expect(key, version).put(key, value);
     let is_settled = matches!(node.platform.commit(&transaction).await, Ok(Commit::Done(_)));
--- a/crates/keeljunction/src/node/control.rs
+++ b/crates/keeljunction/src/node/control.rs
@@ -9,52 +9,54 @@
 
 use keeljunction_core::bundle::Service;
 
-use super::fleet::Buyer;
-use super::lease::Tenure;
+use super::fleet::VmStarter;
+use super::lease::LeaseClient;
 use super::order::Orders;
 use super::state::ActiveBundle;
 use super::{Node, fleet, grant, order};
 use crate::runtime;
 
-const PERIOD: Duration = Duration::from_millis(300);
+const CONTROL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What a node remembers of one service that it may act for.
 #[derive(Default)]
-struct Part {
-    tenure: Tenure,
+struct ServiceControl {
+    lease_client: LeaseClient,
     orders: Orders,
-    buyer: Buyer,
+    vm_starter: VmStarter,
 }
 
 /// Acts for the services that this node owns, for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
-    let mut parts: HashMap<String, Part> = HashMap::new();
+    let mut controls: HashMap<String, ServiceControl> = HashMap::new();
     loop {
         if let Some(active) = node.get_active_bundle().filter(|_| !node.is_stopping()) {
             for service in &active.document.services {
-                act(&node, &active, service, &mut parts).await;
+                control_service(&node, &active, service, &mut controls).await;
             }
         }
-        runtime::sleep(PERIOD).await;
+        runtime::sleep(CONTROL_INTERVAL).await;
     }
 }
 
-async fn act(
+async fn control_service(
     node: &Arc<Node>,
     active: &ActiveBundle,
     service: &Service,
-    parts: &mut HashMap<String, Part>,
+    controls: &mut HashMap<String, ServiceControl>,
 ) {
     let is_owner =
         grant::owner_of(node, &(service.name.clone(), 0)).as_deref() == Some(node.get_name());
     if !is_owner || !(order::is_needed(service) || fleet::is_needed(service)) {
-        parts.remove(&service.name);
+        controls.remove(&service.name);
         return;
     }
-    let part = parts.entry(service.name.clone()).or_default();
-    if let Err(fault) = part.tenure.keep(node, &format!("lease/{}", service.name)).await {
+    let control = controls.entry(service.name.clone()).or_default();
+    if let Err(fault) =
+        control.lease_client.acquire_or_renew(node, &format!("lease/{}", service.name)).await
+    {
         log::debug!("the lease of {} was not renewed: {fault}", service.name);
     }
-    part.orders.send(node, active, service, &mut part.tenure).await;
-    part.buyer.buy(node, active, service, &part.tenure).await;
+    control.orders.send(node, active, service, &mut control.lease_client).await;
+    control.vm_starter.start_next(node, active, service, &control.lease_client).await;
 }
--- a/crates/keeljunction/src/node/fleet.rs
+++ b/crates/keeljunction/src/node/fleet.rs
@@ -13,19 +13,19 @@
 use uuid::Uuid;
 
 use super::Node;
-use super::lease::Tenure;
+use super::lease::LeaseClient;
 use super::state::ActiveBundle;
 use crate::platform::{Commit, Fault, Row, Start, Transaction};
 use crate::runtime;
 
 /// How long a place that refused a start is passed over, in milliseconds.
-const REFUSED_MS: Millis = 5_000;
+const OFFER_RETRY_DELAY_MS: Millis = 5_000;
 /// The most VMs of one offer.
-const MOST: u32 = 100;
+const MAX_VMS_PER_OFFER: u32 = 100;
 
 /// What a holder remembers of the offers that refused.
 #[derive(Debug, Default)]
-pub struct Buyer {
+pub struct VmStarter {
     refused: BTreeMap<(String, bool), Millis>,
 }
 
@@ -34,16 +34,16 @@
     !service.vm_class.is_empty()
 }
 
-impl Buyer {
+impl VmStarter {
     /// Starts one VM that the plan lacks, if there is one, while the lease stands.
-    pub async fn buy(
+    pub async fn start_next(
         &mut self,
         node: &Arc<Node>,
         active: &ActiveBundle,
         service: &Service,
-        tenure: &Tenure,
+        lease_client: &LeaseClient,
     ) {
-        if !is_needed(service) || tenure.get_fence(node.now()).is_none() {
+        if !is_needed(service) || lease_client.get_fence(node.now()).is_none() {
             return;
         }
         let prefix = format!("intent/{}/", service.name);
@@ -51,44 +51,50 @@
             Ok(rows) => rows,
             Err(fault) => return log::debug!("the intents were not read: {fault}"),
         };
-        let open = open_intents(node, &intents).await;
-        if let Some(unanswered) = open.iter().find(|open| !open.is_started) {
-            return self.ask(node, &unanswered.row, &unanswered.start, tenure).await;
+        let open_intents = list_open_intents(node, &intents).await;
+        if let Some(unconfirmed) = open_intents.iter().find(|intent| !intent.is_started) {
+            return self.request_vm(node, &unconfirmed.row, &unconfirmed.start, lease_client).await;
         }
         let offers = self.offers(active, service);
         let demand =
             Demand { target: service.floor, after_loss: service.after_loss, floor: service.floor };
         let plan = fleet::plan(node.now(), &offers, &demand);
-        let held = held(node, service, &offers, &open);
-        let Some(place) = fleet::next_start(&offers, &plan, &held) else { return };
-        let start = make_start(service, &offers[place]);
-        if let Some(row) = write_intent(node, &prefix, &start, tenure).await {
-            self.ask(node, &row, &start, tenure).await;
+        let held_vms = held_vms(node, service, &offers, &open_intents);
+        let Some(index) = fleet::next_start(&offers, &plan, &held_vms) else { return };
+        let start = make_start(service, &offers[index]);
+        if let Some(row) = write_intent(node, &prefix, &start, lease_client).await {
+            self.request_vm(node, &row, &start, lease_client).await;
         }
     }
 
     /// Asks the cloud for the VM of an intent, and notes in the row what came of it.
-    async fn ask(&mut self, node: &Node, row: &Row, start: &Start, tenure: &Tenure) {
-        if tenure.get_fence(node.now()).is_none() {
+    async fn request_vm(
+        &mut self,
+        node: &Node,
+        row: &Row,
+        start: &Start,
+        lease_client: &LeaseClient,
+    ) {
+        if lease_client.get_fence(node.now()).is_none() {
             return;
         }
         let transaction = Transaction::new().expect(&row.key, Some(row.version));
-        let noted = match node.platform.start(start).await {
+        let outcome = match node.platform.start(start).await {
             Ok(started) => {
                 node.metric.count("vms_started", 1);
                 log::info!(target: "audit", "VM {} was started for {}", started.vm, start.service);
-                transaction.put(&row.key, note(start, Some(&started.vm)))
+                transaction.put(&row.key, encode_intent(start, Some(&started.vm)))
             }
             Err(Fault::Refused(status)) => {
                 node.metric.count("vm_starts_refused", 1);
                 log::info!(target: "audit", "a VM in {} was refused with status {status}", start.data_centre);
-                let until = node.now() + REFUSED_MS;
+                let until = node.now() + OFFER_RETRY_DELAY_MS;
                 self.refused.insert((start.data_centre.clone(), start.reclaimable), until);
                 transaction.delete(&row.key)
             }
             Err(_) => return node.metric.count("vm_starts_unknown", 1),
         };
-        if let Err(fault) = node.platform.commit(&noted).await {
+        if let Err(fault) = node.platform.commit(&outcome).await {
             log::debug!("an intent was not noted: {fault}");
         }
     }
@@ -105,32 +111,32 @@
                 .refused
                 .get(&(price.data_centre.clone(), price.reclaimable))
                 .copied(),
-            max_vms: MOST,
+            max_vms: MAX_VMS_PER_OFFER,
         };
         prices.map(offer).collect()
     }
 }
 
 /// Lists the intents whose VMs the VM list does not show yet, and takes away the others' rows.
-async fn open_intents(node: &Node, intents: &[Row]) -> Vec<Open> {
-    let mut open = Vec::new();
+async fn list_open_intents(node: &Node, intents: &[Row]) -> Vec<OpenIntent> {
+    let mut open_intents = Vec::new();
     for row in intents {
         let Ok(intent) = serde_json::from_str::<Intent>(&row.value) else { continue };
         let is_started = intent.vm.is_some();
         let is_listed =
             intent.vm.is_some_and(|vm| runtime::lock(&node.directory).get(&vm).is_some());
         if is_listed {
-            let done = Transaction::new().expect(&row.key, Some(row.version)).delete(&row.key);
-            let _ = node.platform.commit(&done).await;
+            let removal = Transaction::new().expect(&row.key, Some(row.version)).delete(&row.key);
+            let _ = node.platform.commit(&removal).await;
         } else {
-            open.push(Open { row: row.clone(), start: intent.start, is_started });
+            open_intents.push(OpenIntent { row: row.clone(), start: intent.start, is_started });
         }
     }
-    open
+    open_intents
 }
 
 /// An intent whose VM the VM list does not show yet.
-struct Open {
+struct OpenIntent {
     row: Row,
     start: Start,
     /// Whether the cloud has said that it started the VM.
@@ -145,7 +151,7 @@
     vm: Option<String>,
 }
 
-fn note(start: &Start, vm: Option<&str>) -> String {
+fn encode_intent(start: &Start, vm: Option<&str>) -> String {
     let intent = Intent { start: start.clone(), vm: vm.map(str::to_owned) };
     serde_json::to_string(&intent).unwrap_or_default()
 }
@@ -160,10 +166,15 @@
     }
 }
 
-async fn write_intent(node: &Node, prefix: &str, start: &Start, tenure: &Tenure) -> Option<Row> {
-    tenure.get_fence(node.now())?;
+async fn write_intent(
+    node: &Node,
+    prefix: &str,
+    start: &Start,
+    lease_client: &LeaseClient,
+) -> Option<Row> {
+    lease_client.get_fence(node.now())?;
     let key = format!("{prefix}{}", start.token);
-    let value = note(start, None);
+    let value = encode_intent(start, None);
     let transaction = Transaction::new().expect(&key, None).put(&key, value.clone());
     match node.platform.commit(&transaction).await {
         Ok(Commit::Done(version)) => Some(Row { key, version, value }),
@@ -172,23 +183,23 @@
 }
 
 /// Counts the VMs held of each offer: those listed, and those that were requested.
-fn held(node: &Node, service: &Service, offers: &[Offer], open: &[Open]) -> Plan {
-    let mut held = Plan::new();
+fn held_vms(node: &Node, service: &Service, offers: &[Offer], open_intents: &[OpenIntent]) -> Plan {
+    let mut held_vms = Plan::new();
     let directory = runtime::lock(&node.directory);
     let listed = directory.iter_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
     for server in listed {
-        if let Some(place) = offers.iter().position(|offer| offer.data_centre == server.data_centre)
+        if let Some(index) = offers.iter().position(|offer| offer.data_centre == server.data_centre)
         {
-            *held.entry(place).or_default() += 1;
+            *held_vms.entry(index).or_default() += 1;
         }
     }
-    for Open { start, .. } in open {
-        let is_it = |offer: &Offer| {
+    for OpenIntent { start, .. } in open_intents {
+        let is_same_offer = |offer: &Offer| {
             offer.data_centre == start.data_centre && offer.reclaimable == start.reclaimable
         };
-        if let Some(place) = offers.iter().position(is_it) {
-            *held.entry(place).or_default() += 1;
+        if let Some(index) = offers.iter().position(is_same_offer) {
+            *held_vms.entry(index).or_default() += 1;
         }
     }
-    held
+    held_vms
 }
--- a/crates/keeljunction/src/node/housekeeping.rs
+++ b/crates/keeljunction/src/node/housekeeping.rs
@@ -6,22 +6,22 @@
 use super::Node;
 use crate::runtime;
 
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Forgets answers and records that nobody can want any more, for as long as the process lives.
 pub async fn sweep(node: Arc<Node>) {
     loop {
-        forget(&node);
-        runtime::sleep(SWEEP).await;
+        remove_expired(&node);
+        runtime::sleep(SWEEP_INTERVAL).await;
     }
 }
 
-fn forget(node: &Node) {
+fn remove_expired(node: &Node) {
     let now = node.now();
-    let keep = node.settings.times.keep_answer_ms;
+    let retention_ms = node.settings.times.keep_answer_ms;
     runtime::lock(&node.answers)
-        .retain(|_, answer| answer.get_ended_at().is_none_or(|ended| now < ended + keep));
-    runtime::lock(&node.records).retain(|_, held| now < held.deadline + keep);
+        .retain(|_, answer| answer.get_ended_at().is_none_or(|ended| now < ended + retention_ms));
+    runtime::lock(&node.records).retain(|_, held| now < held.deadline + retention_ms);
     node.metric.gauge("requests_running", node.get_running() as u64);
     node.metric.gauge("records_held", runtime::lock(&node.records).len() as u64);
 }
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -11,7 +11,7 @@
 use keeljunction_core::bundle::{Kind, Service};
 use serde_json::json;
 
-use super::lease::{LONGEST_ORDER_MS, Tenure};
+use super::lease::{LeaseClient, ORDER_TIMEOUT_MS};
 use super::state::ActiveBundle;
 use super::{Node, attempt};
 use crate::backend::Ordered;
@@ -35,22 +35,22 @@
         node: &Arc<Node>,
         active: &ActiveBundle,
         service: &Service,
-        tenure: &mut Tenure,
+        lease_client: &mut LeaseClient,
     ) {
         if !is_needed(service) {
             return;
         }
-        for (name, address) in staying(node, service) {
+        for (name, address) in remaining_servers(node, service) {
             if self.sent.get(&name) == Some(&active.roll.number) {
                 continue;
             }
-            let Some(fence) = tenure.get_fence(node.now()) else { return };
+            let Some(fence) = lease_client.get_fence(node.now()) else { return };
             let order = json!({
                 "fence": fence, "node": node.get_name(), "roll": active.roll.number, "models": service.models,
             });
             let engine = attempt::engine(node, address);
             let sending = engine.order(&order);
-            let answer = runtime::timeout(Duration::from_millis(LONGEST_ORDER_MS), sending).await;
+            let answer = runtime::timeout(Duration::from_millis(ORDER_TIMEOUT_MS), sending).await;
             match answer {
                 Some(Ordered::Taken) => {
                     self.sent.insert(name, active.roll.number);
@@ -58,7 +58,7 @@
                 }
                 Some(Ordered::OldFence) => {
                     node.metric.count("orders_fenced_off", 1);
-                    return tenure.lose();
+                    return lease_client.drop_lease();
                 }
                 Some(Ordered::Failed) | None => node.metric.count("orders_failed", 1),
             }
@@ -66,7 +66,7 @@
     }
 }
 
-fn staying(node: &Node, service: &Service) -> Vec<(String, SocketAddr)> {
+fn remaining_servers(node: &Node, service: &Service) -> Vec<(String, SocketAddr)> {
     let directory = runtime::lock(&node.directory);
     let servers = directory.iter_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
     servers.filter_map(|server| Some((server.name.clone(), server.address.parse().ok()?))).collect()
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -17,12 +17,12 @@
 use crate::runtime;
 
 /// How often an attempt is attached to again in vain after its stream broke off.
-const ATTACHES: u32 = 2;
+const MAX_FRUITLESS_ATTACHES: u32 = 2;
 /// Pause before attaching again, and the longest before asking for a server again.
-const ATTACH_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE_MS: u64 = 500;
+const ATTACH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_GRANT_RETRY_INTERVAL_MS: u64 = 500;
 /// When to come back after a request was given up for want of retries, in milliseconds.
-const NO_RETRY_MS: u64 = 1_000;
+const NO_RETRY_BUDGET_RETRY_AFTER_MS: u64 = 1_000;
 
 /// A grant that was not used.
 const UNUSED: Usage = Usage { cost: Some(0), is_failed: false };
@@ -37,69 +37,71 @@
     /// With a claim that names this attempt.
     Claimed(String),
     /// From nothing.
-    Anew,
+    Fresh,
 }
 
 /// Says what to do after an attempt.
 enum Step {
     Stop,
-    Again,
+    Retry,
 }
 
 /// Everything that one request's attempts share.
-struct Run {
+struct Relay {
     node: Arc<Node>,
     answer: Arc<Answer>,
     cursor: Cursor,
     avoid: Vec<String>,
     /// The attempt that was steered off its server, and how.
-    left: Option<(Attempt, Action)>,
+    migrating: Option<(Attempt, Action)>,
     /// The attempt that the claim names; only that may be sent.
-    claimed: Option<String>,
+    claimed_attempt: Option<String>,
 }
 
 /// Carries a request through until its answer has ended.
 pub async fn run(node: Arc<Node>, answer: Arc<Answer>, start: Start) {
     let cursor = Cursor::new("", answer.get_length());
-    let mut run = Run { node, answer, cursor, avoid: Vec::new(), left: None, claimed: None };
+    let mut relay =
+        Relay { node, answer, cursor, avoid: Vec::new(), migrating: None, claimed_attempt: None };
     let mut granted = match start {
         Start::Granted(grant, attempt) => {
-            run.claimed = run.answer.request.needs_claim().then(|| attempt.clone());
+            relay.claimed_attempt = relay.answer.request.needs_claim().then(|| attempt.clone());
             Some((grant, attempt))
         }
-        Start::Attached(attempt) => match run.attach(&attempt).await {
+        Start::Attached(attempt) => match relay.attach(&attempt).await {
             Step::Stop => return,
-            Step::Again => None,
+            Step::Retry => None,
         },
         Start::Claimed(attempt) => {
-            run.claimed = Some(attempt);
+            relay.claimed_attempt = Some(attempt);
             None
         }
-        Start::Anew => None,
+        Start::Fresh => None,
     };
     loop {
         let (grant, name) = match granted.take() {
             Some(granted) => granted,
-            None => match run.next_grant().await {
+            None => match relay.next_grant().await {
                 Some(grant) => {
-                    let name = run.claimed.clone().unwrap_or_else(|| Uuid::new_v4().to_string());
+                    let name =
+                        relay.claimed_attempt.clone().unwrap_or_else(|| Uuid::new_v4().to_string());
                     (grant, name)
                 }
                 None => return,
             },
         };
-        if matches!(run.attempt(grant, name).await, Step::Stop) {
+        if matches!(relay.attempt(grant, name).await, Step::Stop) {
             return;
         }
     }
 }
 
-impl Run {
+impl Relay {
     /// Makes one attempt with a grant, and decides how to go on.
     async fn attempt(&mut self, grant: Grant, name: String) -> Step {
         let attempt =
             Attempt { id: name, server: grant.server.clone(), address: grant.address.clone() };
-        if let Some(step) = self.leave_behind(&attempt, &grant).await {
+        if let Some(step) = self.complete_migration(&attempt, &grant).await {
             return step;
         }
         self.answer.set_attempt(attempt.clone());
@@ -107,7 +109,7 @@
         if self.node.is_leaving(&attempt.server) {
             grant::release(&self.node, &grant.id, UNUSED);
             self.avoid.push(attempt.server);
-            return Step::Again;
+            return Step::Retry;
         }
         let before = self.cursor.get_next();
         let priority = self.answer.request.class.priority;
@@ -141,12 +143,12 @@
             return end;
         }
         let mut fruitless = 0;
-        while matches!(end, End::Interrupted) && fruitless < ATTACHES {
+        while matches!(end, End::Interrupted) && fruitless < MAX_FRUITLESS_ATTACHES {
             let before = self.cursor.get_next();
             end = attempt::attach(&self.node, &self.answer, attempt, &mut self.cursor).await;
             if self.cursor.get_next() == before {
                 fruitless += 1;
-                runtime::sleep(ATTACH_PAUSE).await;
+                runtime::sleep(ATTACH_RETRY_INTERVAL).await;
             }
         }
         end
@@ -162,28 +164,29 @@
     }
 
     async fn decide(&mut self, end: End, attempt: Attempt) -> Step {
-        let standing = Conditions {
+        let conditions = Conditions {
             is_repeatable: self.answer.request.class.repeatable,
             is_leaving: self.node.is_leaving(&attempt.server),
         };
-        match keeljunction_core::attempt::decide_next(end, standing, || self.take_retry()) {
+        match keeljunction_core::attempt::decide_next(end, conditions, || self.take_retry()) {
             Next::Done => Step::Stop,
             Next::KeepReading => Box::pin(self.attach(&attempt)).await,
             Next::FailOver => {
                 self.avoid.push(attempt.server);
-                Step::Again
+                Step::Retry
             }
             Next::Migrate(action) => {
                 self.node.metric.count("streams_moved", 1);
                 self.avoid = vec![attempt.server.clone()];
-                self.left = Some((attempt, action));
-                Step::Again
+                self.migrating = Some((attempt, action));
+                Step::Retry
             }
             Next::GiveUp(reason) => {
                 if reason == Reason::DeadlineExceeded {
                     self.cancel(&attempt).await;
                 }
-                let retry_after = if reason.is_transient() { NO_RETRY_MS } else { 0 };
+                let retry_after =
+                    if reason.is_transient() { NO_RETRY_BUDGET_RETRY_AFTER_MS } else { 0 };
                 self.give_up(reason.as_str(), reason.get_status(), retry_after)
             }
         }
@@ -196,24 +199,25 @@
     /// Asks for another server until the deadline, most urgently: the request is accepted.
     async fn next_grant(&mut self) -> Option<Grant> {
         loop {
-            let left = self.answer.request.deadline.saturating_sub(self.node.now());
-            let options = GrantOptions { wait: left, priority: 0, avoid: &self.avoid };
+            let remaining = self.answer.request.deadline.saturating_sub(self.node.now());
+            let options = GrantOptions { wait: remaining, priority: 0, avoid: &self.avoid };
             let refusal = match grant::acquire(&self.node, &self.answer.request, options).await {
                 Ok(grant) => return Some(grant),
                 Err(refusal) => refusal,
             };
-            if self.is_hopeless(&refusal) {
+            if self.is_past_deadline(&refusal) {
                 self.give_up("no backend server had room in time", 503, refusal.retry_after);
                 return None;
             }
-            let pause = refusal.retry_after.min(LONGEST_PAUSE_MS);
-            runtime::sleep(Duration::from_millis(pause)).await;
+            let interval = refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS);
+            runtime::sleep(Duration::from_millis(interval)).await;
         }
     }
 
     /// Returns `true` if the next room comes only after the deadline; then the end comes at once.
-    fn is_hopeless(&self, refusal: &Refusal) -> bool {
-        self.node.now() + refusal.retry_after.min(LONGEST_PAUSE_MS) >= self.answer.request.deadline
+    fn is_past_deadline(&self, refusal: &Refusal) -> bool {
+        self.node.now() + refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS)
+            >= self.answer.request.deadline
     }
 
     /// Leaves the attempt that was steered off its server: the next engine fetches its KV cache
@@ -221,22 +225,23 @@
     ///
     /// Only when an unrepeatable request's attempt is surely cancelled may it go on elsewhere;
     /// else it is followed where it is.
-    async fn leave_behind(&mut self, next: &Attempt, grant: &Grant) -> Option<Step> {
-        let (left, action) = self.left.take()?;
+    async fn complete_migration(&mut self, next: &Attempt, grant: &Grant) -> Option<Step> {
+        let (previous, action) = self.migrating.take()?;
         if action == Action::Move {
-            self.fetch_cache(&left, next).await;
+            self.fetch_cache(&previous, next).await;
         }
-        let is_cancelled = self.cancel(&left).await;
+        let is_cancelled = self.cancel(&previous).await;
         if is_cancelled || self.answer.request.class.repeatable {
             return None;
         }
         grant::release(&self.node, &grant.id, UNUSED);
-        Some(Box::pin(self.attach(&left)).await)
+        Some(Box::pin(self.attach(&previous)).await)
     }
 
-    async fn fetch_cache(&self, left: &Attempt, next: &Attempt) {
+    async fn fetch_cache(&self, previous: &Attempt, next: &Attempt) {
         let Ok(address) = next.address.parse() else { return };
-        let imported = attempt::engine(&self.node, address).import(&left.address, &left.id).await;
+        let imported =
+            attempt::engine(&self.node, address).import(&previous.address, &previous.id).await;
         let name = if imported.is_ok() { "caches_moved" } else { "caches_lost" };
         self.node.metric.count(name, 1);
     }
@@ -253,8 +258,8 @@
         let ended = match keeljunction_core::attempt::decide_outcome(self.answer.is_sent()) {
             Outcome::Done | Outcome::Unknown => unknown(status, why, retry_after),
             Outcome::NotRun => {
-                if let Some(claimed) = &self.claimed {
-                    claims::release(&self.node, &self.answer.request, claimed);
+                if let Some(claimed_attempt) = &self.claimed_attempt {
+                    claims::release(&self.node, &self.answer.request, claimed_attempt);
                 }
                 not_run(503, why, retry_after)
             }
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -19,11 +19,11 @@
 use crate::settings::Settings;
 
 /// Time for responses in flight to be written out at the very end.
-const WRITE_OUT: Duration = Duration::from_secs(10);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after the last answer in which answers still carry `Connection: close`: one
 /// that has just read its answer may be about to ask again on the same connection.
-const LINGER: Duration = Duration::from_millis(250);
-const LOOK: Duration = Duration::from_millis(10);
+const FINAL_GRACE_PERIOD: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Where a node listens, as it says on standard output once it does.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -47,42 +47,45 @@
         Limits { head_bytes: settings.limits.head_bytes, connections: settings.limits.connections };
     let stop = StopSignal::new();
     let bound = Server::bind(listen.caller, limits, stop.clone()).await;
-    let callers = bound.map_err(|error| busy("listen.caller", listen.caller, &error))?;
+    let callers = bound.map_err(|error| listen_error("listen.caller", listen.caller, &error))?;
     let bound = Server::bind(listen.operator, limits, StopSignal::new()).await;
-    let operators = bound.map_err(|error| busy("listen.operator", listen.operator, &error))?;
+    let operators =
+        bound.map_err(|error| listen_error("listen.operator", listen.operator, &error))?;
     let bound = Listener::bind(listen.peer, &settings.peer_credential).await;
-    let peers = bound.map_err(|error| busy("listen.peer", listen.peer, &error))?;
-    let at = listening(&callers, &peers, &operators)
-        .map_err(|error| busy("listen", listen.caller, &error))?;
-    let node = Node::new(settings, at.peer.to_string());
-    start_loops(&node);
+    let peers = bound.map_err(|error| listen_error("listen.peer", listen.peer, &error))?;
+    let listening = get_addresses(&callers, &peers, &operators)
+        .map_err(|error| listen_error("listen", listen.caller, &error))?;
+    let node = Node::new(settings, listening.peer.to_string());
+    spawn_tasks(&node);
     runtime::spawn(peers.serve(Service::new(node.clone())));
-    let open = callers.get_connection_count();
-    let (answering, operating) = (node.clone(), node.clone());
-    runtime::spawn(callers.serve(move |request| caller::answer(answering.clone(), request)));
-    runtime::spawn(operators.serve(move |request| caller::operator(operating.clone(), request)));
-    println!("{}", serde_json::to_string(&at).unwrap_or_default());
-    log::info!("node {} listens: {at:?}", node.get_name());
+    let connections = callers.get_connection_count();
+    let (caller_node, operator_node) = (node.clone(), node.clone());
+    runtime::spawn(callers.serve(move |request| caller::answer(caller_node.clone(), request)));
+    runtime::spawn(
+        operators.serve(move |request| caller::operator(operator_node.clone(), request)),
+    );
+    println!("{}", serde_json::to_string(&listening).unwrap_or_default());
+    log::info!("node {} listens: {listening:?}", node.get_name());
     runtime::spawn(wait_for_signal(node.clone()));
     node.stopped.wait().await;
-    runtime::sleep(LINGER).await;
+    runtime::sleep(FINAL_GRACE_PERIOD).await;
     stop.send();
-    let waited = runtime::timeout(WRITE_OUT, async {
-        while open.get() > 0 {
-            runtime::sleep(LOOK).await;
+    let flushed = runtime::timeout(FLUSH_TIMEOUT, async {
+        while connections.get() > 0 {
+            runtime::sleep(POLL_INTERVAL).await;
         }
     });
-    if waited.await.is_none() {
-        log::warn!("{} connections were still open at the end", open.get());
+    if flushed.await.is_none() {
+        log::warn!("{} connections were still open at the end", connections.get());
     }
     log::info!("node {} has stopped", node.get_name());
     Ok(())
 }
 
-fn start_loops(node: &Arc<Node>) {
+fn spawn_tasks(node: &Arc<Node>) {
     runtime::spawn(adoption::watch(node.clone()));
-    runtime::spawn(watch::vms(node.clone()));
-    runtime::spawn(watch::loads(node.clone()));
+    runtime::spawn(watch::run_vms(node.clone()));
+    runtime::spawn(watch::run_loads(node.clone()));
     runtime::spawn(gossip::run(node.clone()));
     runtime::spawn(gossip::run_urgent(node.clone()));
     runtime::spawn(settlement::run(node.clone()));
@@ -103,7 +106,7 @@
     }
 }
 
-fn listening(callers: &Server, peers: &Listener, operators: &Server) -> io::Result<Listening> {
+fn get_addresses(callers: &Server, peers: &Listener, operators: &Server) -> io::Result<Listening> {
     Ok(Listening {
         caller: callers.get_address()?,
         peer: peers.get_address()?,
@@ -111,7 +114,7 @@
     })
 }
 
-fn busy(key: &str, address: SocketAddr, error: &io::Error) -> Error {
+fn listen_error(key: &str, address: SocketAddr, error: &io::Error) -> Error {
     Error::new(ErrorKind::Unavailable, format!("cannot listen: {error}"))
         .key(key)
         .value(address.to_string())
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -203,12 +203,12 @@
     /// Returns `true` if it is this node's turn to read something of the platform that all nodes want.
     ///
     /// A few nodes read it each time, the others far more seldom: they hear of it from their peers.
-    pub fn is_read_due(&self, what: &str, turn: u64) -> bool {
+    pub fn is_read_due(&self, what: &str, round: u64) -> bool {
         let nodes = self.usable_nodes();
         let order = rendezvous::rank(what, nodes.iter().map(|(name, _)| name.as_str()));
         let is_full_rate_reader =
             order.iter().take(FULL_RATE_READERS).any(|name| *name == self.get_name());
-        is_full_rate_reader || turn.is_multiple_of(REDUCED_RATE_DIVISOR)
+        is_full_rate_reader || round.is_multiple_of(REDUCED_RATE_DIVISOR)
     }
 
     /// Returns where a node is reached by its peers.
--- a/crates/keeljunction/src/node/stop.rs
+++ b/crates/keeljunction/src/node/stop.rs
@@ -11,38 +11,38 @@
 use crate::runtime;
 
 /// Time kept at the end for handing requests over.
-const HANDOVER: Duration = Duration::from_millis(500);
-const LOOK: Duration = Duration::from_millis(20);
+const HANDOVER_RESERVE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Begins to stop, within a time; a second call changes nothing.
-pub fn begin(node: &Arc<Node>, within: Duration) {
+pub fn begin(node: &Arc<Node>, time_limit: Duration) {
     if !node.set_stopping() {
         return;
     }
-    log::info!("stopping within {} ms", within.as_millis());
+    log::info!("stopping within {} ms", time_limit.as_millis());
     let node = node.clone();
     runtime::spawn(async move {
-        run(&node, within).await;
+        run(&node, time_limit).await;
         node.stopped.send();
     });
 }
 
-async fn run(node: &Arc<Node>, within: Duration) {
+async fn run(node: &Arc<Node>, time_limit: Duration) {
     let started = node.now();
     runtime::lock(&node.members).leave();
     node.notify_peers();
     unfinished(node).iter().for_each(|answer| answer.expedite_replication());
-    let grace = Duration::from_millis(node.settings.times.stop_grace_ms).min(within / 4);
+    let grace = Duration::from_millis(node.settings.times.stop_grace_ms).min(time_limit / 4);
     runtime::sleep(grace).await;
     node.close();
-    let until = started + within.saturating_sub(HANDOVER).as_millis() as u64;
-    while node.now() < until && !unfinished(node).is_empty() {
-        runtime::sleep(LOOK).await;
+    let handover_at = started + time_limit.saturating_sub(HANDOVER_RESERVE).as_millis() as u64;
+    while node.now() < handover_at && !unfinished(node).is_empty() {
+        runtime::sleep(POLL_INTERVAL).await;
     }
     for answer in unfinished(node) {
-        let is_taken = copy::hand_over(node, &answer).await;
+        let is_handed_over = copy::hand_over(node, &answer).await;
         node.metric.count("requests_handed_over", 1);
-        log::info!("handed over {}: {is_taken}", answer.request.key);
+        log::info!("handed over {}: {is_handed_over}", answer.request.key);
     }
 }
 
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -90,7 +90,7 @@
     };
     match takeover::choose_strategy(facts, request.needs_claim(), claim) {
         takeover::Strategy::Attach => running.map(Start::Attached),
-        takeover::Strategy::Rerun => Some(Start::Anew),
+        takeover::Strategy::Rerun => Some(Start::Fresh),
         takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
         takeover::Strategy::Recorded(recorded) => finish(node, answer, ending::recorded(&recorded)),
         takeover::Strategy::NotRun => {
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -16,25 +16,25 @@
 use crate::runtime;
 
 /// A VM that is listed as leaving without a notice is taken to be gone after this time.
-const UNNOTICED_MS: u64 = 30_000;
+const ASSUMED_NOTICE_MS: u64 = 30_000;
 /// The key whose succession list says who reads the VM list and the notices.
-const VMS_KEY: &str = "vms";
+const WATCH_KEY: &str = "vms";
 
 /// Reads the VM list and the notices for as long as the process lives.
-pub async fn vms(node: Arc<Node>) {
-    let mut turn: u64 = 0;
+pub async fn run_vms(node: Arc<Node>) {
+    let mut round: u64 = 0;
     loop {
-        if node.is_read_due(VMS_KEY, turn) {
+        if node.is_read_due(WATCH_KEY, round) {
             read_vms(&node).await;
         }
-        turn += 1;
+        round += 1;
         runtime::sleep(Duration::from_millis(node.settings.times.vm_poll_ms)).await;
     }
 }
 
 async fn read_vms(node: &Arc<Node>) {
     match node.platform.vms().await {
-        Ok(vms) => take_vms(node, vms),
+        Ok(vms) => apply_vms(node, vms),
         Err(fault) => log::debug!("the VM list was not read: {fault}"),
     }
     match node.platform.notices().await {
@@ -49,7 +49,7 @@
 }
 
 /// Reads the load of the servers of this node's queues for as long as the process lives.
-pub async fn loads(node: Arc<Node>) {
+pub async fn run_loads(node: Arc<Node>) {
     loop {
         for shards in [&node.grants.owned, &node.grants.fallback] {
             let shards: Vec<(ShardKey, Arc<Shard>)> =
@@ -62,13 +62,13 @@
     }
 }
 
-fn take_vms(node: &Arc<Node>, vms: Vec<Vm>) {
+fn apply_vms(node: &Arc<Node>, vms: Vec<Vm>) {
     let now = node.now();
     let mut leaving = Vec::new();
     let mut servers = Vec::new();
     for vm in vms {
         match vm.role {
-            Role::Entry => seed(node, now, vm),
+            Role::Entry => add_seed(node, now, vm),
             Role::Server(service) => {
                 if vm.state == VmState::Leaving {
                     leaving.push(vm.name.clone());
@@ -80,12 +80,12 @@
     }
     runtime::lock(&node.directory).set_servers(now, servers.into_iter());
     for server in leaving {
-        departure::apply(node, &Departure { server, gone_at: now + UNNOTICED_MS });
+        departure::apply(node, &Departure { server, gone_at: now + ASSUMED_NOTICE_MS });
     }
     grant::sync_all(node);
 }
 
-fn seed(node: &Node, now: u64, vm: Vm) {
+fn add_seed(node: &Node, now: u64, vm: Vm) {
     if vm.state == VmState::Leaving {
         return;
     }
@@ -103,8 +103,8 @@
     let active = node.get_active_bundle();
     let kind = active.and_then(|active| Some(active.document.get_service(&key.0)?.kind));
     let servers = shard.with(|queue, _| {
-        let staying = queue.get_servers().iter().filter(|server| !server.is_leaving);
-        staying.map(|s| (s.name.clone(), s.address.clone())).collect::<Vec<_>>()
+        let remaining = queue.get_servers().iter().filter(|server| !server.is_leaving);
+        remaining.map(|s| (s.name.clone(), s.address.clone())).collect::<Vec<_>>()
     });
     for (name, address) in servers {
         let Ok(address) = address.parse::<SocketAddr>() else { continue };
@@ -134,10 +134,10 @@
     let Ok(events) = engine.events(shard.get_next_event(server)).await else { return };
     for event in events.events {
         shard.set_next_event(server, event.number + 1);
-        let is_gapless = shard.with(|queue, _| {
+        let is_contiguous = shard.with(|queue, _| {
             queue.apply_cache_event(server, event.number, &event.stored, &event.evicted)
         });
-        if !is_gapless {
+        if !is_contiguous {
             node.metric.count("cache_event_gaps", 1);
         }
     }
