--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -1,7 +1,7 @@
-//! Takes a request, or refuses it at once.
+//! Admission of requests.
 //!
-//! A request is accepted once it has a grant, a copy of its record at a peer, and, where it must
-//! not be repeated, a claim. Whatever is missing, it is refused with when to come back.
+//! A request is accepted once it has a grant, a copy of its record at a peer, and a claim if it
+//! must not be repeated. Without any of these it is rejected at once, with a retry delay.
 
 use std::sync::Arc;
 
@@ -16,23 +16,25 @@
 use crate::peer::wire::Final;
 use crate::runtime;
 
-/// When to come back where all seats are taken, in milliseconds.
+/// Retry delay sent when an in-flight limit is reached.
 const SATURATED_RETRY_AFTER_MS: u64 = 500;
-/// When to come back where neither a peer nor the platform answers, in milliseconds.
+/// Retry delay sent when neither a peer nor the platform responds.
 const OUTAGE_RETRY_AFTER_MS: u64 = 1_000;
 
-/// How a caller names its request.
+/// Where the key of a request comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeySource {
-    /// The key came with the request, so the request may be known somewhere.
+    /// The client sent the key, so a node may already know the request.
     Client,
-    /// The key was drawn for it.
+    /// This node generated the key.
     Generated,
-    /// The caller comes back for the rest of an answer.
+    /// The client reconnects for the rest of an answer.
     Resumption,
 }
 
-/// Takes a request in, or finds the answer that it has. The answer may end at once as a refusal.
+/// Accepts a request, or returns the answer of an earlier request with the same key.
+///
+/// A rejected request is returned as an answer that has already ended.
 pub fn accept(node: &Arc<Node>, request: Request, key_source: KeySource) -> Arc<Answer> {
     let id = request.get_id();
     let answer = {
@@ -61,11 +63,11 @@
 }
 
 fn key_reused() -> Final {
-    not_run(422, "the key was used for another request", 0)
+    not_run(422, "the key was already used for a different request", 0)
 }
 
 async fn admit(node: Arc<Node>, answer: Arc<Answer>, key_source: KeySource) {
-    // The claim of an unrepeatable request names who has it; others are looked for.
+    // A request that needs a claim finds its runner in the claim row; any other is searched for.
     let is_search_needed = key_source == KeySource::Client && !answer.request.needs_claim();
     if (is_search_needed || key_source == KeySource::Resumption)
         && find::follow_known(&node, &answer).await
@@ -73,7 +75,7 @@
         return;
     }
     if key_source == KeySource::Resumption {
-        let lost = unknown(409, "no node knows this answer; ask again without Last-Event-ID", 0);
+        let lost = unknown(409, "no node has this answer; retry without Last-Event-ID", 0);
         return ending::refuse(&node, &answer, lost);
     }
     let Some(permit) = node.try_acquire_permit(&answer.request.account) else {
@@ -98,15 +100,16 @@
     drop(permit);
 }
 
-/// What becomes of a request that is not run here.
+/// Why a request does not run on this node.
 enum NotRunHere {
-    /// It ends at once.
+    /// The request ends at once with this result.
     End(Final),
-    /// Another node has its claim.
+    /// The named node holds its claim.
     RunsAt(String),
 }
 
-/// Follows the node that has the claim of an unrepeatable request, where it answers for it.
+/// Follows the node that holds the claim of a request that must not be repeated, if that node
+/// confirms it.
 async fn follow_runner(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) {
     if !find::follow_runner(node, answer, runner).await && !find::follow_known(node, answer).await {
         ending::refuse(node, answer, already_sent());
@@ -114,10 +117,10 @@
 }
 
 fn already_sent() -> Final {
-    unknown(409, "the request was sent before and its answer is not known", OUTAGE_RETRY_AFTER_MS)
+    unknown(409, "the request was already sent and its result is unknown", OUTAGE_RETRY_AFTER_MS)
 }
 
-/// Gets all that an accepted request needs.
+/// Obtains the grant, the copy of the record and the claim that an accepted request needs.
 async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, NotRunHere> {
     let request = &answer.request;
     node.count_first_attempt(&request.service.name);
@@ -127,12 +130,13 @@
         avoid: &[],
     };
     let granted = grant::acquire(node, request, options).await;
-    let no_capacity = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
+    let no_capacity = |r: Refusal| not_run(503, "no backend server has capacity", r.retry_after);
     let grant = granted.map_err(|refusal| NotRunHere::End(no_capacity(refusal)))?;
     let location = if request.is_safe() { None } else { Some(copy::create(node, answer).await) };
     if location == Some(None) {
         release_grant(node, &grant);
-        let ended = not_run(503, "the request's record could not be copied", OUTAGE_RETRY_AFTER_MS);
+        let ended =
+            not_run(503, "the request record could not be replicated", OUTAGE_RETRY_AFTER_MS);
         return Err(NotRunHere::End(ended));
     }
     let location = location.flatten();
@@ -152,7 +156,11 @@
     Ok(Start::Granted(grant, attempt))
 }
 
-/// Claims a request that must not be repeated, or says what its caller gets instead.
+/// Claims a request that must not be repeated.
+///
+/// # Errors
+///
+/// Returns why the request does not run on this node.
 async fn claim_request(node: &Arc<Node>, answer: &Answer, attempt: &str) -> Result<(), NotRunHere> {
     match claims::claim(node, &answer.request, attempt).await {
         Ok(Verdict::HeldByOther(runner)) => Err(NotRunHere::RunsAt(runner)),
@@ -166,12 +174,13 @@
     }
 }
 
-/// Turns the verdict over a claim into leave to run, or into what the caller gets instead.
+/// Converts the verdict on a claim: `Ok` if the request may run, otherwise the result for the
+/// client.
 fn resolve_verdict(verdict: Verdict) -> Result<(), Final> {
     match verdict {
         Verdict::Run => Ok(()),
         Verdict::Recorded(answer) => Err(ending::recorded(&answer)),
-        Verdict::Released => Err(not_run(503, "the request was given up before it was sent", 0)),
+        Verdict::Released => Err(not_run(503, "the request was abandoned before it was sent", 0)),
         Verdict::HeldByOther(_) | Verdict::Available => Err(already_sent()),
         Verdict::Mismatch => Err(key_reused()),
     }
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of requests that must not be repeated, several in one transaction.
+//! Claims on requests that must not be repeated, written in batched transactions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,17 +11,15 @@
 use crate::platform::{self, Commit, Fault, Transaction};
 use crate::runtime;
 
-/// Claims in one transaction at most.
 const MAX_BATCH_CLAIMS: usize = 64;
-/// How long the first claim of a batch waits for others.
+/// Time that the first claim of a batch waits for others.
 const BATCH_DELAY: Duration = Duration::from_millis(3);
-/// Claims that may wait to be written.
 const QUEUE_CAPACITY: usize = 4_096;
-/// How often and with what pause a row is written that nobody waits for.
+/// Attempts to write the final state of a claim in the background, where no client waits for it.
 const MAX_SETTLE_ATTEMPTS: u32 = 60;
 const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Claims that wait to be written.
+/// The queue of claims that are waiting to be written.
 pub struct Claims {
     sender: Sender<Pending>,
     receiver: Receiver<Pending>,
@@ -34,7 +32,7 @@
 }
 
 impl Claims {
-    /// Makes an empty queue of claims.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
         Self { sender, receiver }
@@ -51,19 +49,20 @@
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] where it is not certain that the claim stands; nothing may be sent then.
+/// Returns a [`Fault`] if it is not certain that the claim was written. The request must not be
+/// sent then.
 pub async fn claim(node: &Node, request: &Request, attempt: &str) -> Result<Verdict, Fault> {
     let row = make_row(node, request, attempt);
     let (reply, replied) = async_channel::bounded(1);
     let pending = Pending { key: claim::row_key(&request.account, &request.key), row, reply };
     if node.claims.sender.try_send(pending).is_err() {
-        return Err(Fault::NotSent("too many claims wait".to_owned()));
+        return Err(Fault::NotSent("the claim queue is full".to_owned()));
     }
     let dropped = |_| Err(Fault::NotSent("the claim was dropped".to_owned()));
     replied.recv().await.unwrap_or_else(dropped)
 }
 
-/// Writes claims for as long as the process lives.
+/// Writes queued claims in batches. Never returns.
 pub async fn run(node: Arc<Node>) {
     while let Ok(first) = node.claims.receiver.recv().await {
         runtime::sleep(BATCH_DELAY).await;
@@ -77,13 +76,13 @@
     }
 }
 
-/// Adds the answer to a claim in the background.
+/// Records the answer in a claim, in the background.
 pub fn record(node: &Arc<Node>, request: &Request, attempt: &str, answer: Answer) {
     let row = Row { answer: Some(answer), ..make_row(node, request, attempt) };
     settle(node, claim::row_key(&request.account, &request.key), row);
 }
 
-/// Releases a claim in the background whose attempt was never sent and never will be.
+/// Releases a claim whose attempt was not and will not be sent, in the background.
 pub fn release(node: &Arc<Node>, request: &Request, attempt: &str) {
     let row = Row { released: true, ..make_row(node, request, attempt) };
     settle(node, claim::row_key(&request.account, &request.key), row);
@@ -121,7 +120,7 @@
                 read_back(
                     node,
                     conflicting,
-                    &Fault::Unknown("a conflicting row vanished".to_owned()),
+                    &Fault::Unknown("a conflicting row disappeared".to_owned()),
                 )
                 .await;
                 batch = rest;
@@ -145,7 +144,8 @@
     })
 }
 
-/// Decides by the rows that stand. A row that is not there leaves the request unclaimed.
+/// Reads the rows of a batch and decides each claim by them. Without a row the request is
+/// unclaimed.
 async fn read_back(node: &Node, batch: Vec<Pending>, fault: &Fault) {
     node.metric.count("claims_read_back", batch.len() as u64);
     let keys = batch.iter().map(|pending| pending.key.clone()).collect();
@@ -169,7 +169,7 @@
     }
 }
 
-/// Takes a released claim over; whoever replaces the row first has it.
+/// Takes over a released claim. The node that replaces the row first holds the claim.
 async fn replace(node: &Node, current: &platform::Row, new_row: &Row) -> Result<Verdict, Fault> {
     let value = serde_json::to_string(new_row).unwrap_or_default();
     let transaction =
@@ -186,7 +186,7 @@
     }
 }
 
-/// Writes the last state of a claim of this attempt's own, until that has worked.
+/// Writes the final state of a claim held by this attempt, with retries.
 fn settle(node: &Arc<Node>, key: String, final_row: Row) {
     let node = node.clone();
     runtime::spawn(async move {
@@ -197,11 +197,13 @@
             runtime::sleep(SETTLE_RETRY_INTERVAL).await;
         }
         node.metric.count("claims_unsettled", 1);
-        log::error!("the claim {key} could not be settled");
+        log::error!("could not write the final state of claim {key}");
     });
 }
 
-/// An absent row is written too, so that an insert whose answer was lost cannot arrive later.
+/// Tries once to write the final state of a claim.
+///
+/// A missing row is written too, so that an insert whose response was lost cannot succeed later.
 async fn try_settle(node: &Node, key: &str, final_row: &Row) -> bool {
     let Ok(row) = node.platform.read(key).await else { return false };
     let current: Option<Row> = row.as_ref().and_then(|row| serde_json::from_str(&row.value).ok());
--- a/crates/keeljunction/src/node/ending.rs
+++ b/crates/keeljunction/src/node/ending.rs
@@ -1,4 +1,4 @@
-//! Ends answers: a final one is recorded with its claim, and a refused request is forgotten.
+//! Ends answers: a completed one is recorded with its claim, and a rejected request is removed.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::peer::wire::Final;
 use crate::runtime;
 
-/// Ends a model answer whose tokens are all there.
+/// Ends a model answer that has all its tokens.
 pub fn finish_model(node: &Arc<Node>, answer: &Answer, attempt: &Attempt) {
     node.metric.count("requests_done", 1);
     answer.finish(node.now(), done(200, "text/event-stream", Vec::new()));
@@ -23,7 +23,7 @@
     record_claim(node, answer, attempt);
 }
 
-/// Records an answer with its claim, so that a caller who asks again gets it.
+/// Records an answer with its claim, so that a repeated request gets the same answer.
 fn record_claim(node: &Arc<Node>, answer: &Answer, attempt: &str) {
     if !answer.request.needs_claim() {
         return;
@@ -40,14 +40,14 @@
     claims::record(node, &answer.request, attempt, recorded);
 }
 
-/// Refuses a request before anything was done for it.
+/// Rejects a request that has not been sent.
 pub fn refuse(node: &Arc<Node>, answer: &Answer, ended: Final) {
     node.metric.count("requests_refused", 1);
     runtime::lock(&node.answers).remove(&answer.request.get_id());
     answer.finish(node.now(), ended);
 }
 
-/// Reads the answer that was recorded with a claim.
+/// Returns the answer that was recorded with a claim.
 pub fn recorded(answer: &claim::Answer) -> Final {
     let body = hex::decode(&answer.body).unwrap_or_default();
     done(answer.status, &answer.media_type, body)
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -1,4 +1,4 @@
-//! Finds the answer of a caller that comes back.
+//! Finds the answer of a client that reconnects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,37 +13,38 @@
 use crate::peer::wire;
 use crate::runtime;
 
-/// Nodes of the succession list that are queried.
 const MAX_QUERIED_NODES: usize = 4;
-/// Time for one answer. It delays requests that came with a key while a node sleeps unnoticed.
+/// Timeout of one query. While a suspended node is undetected, requests with a client key wait this
+/// long.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// How often the answer is looked for again when the node that held it is gone.
+/// Searches for the answer after the node that had it is gone.
 const MAX_SEARCHES: u32 = 20;
-/// How often the node that has a claim is queried, until it confirms that it runs the request.
+/// Queries to the node that holds a claim, until it confirms that it runs the request.
 const MAX_RUNNER_QUERIES: u32 = 4;
 const RUNNER_QUERY_INTERVAL: Duration = Duration::from_millis(50);
 const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of a request somewhere else.
+/// The result of a search for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// A node runs it or has its answer; the address is for peers.
+    /// Another node runs it or has its answer. Contains the peer address of that node.
     Remote(String),
     /// This node has taken it over.
     Local,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// None of the queried nodes knows it.
+    /// No queried node knows it.
     NotFound,
 }
 
-/// Lets an answer follow one that is known elsewhere; returns `true` if there is one.
+/// Searches for the request and follows its answer. Returns `false` if no node knows the request.
 pub async fn follow_known(node: &Arc<Node>, answer: &Arc<Answer>) -> bool {
     match search(node, answer).await {
         Found::NotFound => false,
         Found::Local => true,
         Found::Mismatch => {
-            let ended = super::answer::not_run(422, "the key was used for another request", 0);
+            let ended =
+                super::answer::not_run(422, "the key was already used for a different request", 0);
             ending::refuse(node, answer, ended);
             true
         }
@@ -55,7 +56,7 @@
     }
 }
 
-/// Lets an answer follow the named node, if that soon answers for the request.
+/// Follows the answer at the named node. Returns `false` if that node does not confirm the request.
 pub async fn follow_runner(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) -> bool {
     for _ in 0..MAX_RUNNER_QUERIES {
         if let Some(address) = ask_owner(node, answer, runner).await {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Looks for the record in the object store, where there is no peer to ask.
+/// Searches for the record in the object store. Used if there is no peer to query.
 async fn search_store(node: &Arc<Node>, answer: &Arc<Answer>) -> Found {
     let Some(record) = copy::read_stored(node, &answer.request).await else {
         return Found::NotFound;
@@ -103,7 +104,7 @@
     Found::Local
 }
 
-/// Asks all peers at once; the first in the list that knows the request counts.
+/// Queries all peers concurrently. The first one in the list that knows the request decides.
 async fn search_peers(node: &Arc<Node>, answer: &Arc<Answer>, peers: &[String]) -> Found {
     let addresses: Vec<String> =
         peers.iter().filter_map(|name| node.get_peer_address(name)).collect();
@@ -137,7 +138,7 @@
     Found::NotFound
 }
 
-/// Returns the address of the owner, if it still answers for the request.
+/// Returns the address of the owner if it still runs the request or has its answer.
 async fn ask_owner(node: &Node, answer: &Answer, owner: &str) -> Option<String> {
     if owner == node.get_name() {
         return None;
@@ -165,7 +166,7 @@
     order.into_iter().take(MAX_QUERIED_NODES).map(str::to_owned).collect()
 }
 
-/// Follows an answer at another node, and finds it again where that node goes.
+/// Follows an answer at another node, and searches for it again if that node is lost.
 async fn mirror(node: &Arc<Node>, answer: &Arc<Answer>, address: String) {
     let mut address = address;
     for _ in 0..MAX_SEARCHES {
@@ -179,11 +180,11 @@
             Found::Mismatch | Found::NotFound => {}
         }
     }
-    let lost = super::answer::unknown(502, "the node that had the answer is gone", 0);
+    let lost = super::answer::unknown(502, "the node that had the answer is lost", 0);
     answer.finish(node.now(), lost);
 }
 
-/// Reads an answer from another node; returns true once it has ended.
+/// Reads an answer from another node. Returns `true` if it was read to its end.
 async fn follow(node: &Node, answer: &Answer, address: &str) -> bool {
     let (account, key) = answer.request.get_id();
     let message = wire::FollowRequest { account, key, from_offset: answer.get_length() };
--- a/crates/keeljunction/src/node/request.rs
+++ b/crates/keeljunction/src/node/request.rs
@@ -1,4 +1,4 @@
-//! A request that was authenticated and checked.
+//! Requests.
 
 use bytes::Bytes;
 use keeljunction_core::Millis;
@@ -7,17 +7,17 @@
 
 use crate::peer::wire;
 
-/// Tokens that an answer is taken to have where the caller does not say.
+/// Estimated tokens of an answer if the client sets no limit.
 const DEFAULT_OUTPUT_TOKENS: u64 = 128;
 
-/// What a model request asks, as far as routing needs it.
+/// The parts of a model request that routing needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub tokens: u64,
-    /// Hashes of its blocks.
+    /// The hashes of the prompt blocks.
     pub prefix: Vec<u64>,
-    /// Tokens that may be generated at most.
+    /// The maximum number of generated tokens.
     pub output_tokens: u64,
 }
 
@@ -40,69 +40,69 @@
     }
 }
 
-/// A request that was authenticated and checked.
+/// An authenticated and validated request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The client account.
     pub account: String,
     /// The group that the account belongs to.
     pub group: String,
-    /// The request key, which belongs to the account.
+    /// The request key, which is unique per account.
     pub key: String,
-    /// A random name of this try of the caller.
+    /// A random ID of this submission by the client.
     pub instance: String,
-    /// The service as it stood in the bundle then.
+    /// The service, as configured when the request was accepted.
     pub service: Service,
-    /// The class as it stood in the bundle then.
+    /// The request class, as configured when the request was accepted.
     pub class: Class,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
     /// The path on the backend server.
     pub path: String,
-    /// Headers to pass on to a plain service.
+    /// The headers to forward to a plain service.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
     /// The SHA-256 digest of method, path and body, in hex.
     pub digest: String,
-    /// Whether the caller wants a stream.
+    /// Whether the client requested a stream.
     pub stream: bool,
-    /// When the answer is of no more use, on this node's clock.
+    /// The deadline, on this node's clock.
     pub deadline: Millis,
-    /// What routing needs of a model request.
+    /// The parts of a model request that routing needs.
     pub prompt: Prompt,
 }
 
-/// The name of a request among all accounts.
+/// The ID of a request: the account and the request key.
 pub type Id = (String, String);
 
 impl Request {
-    /// Returns the name of the request among all accounts.
+    /// Returns the ID of the request.
     pub fn get_id(&self) -> Id {
         (self.account.clone(), self.key.clone())
     }
 
-    /// Returns the key whose succession list gives the holders of the record.
+    /// Returns the key whose succession list contains the holders of the record.
     pub fn get_succession_key(&self) -> String {
         succession_key(&self.account, &self.key)
     }
 
-    /// Returns `true` if the request changes nothing and can simply be sent again.
+    /// Returns `true` if the request has no side effects and can be sent again.
     pub fn is_safe(&self) -> bool {
         self.class.repeatable && matches!(self.method.as_str(), "GET" | "HEAD" | "OPTIONS")
     }
 
-    /// Returns `true` if a claim must be had before it may be sent.
+    /// Returns `true` if the request must be claimed before it is sent.
     pub fn needs_claim(&self) -> bool {
         !self.class.repeatable && !self.service.deduplicates
     }
 
-    /// Returns `true` if it is for a model engine.
+    /// Returns `true` if the request is for a model engine.
     pub fn is_model(&self) -> bool {
         self.service.kind == Kind::Model
     }
 
-    /// Writes the request as a record for a peer.
+    /// Converts the request to a record for a peer.
     pub fn to_record(&self, now: Millis, owner: &str) -> wire::Record {
         let header = |(name, value): &(String, String)| wire::Header {
             name: name.clone(),
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Reads a request from a record, with the bundle now in force.
+    /// Converts a record to a request, using the active bundle.
     ///
-    /// Returns `None` where the bundle no longer knows its account, service or class.
+    /// Returns `None` if the bundle no longer contains its account, service or class.
     pub fn from_record(now: Millis, record: &wire::Record, bundle: &Document) -> Option<Self> {
         let group = bundle
             .groups
@@ -158,7 +158,7 @@
     }
 }
 
-/// Names the key whose succession list gives the holders of a request's record.
+/// Returns the key whose succession list contains the holders of a request's record.
 pub fn succession_key(account: &str, key: &str) -> String {
     format!("record/{account}/{key}")
 }
