--- a/crates/keeljunction/src/node/answer.rs
+++ b/crates/keeljunction/src/node/answer.rs
@@ -1,4 +1,4 @@
-//! An answer as it grows.
+//! The answer to a request while it is being generated.
 
 use std::sync::Mutex;
 
@@ -14,24 +14,24 @@
 /// An attempt to run a request on a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its name.
+    /// The ID of the attempt.
     pub id: String,
     /// The server's name.
     pub server: String,
-    /// Where the server is reached.
+    /// The address of the server.
     pub address: String,
 }
 
-/// What was added to an answer since an offset.
+/// The part of an answer after an offset.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
-    /// The tokens from the offset on.
+    /// The tokens from the offset onwards.
     pub tokens: Vec<String>,
-    /// How the request ended, once it has.
+    /// The result of the request, if it has ended.
     pub ended: Option<Final>,
 }
 
-/// The answer to one request. The relay adds to it, any number of readers follow it.
+/// The answer to one request. The relay appends to it and any number of readers follow it.
 pub struct Answer {
     /// The request.
     pub request: Request,
@@ -54,7 +54,7 @@
 }
 
 impl Answer {
-    /// Starts an answer without tokens.
+    /// Creates an answer without tokens.
     pub fn new(request: Request) -> Self {
         Self {
             request,
@@ -65,23 +65,23 @@
         }
     }
 
-    /// Notes that the request is accepted: it will be carried through.
+    /// Marks the request as accepted: the node will run it to its end.
     pub fn set_accepted(&self) {
         runtime::lock(&self.state).is_accepted = true;
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes that this node itself carries the request, and does not follow another that does.
+    /// Marks the request as run by this node, as opposed to followed at another node.
     pub fn set_own(&self) {
         runtime::lock(&self.state).is_own = true;
     }
 
-    /// Returns `true` if this node itself carries the request.
+    /// Returns `true` if this node runs the request itself.
     pub fn is_own(&self) -> bool {
         runtime::lock(&self.state).is_own
     }
 
-    /// Adds tokens.
+    /// Appends tokens.
     pub fn push(&self, tokens: impl IntoIterator<Item = String>) {
         let is_replication_expedited = {
             let mut state = runtime::lock(&self.state);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Ends the answer. Only the first end counts.
+    /// Ends the answer. Later calls have no effect on the result.
     pub fn finish(&self, now: Millis, ended: Final) {
         let mut state = runtime::lock(&self.state);
         if state.ended.is_none() {
@@ -106,13 +106,13 @@
         self.replication_due.notify(usize::MAX);
     }
 
-    /// Notes the attempt that runs now.
+    /// Sets the running attempt.
     pub fn set_attempt(&self, attempt: Attempt) {
         runtime::lock(&self.state).attempt = Some(attempt);
         self.replication_due.notify(usize::MAX);
     }
 
-    /// Notes that bytes of the request may have reached a backend server.
+    /// Records that bytes of the request may have reached a backend server.
     pub fn set_sent(&self) {
         runtime::lock(&self.state).is_sent = true;
     }
@@ -122,35 +122,36 @@
         runtime::lock(&self.state).is_sent
     }
 
-    /// Returns the attempt that runs now.
+    /// Returns the running attempt.
     pub fn get_attempt(&self) -> Option<Attempt> {
         runtime::lock(&self.state).attempt.clone()
     }
 
-    /// Returns how many tokens there are.
+    /// Returns the number of tokens.
     pub fn get_length(&self) -> u64 {
         runtime::lock(&self.state).tokens.len() as u64
     }
 
-    /// Returns when the answer ended.
+    /// Returns the time at which the answer ended.
     pub fn get_ended_at(&self) -> Option<Millis> {
         runtime::lock(&self.state).ended_at
     }
 
-    /// Returns what was added since an offset.
+    /// Returns the part of the answer after an offset.
     pub fn get_since(&self, offset: u64) -> Update {
         let state = runtime::lock(&self.state);
         let tokens = state.tokens.get(offset as usize..).unwrap_or_default().to_vec();
         Update { tokens, ended: state.ended.clone() }
     }
 
-    /// Returns `true` if the request has ended without its answer, so that asking again begins anew.
+    /// Returns `true` if the request ended without an answer. A repeated request then starts
+    /// afresh.
     pub fn is_failed(&self) -> bool {
         let state = runtime::lock(&self.state);
         state.ended.as_ref().is_some_and(|ended| ended.outcome != Outcome::Done.as_str())
     }
 
-    /// Waits until the request is accepted or has ended, and returns its end if it has.
+    /// Waits until the request is accepted or has ended, and returns its result if it has ended.
     pub async fn wait_accepted(&self) -> Option<Final> {
         loop {
             let changed = self.changed.listen();
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Waits until there is something beyond an offset, or the answer has ended.
+    /// Waits until there are tokens after an offset, or the answer has ended.
     pub async fn wait_beyond(&self, offset: u64) -> Update {
         loop {
             let changed = self.changed.listen();
@@ -176,14 +177,16 @@
         }
     }
 
-    /// Asks for the copy of this answer to be kept closely up to date from now on.
+    /// Replicates each new token at once from now on, instead of periodically.
     pub fn expedite_replication(&self) {
         runtime::lock(&self.state).is_replication_expedited = true;
         self.replication_due.notify(usize::MAX);
     }
 
-    /// Waits until its copy should be brought up to date at once: it has ended, another attempt
-    /// runs than the one that is known, or there are new tokens and it is pressed.
+    /// Waits until the copy must be updated at once.
+    ///
+    /// This is the case if the answer has ended, if the running attempt is not the replicated one,
+    /// or if there are new tokens and replication is expedited.
     pub async fn wait_replication_due(&self, length: u64, attempt: Option<&Attempt>) {
         loop {
             let replication_due = self.replication_due.listen();
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Waits for the end.
+    /// Waits until the answer has ended, and returns the result.
     pub async fn wait_ended(&self) -> Final {
         loop {
             let changed = self.changed.listen();
@@ -213,23 +216,23 @@
         }
     }
 
-    /// Asks the relay to take the stream off its server.
+    /// Asks the relay to drain the stream from its server.
     pub fn request_drain(&self, action: Action) {
         let _ = self.drain_requests.0.try_send(action);
     }
 
-    /// Waits until the stream must be taken off its server.
+    /// Waits until the stream must be drained from its server.
     pub async fn wait_drain_request(&self) -> Action {
         self.drain_requests.1.recv().await.unwrap_or(Action::Finish)
     }
 
-    /// Forgets steering that came too late.
+    /// Discards drain requests that came too late.
     pub fn clear_drain_requests(&self) {
         while self.drain_requests.1.try_recv().is_ok() {}
     }
 }
 
-/// Makes the end of a request that was answered whole.
+/// Returns the result of a request with a complete answer.
 pub fn done(status: u16, media_type: &str, body: Vec<u8>) -> Final {
     Final {
         outcome: Outcome::Done.as_str().to_owned(),
@@ -240,7 +243,7 @@
     }
 }
 
-/// Makes the end of a request that was refused or failed.
+/// Returns the result of a request that was rejected or failed.
 pub fn failed(outcome: Outcome, status: u16, detail: &str, retry_after_ms: Millis) -> Final {
     Final {
         outcome: outcome.as_str().to_owned(),
@@ -251,12 +254,12 @@
     }
 }
 
-/// Makes the end of a request that did not run.
+/// Returns the result of a request that did not run.
 pub fn not_run(status: u16, detail: &str, retry_after_ms: Millis) -> Final {
     failed(Outcome::NotRun, status, detail, retry_after_ms)
 }
 
-/// Makes the end of a request that may have run.
+/// Returns the result of a request that may have run.
 pub fn unknown(status: u16, detail: &str, retry_after_ms: Millis) -> Final {
     failed(Outcome::Unknown, status, detail, retry_after_ms)
 }
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -14,7 +14,7 @@
 use crate::http::SendError;
 use crate::runtime;
 
-/// Returns the engine at an address.
+/// Returns a client for the engine at an address.
 pub fn engine(node: &Node, address: SocketAddr) -> Engine<'_> {
     let timeout = Duration::from_millis(node.settings.limits.idle_ms);
     Engine { http: &node.http, address, timeout }
@@ -29,7 +29,9 @@
     cursor: &mut Cursor,
     grant: &str,
 ) -> End {
-    let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
+    let Ok(address) = attempt.address.parse() else {
+        return not_sent("the address is not IP:port");
+    };
     let request = &answer.request;
     let tokens = answer.get_since(0).tokens;
     let engine_request = EngineRequest {
@@ -55,7 +57,11 @@
             let status = response.status().as_u16();
             answer.finish(
                 node.now(),
-                super::answer::unknown(502, &format!("the engine answered {status}"), 0),
+                super::answer::unknown(
+                    502,
+                    &format!("the engine responded with status {status}"),
+                    0,
+                ),
             );
             End::Finished
         }
@@ -64,14 +70,16 @@
     }
 }
 
-/// Goes on reading an attempt that runs, or has run, on an engine.
+/// Resumes reading an attempt that is running, or has run, on an engine.
 pub async fn attach(
     node: &Arc<Node>,
     answer: &Answer,
     attempt: &Attempt,
     cursor: &mut Cursor,
 ) -> End {
-    let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
+    let Ok(address) = attempt.address.parse() else {
+        return not_sent("the address is not IP:port");
+    };
     cursor.switch(&attempt.id);
     match engine(node, address).attach(&attempt.id, cursor.get_next()).await {
         Ok(response) if response.status().is_success() => {
@@ -83,9 +91,11 @@
     }
 }
 
-/// Sends a request to a plain service and takes its whole answer.
+/// Sends a request to a plain service and reads its complete response.
 pub async fn run_plain(node: &Arc<Node>, answer: &Answer, attempt: &Attempt) -> End {
-    let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
+    let Ok(address) = attempt.address.parse() else {
+        return not_sent("the address is not IP:port");
+    };
     let request = &answer.request;
     let plain = PlainRequest {
         method: &request.method,
@@ -121,7 +131,7 @@
     loop {
         let piece = match next_piece(node, answer, &mut tokens).await {
             Ok(Some(piece)) => piece,
-            Ok(None) => return interrupted("the stream broke off"),
+            Ok(None) => return interrupted("the stream ended before the answer was complete"),
             Err(end) => return end,
         };
         let Piece::Token { attempt: piece_attempt, offset, text } = piece else {
@@ -143,7 +153,7 @@
     }
 }
 
-/// Waits for the next piece, for being steered, or until it is too late.
+/// Waits for the next piece, a drain request, the idle timeout or the deadline.
 async fn next_piece(
     node: &Node,
     answer: &Answer,
@@ -158,13 +168,13 @@
         Err(if remaining <= idle {
             End::DeadlineExceeded
         } else {
-            interrupted("the engine fell silent")
+            interrupted("the engine sent nothing within the idle timeout")
         })
     };
     future::or(piece, future::or(steered, timed_out)).await
 }
 
-/// Notes that bytes may have reached the server, unless it is certain that none did.
+/// Records that bytes may have reached the server, unless it is certain that none did.
 fn record_sent(answer: &Answer, failure: Option<&SendError>) {
     if !failure.is_some_and(SendError::is_not_sent) {
         answer.set_sent();
@@ -172,11 +182,11 @@
 }
 
 fn not_sent(why: &str) -> End {
-    log::info!("a backend server did not take a request: {why}");
+    log::info!("a request was not sent to a backend server: {why}");
     End::NotSent
 }
 
 fn interrupted(why: &str) -> End {
-    log::info!("a backend server broke a request off: {why}");
+    log::info!("a request was interrupted at a backend server: {why}");
     End::Interrupted
 }
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -1,8 +1,8 @@
-//! Copies of a request's record: at one peer, or in the object store where there is no peer.
+//! Replication of a request's record to one peer, or to the object store if there is no peer.
 //!
-//! The peer is the first of the key's succession list that is not this node and stands in
-//! another data centre where there is a choice, so that any node a caller comes back to knows
-//! whom to ask.
+//! The holder is the first node in the succession list of the key other than this node, preferably
+//! in another data centre. Any node that a client reconnects to can therefore compute which peers
+//! to query.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,24 +17,23 @@
 use crate::peer::wire;
 use crate::runtime;
 
-/// Peers that are tried in turn.
 const MAX_HOLDER_ATTEMPTS: usize = 3;
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two messages about the same request at least.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
-/// Messages that may fail one after another before another holder is looked for.
+/// Failed messages in a row after which another holder is chosen.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Where a record is kept.
+/// The location of a copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// At a peer, by name, with so many tokens of the answer.
+    /// At the named peer, with this number of tokens.
     Peer(String, u64),
     /// In the object store.
     Store,
 }
 
-/// Copies the record of a request; `None` where neither a peer nor the store took it.
+/// Copies the record of a request. Returns `None` if neither a peer nor the object store accepted
+/// it.
 pub async fn create(node: &Node, answer: &Answer) -> Option<Location> {
     let record = full_record(node, answer);
     let copied = record.tokens.len() as u64;
@@ -54,7 +53,7 @@
     stored.await.is_ok().then_some(Location::Store)
 }
 
-/// Keeps the copy up to date until the answer has ended.
+/// Keeps the copy up to date in the background until the answer has ended.
 pub fn keep_updated(node: &Arc<Node>, answer: &Arc<Answer>, location: Location) {
     let (node, answer) = (node.clone(), answer.clone());
     runtime::spawn(async move {
@@ -71,7 +70,9 @@
     });
 }
 
-/// Gives a request up to the holder of its record, or to the object store.
+/// Hands a request over to the holder of its record, or to the object store.
+///
+/// Returns `true` if the record was accepted.
 pub async fn hand_over(node: &Node, answer: &Answer) -> bool {
     let message = wire::HoldRequest {
         record: Some(full_record(node, answer)),
@@ -85,11 +86,11 @@
     }
 }
 
-/// Lets the holder forget a request that did not run.
+/// Tells the holder to discard the record of a request that did not run.
 pub async fn discard(node: &Node, answer: &Answer, location: &Location) {
     if let Location::Peer(holder, _) = location {
         let record = wire::Record {
-            r#final: Some(super::answer::not_run(503, "refused", 0)),
+            r#final: Some(super::answer::not_run(503, "rejected", 0)),
             body: Vec::new(),
             ..full_record(node, answer)
         };
@@ -108,13 +109,13 @@
     wire::Record::decode(stored).ok()
 }
 
-/// Names the object of a record.
+/// Returns the key of a record in the object store.
 fn object_key(request: &Request) -> String {
     let name = format!("{}\0{}", request.account, request.key);
     format!("record-{}", bundle::digest(name.as_bytes()))
 }
 
-/// Returns `true` if an end leaves nothing to remember.
+/// Returns `true` if a record with this result need not be kept.
 pub fn is_discardable(ended: &wire::Final) -> bool {
     ended.outcome == Outcome::NotRun.as_str()
 }
@@ -124,11 +125,11 @@
     HolderLost,
 }
 
-/// Sends what is new to the holder, until the answer has ended or the holder goes.
+/// Sends updates to the holder until the answer has ended or the holder is lost.
 ///
-/// The tokens are at the engine, and a holder attaches to the running attempt there. So the copy
-/// needs the attempt at once, and the tokens only now and then, unless the engine's VM or this
-/// node is known to go.
+/// After a takeover the holder attaches to the running attempt, and the engine still has its
+/// tokens. The attempt is therefore copied at once but the tokens only periodically, unless the
+/// engine's VM or this node is known to leave.
 async fn replicate(node: &Node, answer: &Answer, holder: &str, copied: u64) -> ReplicationEnd {
     let period = Duration::from_millis(node.settings.times.progress_ms);
     let mut acknowledged = copied;
@@ -206,7 +207,7 @@
     }
 }
 
-/// Picks the holder; `None` where there is no live peer.
+/// Picks the holder. Returns `None` if there is no live peer.
 fn pick_holder(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
     let (local, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
     let key = request.get_succession_key();
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -1,4 +1,4 @@
-//! Carries an accepted request through as many attempts as it may have.
+//! Runs an accepted request, with failover and migration between backend servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,49 +16,48 @@
 use super::{Answer, Node, claims};
 use crate::runtime;
 
-/// How often an attempt is attached to again in vain after its stream broke off.
+/// Attaches without progress after the stream of an attempt was interrupted.
 const MAX_FRUITLESS_ATTACHES: u32 = 2;
-/// Pause before attaching again, and the longest before asking for a server again.
 const ATTACH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_GRANT_RETRY_INTERVAL_MS: u64 = 500;
-/// When to come back after a request was given up for want of retries, in milliseconds.
+/// Retry delay sent when the retry budget is exhausted, in milliseconds.
 const NO_RETRY_BUDGET_RETRY_AFTER_MS: u64 = 1_000;
 
-/// A grant that was not used.
+/// The usage of a grant that was not used.
 const UNUSED: Usage = Usage { cost: Some(0), is_failed: false };
 
-/// Where a request starts.
+/// How a request starts or resumes.
 #[derive(Clone, Debug)]
 pub enum Start {
-    /// With a grant, and the attempt's name, which a claim may bear.
+    /// With a grant and the ID of the attempt, which a claim may name.
     Granted(Grant, String),
-    /// By attaching to an attempt that may still run.
+    /// By attaching to an attempt that may still be running.
     Attached(Attempt),
     /// With a claim that names this attempt.
     Claimed(String),
-    /// From nothing.
+    /// With neither a grant nor an attempt.
     Fresh,
 }
 
-/// Says what to do after an attempt.
+/// The next step after an attempt.
 enum Step {
     Stop,
     Retry,
 }
 
-/// Everything that one request's attempts share.
+/// The state shared by the attempts of one request.
 struct Relay {
     node: Arc<Node>,
     answer: Arc<Answer>,
     cursor: Cursor,
     avoid: Vec<String>,
-    /// The attempt that was steered off its server, and how.
+    /// The attempt that is being drained from its server, and how.
     migrating: Option<(Attempt, Action)>,
-    /// The attempt that the claim names; only that may be sent.
+    /// The attempt that the claim names. No other attempt may be sent.
     claimed_attempt: Option<String>,
 }
 
-/// Carries a request through until its answer has ended.
+/// Runs a request until its answer has ended.
 pub async fn run(node: Arc<Node>, answer: Arc<Answer>, start: Start) {
     let cursor = Cursor::new("", answer.get_length());
     let mut relay =
@@ -97,7 +96,7 @@
 }
 
 impl Relay {
-    /// Makes one attempt with a grant, and decides how to go on.
+    /// Makes one attempt with a grant, and decides on the next step.
     async fn attempt(&mut self, grant: Grant, name: String) -> Step {
         let attempt =
             Attempt { id: name, server: grant.server.clone(), address: grant.address.clone() };
@@ -105,7 +104,7 @@
             return step;
         }
         self.answer.set_attempt(attempt.clone());
-        // Whoever learns of a departure after this sees the attempt and steers it.
+        // A departure that is applied after this point finds the attempt and drains it.
         if self.node.is_leaving(&attempt.server) {
             grant::release(&self.node, &grant.id, UNUSED);
             self.avoid.push(attempt.server);
@@ -136,7 +135,7 @@
         self.decide(end, attempt).await
     }
 
-    /// Goes on reading an attempt whose stream broke off, where its server still has it.
+    /// Resumes reading an interrupted attempt, as long as its server still has it.
     async fn reattach(&mut self, end: End, attempt: &Attempt) -> End {
         let mut end = end;
         if !self.answer.request.is_model() {
@@ -154,7 +153,7 @@
         end
     }
 
-    /// Attaches to an attempt that another node began.
+    /// Attaches to an attempt that another node started.
     async fn attach(&mut self, attempt: &Attempt) -> Step {
         self.answer.set_sent();
         self.answer.set_attempt(attempt.clone());
@@ -196,7 +195,9 @@
         self.node.take_retry(&self.answer.request.service.name)
     }
 
-    /// Asks for another server until the deadline, most urgently: the request is accepted.
+    /// Acquires a grant for another server, at the highest priority since the request is accepted.
+    ///
+    /// Returns `None` if there is none before the deadline; the answer has ended then.
     async fn next_grant(&mut self) -> Option<Grant> {
         loop {
             let remaining = self.answer.request.deadline.saturating_sub(self.node.now());
@@ -206,7 +207,11 @@
                 Err(refusal) => refusal,
             };
             if self.is_past_deadline(&refusal) {
-                self.give_up("no backend server had room in time", 503, refusal.retry_after);
+                self.give_up(
+                    "no backend server had capacity before the deadline",
+                    503,
+                    refusal.retry_after,
+                );
                 return None;
             }
             let interval = refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS);
@@ -214,17 +219,18 @@
         }
     }
 
-    /// Returns `true` if the next room comes only after the deadline; then the end comes at once.
+    /// Returns `true` if the next retry would come after the deadline. The request then ends at
+    /// once.
     fn is_past_deadline(&self, refusal: &Refusal) -> bool {
         self.node.now() + refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS)
             >= self.answer.request.deadline
     }
 
-    /// Leaves the attempt that was steered off its server: the next engine fetches its KV cache
-    /// where that is the plan, and it is cancelled.
+    /// Completes the migration of the attempt that is being drained.
     ///
-    /// Only when an unrepeatable request's attempt is surely cancelled may it go on elsewhere;
-    /// else it is followed where it is.
+    /// The next engine fetches its KV cache if the action is a move, and the attempt is cancelled.
+    /// A request that must not be repeated continues elsewhere only if its cancellation is
+    /// confirmed. Otherwise this node keeps following it on the previous server.
     async fn complete_migration(&mut self, next: &Attempt, grant: &Grant) -> Option<Step> {
         let (previous, action) = self.migrating.take()?;
         if action == Action::Move {
@@ -246,7 +252,7 @@
         self.node.metric.count(name, 1);
     }
 
-    /// Cancels an attempt; returns `true` if its engine has confirmed that.
+    /// Cancels an attempt. Returns `true` if its engine confirmed this.
     async fn cancel(&self, attempt: &Attempt) -> bool {
         match attempt.address.parse() {
             Ok(address) => attempt::engine(&self.node, address).cancel(&attempt.id).await,
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -1,4 +1,4 @@
-//! Goes on with the requests of a node that is gone, from their records.
+//! Takeover of the requests of a dead node, from their records.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::peer::wire::{Final, Record};
 use crate::runtime;
 
-/// Takes over all requests of a node that is gone.
+/// Takes over all requests of a dead node.
 pub fn take_over_node(node: &Arc<Node>, dead_node: &str) {
     let records = runtime::lock(&node.records);
     let ids: Vec<Id> = records
@@ -27,7 +27,7 @@
     }
 }
 
-/// Goes on with the request of one record; returns `true` if this node answers for it now.
+/// Takes over the request of one record. Returns `true` if this node now runs it or has its answer.
 pub fn take_over_request(node: &Arc<Node>, id: &Id) -> bool {
     if runtime::lock(&node.answers).contains_key(id) {
         return true;
@@ -49,7 +49,7 @@
     true
 }
 
-/// Fills an answer from a record and goes on with it.
+/// Restores an answer from a record and continues its request.
 pub async fn resume_from_record(node: &Arc<Node>, answer: &Arc<Answer>, held: HeldRecord) {
     runtime::lock(&node.records).remove(&answer.request.get_id());
     answer.push(held.record.tokens.clone());
@@ -70,11 +70,11 @@
             let (node, answer) = (node.clone(), answer.clone());
             runtime::spawn(relay::run(node, answer, start));
         }
-        None => log::info!("the request {} ended when it was taken over", answer.request.key),
+        None => log::info!("request {} ended at takeover", answer.request.key),
     }
 }
 
-/// Decides how to go on; `None` where the answer has ended.
+/// Decides how the request continues. Returns `None` if it ended the answer.
 async fn decide_start(node: &Arc<Node>, answer: &Arc<Answer>, record: &Record) -> Option<Start> {
     let request = &answer.request;
     let running = running_attempt(record);
@@ -94,10 +94,10 @@
         takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
         takeover::Strategy::Recorded(recorded) => finish(node, answer, ending::recorded(&recorded)),
         takeover::Strategy::NotRun => {
-            finish(node, answer, not_run(503, "the request was given up before it was sent", 0))
+            finish(node, answer, not_run(503, "the request was abandoned before it was sent", 0))
         }
         takeover::Strategy::Unknown => {
-            let why = "the node that had the request is gone and it is not to be repeated";
+            let why = "the node that ran the request is dead and the request must not be repeated";
             finish(node, answer, unknown(502, why, 0))
         }
     }
