--- a/crates/keeljunction/src/node/grant.rs
+++ b/crates/keeljunction/src/node/grant.rs
@@ -1,4 +1,4 @@
-//! Backend servers for requests: from the owner of a shard, or alone where no owner answers.
+//! Grants of backend servers, from the owner of a shard or from a local queue if no owner responds.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -16,67 +16,67 @@
 use crate::peer::wire;
 use crate::runtime;
 
-/// Time for an owner's answer beyond the time that the request may wait, in milliseconds.
+/// Time for the owner's response in addition to the queueing time of the request, in milliseconds.
 const OWNER_ANSWER_MARGIN_MS: Millis = 300;
-/// How often a grant on a server that leaves is given back for another.
+/// Grants on leaving servers that are released before the request is rejected.
 const MAX_STALE_GRANTS: usize = 4;
-/// When to come back where no server is known, in milliseconds.
+/// Retry delay sent when no server is known, in milliseconds.
 const NO_SERVER_RETRY_AFTER_MS: Millis = 1_000;
 
-/// A shard of a service.
+/// The key of a shard: the service and the number of the shard.
 pub type ShardKey = (String, u32);
 
-/// The queues that this node keeps, and the grants that it has.
+/// The queues of this node and the grants that it holds.
 #[derive(Default)]
 pub struct GrantTable {
     /// The queues of the shards that this node owns.
     pub owned: Mutex<HashMap<ShardKey, Arc<Shard>>>,
-    /// The queues by which this node decides alone.
+    /// The queues from which this node grants servers itself if the owner does not respond.
     pub fallback: Mutex<HashMap<ShardKey, Arc<Shard>>>,
-    /// The grants that this node has, by name.
+    /// The grants that this node holds, by ID.
     pub held: Mutex<HashMap<String, HeldGrant>>,
-    /// Messages to owners that wait to be sent together.
+    /// Messages to owners, waiting to be sent in batches.
     pub outbox: Mutex<HashMap<(String, ShardKey), wire::SettleRequest>>,
-    /// Signals that there are messages in the outbox.
+    /// Notified when a message is added to the outbox.
     pub outbox_changed: Event,
 }
 
-/// A grant that this node has.
+/// A grant that this node holds.
 #[derive(Clone, Debug)]
 pub struct HeldGrant {
     /// The grant.
     pub grant: Grant,
-    /// The shard that it is of.
+    /// The shard that it belongs to.
     pub shard: ShardKey,
-    /// The node that granted it; `None` where this node decided alone.
+    /// The owner that granted it, or `None` if it comes from a fallback queue.
     pub owner: Option<String>,
 }
 
-/// How a request asks for a server.
+/// How a server is chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantOptions<'a> {
-    /// How long it may wait for its turn.
+    /// The longest time in the queue, in milliseconds.
     pub wait: Millis,
-    /// Its priority; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// Servers not to choose, by name.
+    /// The names of servers to avoid.
     pub avoid: &'a [String],
 }
 
-/// What became of a grant.
+/// How a grant was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// What the request really cost, where that is known.
+    /// The actual cost of the request, if known.
     pub cost: Option<u64>,
-    /// Whether the server failed it.
+    /// Whether the server failed.
     pub is_failed: bool,
 }
 
-/// Asks for a backend server for a request.
+/// Acquires a grant of a backend server for a request.
 ///
 /// # Errors
 ///
-/// Returns a [`Refusal`] with when to come back.
+/// Returns a [`Refusal`] with a retry delay if no server has capacity in time.
 pub async fn acquire(
     node: &Arc<Node>,
     request: &Request,
@@ -102,7 +102,7 @@
     Err(refusal)
 }
 
-/// Gives a grant back.
+/// Releases a grant.
 pub fn release(node: &Arc<Node>, id: &str, usage: Usage) {
     let Some(held) = runtime::lock(&node.grants.held).remove(id) else { return };
     match &held.owner {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Notes that the first token came for a grant.
+/// Records that the first token of a granted request has arrived.
 pub fn record_first_token(node: &Arc<Node>, id: &str) {
     let Some(held) = runtime::lock(&node.grants.held).get(id).cloned() else { return };
     match &held.owner {
@@ -135,26 +135,26 @@
     }
 }
 
-/// Notes how a grant's server did.
+/// Records a success or failure of a server.
 pub fn record_result(shard: &Shard, server: &str, is_failed: bool) {
     shard.with(|queue, now| {
         if is_failed { queue.record_failure(now, server) } else { queue.record_success(server) }
     });
 }
 
-/// Finds the node that owns a shard.
+/// Returns the node that owns a shard.
 pub fn owner_of(node: &Node, shard: &ShardKey) -> Option<String> {
     let nodes = node.usable_nodes();
     let key = shard::owner_key(&shard.0, shard.1);
     rendezvous::owner(&key, nodes.iter().map(|(name, _)| name.as_str())).map(str::to_owned)
 }
 
-/// Returns the queue of a shard that this node owns, made anew where it is not there yet.
+/// Returns the queue of a shard that this node owns, and creates it if it does not exist.
 pub fn owned_shard(node: &Arc<Node>, key: &ShardKey) -> Option<Arc<Shard>> {
     local_shard(node, &node.grants.owned, key, 1)
 }
 
-/// Brings the servers and weights of all queues of this node up to date.
+/// Updates the servers and weights of all queues of this node.
 pub fn sync_all(node: &Arc<Node>) {
     for shards in [&node.grants.owned, &node.grants.fallback] {
         let shards: Vec<(ShardKey, Arc<Shard>)> =
@@ -165,7 +165,7 @@
     }
 }
 
-/// Writes a grant for a message.
+/// Converts a grant to its wire format.
 pub fn to_wire(grant: &Grant) -> wire::Grant {
     wire::Grant {
         grant: grant.id.clone(),
@@ -176,7 +176,7 @@
     }
 }
 
-/// Reads a grant that another node announces.
+/// Converts a grant from its wire format.
 pub fn from_wire(node: &Node, grant: wire::Grant) -> Grant {
     let directory = runtime::lock(&node.directory);
     let address = directory.get(&grant.server).map(|s| s.address.clone()).unwrap_or_default();
@@ -208,7 +208,7 @@
     Err(refusal)
 }
 
-/// Orders the shards of a service for a request: two at most, the one of its prompt's start first.
+/// Returns up to two shards of a service for a request, ranked by the first block of its prompt.
 fn shard_order(node: &Node, request: &Request) -> Vec<u32> {
     let directory = runtime::lock(&node.directory);
     let names: Vec<&str> =
@@ -250,7 +250,7 @@
                 Ok(answer) => (answer?, Some(owner)),
                 Err(status) => {
                     node.metric.count("grants_alone", 1);
-                    log::debug!("owner {owner} did not answer: {}", status.message());
+                    log::debug!("owner {owner} did not respond: {}", status.message());
                     (grant_locally(node, key, grant_request).await?, None)
                 }
             }
@@ -285,7 +285,8 @@
     grant_request: &GrantRequest,
 ) -> Result<Result<Grant, Refusal>, Status> {
     let address = node.get_peer_address(owner);
-    let address = address.ok_or_else(|| Status::not_found("the owner's address is not known"))?;
+    let address =
+        address.ok_or_else(|| Status::not_found("the address of the owner is unknown"))?;
     let message = wire::AcquireRequest {
         service: key.0.clone(),
         shard: key.1,
@@ -345,7 +346,9 @@
     node.grants.outbox_changed.notify(1);
 }
 
-/// Returns a queue of this node's own, whose limits are shared by `sharers` nodes.
+/// Returns a queue of this node, and creates it if it does not exist.
+///
+/// The limits of its servers are divided by the number of nodes that share them.
 fn local_shard(
     node: &Arc<Node>,
     shards: &Mutex<HashMap<ShardKey, Arc<Shard>>>,
--- a/crates/keeljunction/src/node/settlement.rs
+++ b/crates/keeljunction/src/node/settlement.rs
@@ -1,7 +1,8 @@
-//! Reports to owners of shards which grants are used and released.
+//! Reports of used and released grants to shard owners.
 //!
-//! Small news are gathered for a moment and sent together. Now and then each node announces all
-//! its grants of a shard to the owner, which is how a new owner learns of them after a kill.
+//! Reports are batched for a short delay. In addition, each node periodically announces all its
+//! grants of a shard to the owner, so that a new owner learns of them after the previous one was
+//! killed.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends gathered news for as long as the process lives.
+/// Sends batched reports. Never returns.
 pub async fn run(node: Arc<Node>) {
     loop {
         let outbox_changed = node.grants.outbox_changed.listen();
@@ -33,7 +34,7 @@
     }
 }
 
-/// Announces the grants of this node for as long as the process lives.
+/// Announces the grants of this node periodically. Never returns.
 pub async fn announce(node: Arc<Node>) {
     let mut announced = HashSet::new();
     loop {
@@ -43,7 +44,9 @@
     }
 }
 
-/// Announces all grants to the present owners, and an empty list where the last was not empty.
+/// Announces all grants to the current owners.
+///
+/// Sends an empty list for each shard that had grants in the previous round and has none now.
 fn announce_once(node: &Arc<Node>, before: &HashSet<ShardKey>) -> HashSet<ShardKey> {
     let held = group_by_shard(node);
     let emptied = before.iter().filter(|shard| !held.contains_key(*shard));
@@ -99,7 +102,7 @@
     });
 }
 
-/// Forgets the queues of shards that this node no longer owns.
+/// Drops the queues of shards that this node no longer owns.
 fn drop_unowned_shards(node: &Arc<Node>) {
     let keys: Vec<ShardKey> = runtime::lock(&node.grants.owned).keys().cloned().collect();
     for key in keys {
--- a/crates/keeljunction/src/node/shard.rs
+++ b/crates/keeljunction/src/node/shard.rs
@@ -1,4 +1,4 @@
-//! The queue of one shard, with the requests that wait at it.
+//! The queue of one shard and the requests that wait in it.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Mutex;
@@ -10,10 +10,10 @@
 
 use crate::runtime::{self, Clock};
 
-/// A grant younger than this is kept though its node does not list it yet, in milliseconds.
+/// Age up to which a grant is kept although its node has not announced it, in milliseconds.
 const UNLISTED_GRANT_GRACE_MS: Millis = 5_000;
 
-/// The queue of one shard, with the requests that wait at it.
+/// The queue of one shard and the requests that wait in it.
 pub struct Shard {
     clock: Clock,
     queue: Mutex<Queue>,
@@ -22,14 +22,14 @@
     next_events: Mutex<HashMap<String, u64>>,
 }
 
-/// The node that has a grant.
+/// The node that holds a grant.
 struct Holder {
     node: String,
     since: Millis,
 }
 
 impl Shard {
-    /// Makes a shard round a queue.
+    /// Creates a shard with a queue.
     pub fn new(clock: Clock, queue: Queue) -> Self {
         Self {
             clock,
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Asks for a backend server on behalf of a node, and waits for the turn.
+    /// Acquires a backend server on behalf of a node, and waits in the queue if necessary.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`], at once or when the turn has not come in time.
+    /// Returns a [`Refusal`] at once, or if the request was not granted in time.
     pub async fn acquire(&self, request: GrantRequest, node: &str) -> Result<Grant, Refusal> {
         let id = request.id.clone();
         let (sender, receiver) = async_channel::bounded(1);
@@ -64,14 +64,14 @@
         grant
     }
 
-    /// Works on the queue, then notifies the requests whose turn has come.
+    /// Updates the queue, then notifies the requests that it has decided.
     pub fn with<T>(&self, update: impl FnOnce(&mut Queue, Millis) -> T) -> T {
         let output = update(&mut runtime::lock(&self.queue), self.clock.now());
         self.poll();
         output
     }
 
-    /// Notifies the requests whose turn has come, or has not come in time.
+    /// Notifies the requests that were granted or have timed out.
     pub fn poll(&self) {
         let decided = runtime::lock(&self.queue).poll(self.clock.now());
         for (id, decision) in decided {
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Takes a grant back.
+    /// Releases a grant.
     pub fn release(&self, id: &str, cost: Option<u64>) {
         runtime::lock(&self.holders).remove(id);
         self.with(|queue, now| queue.release(now, id, cost));
     }
 
-    /// Takes in which grants a node still has: drops others of that node, adds those unknown.
+    /// Sets the grants that a node holds: releases its other grants and adds unknown ones.
     pub fn set_held(&self, node: &str, held: Vec<Grant>) {
         let now = self.clock.now();
         let listed: HashSet<&str> = held.iter().map(|grant| grant.id.as_str()).collect();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes back all grants of a node that is gone.
+    /// Releases all grants of a dead node.
     pub fn release_node(&self, node: &str) {
         let holders = runtime::lock(&self.holders);
         let held: Vec<String> =
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Returns the number of the next cache event to read of a server.
+    /// Returns the number of the next cache event to read from a server.
     pub fn get_next_event(&self, server: &str) -> u64 {
         runtime::lock(&self.next_events).get(server).copied().unwrap_or(0)
     }
 
-    /// Notes the number of the next cache event to read of a server.
+    /// Sets the number of the next cache event to read from a server.
     pub fn set_next_event(&self, server: &str, number: u64) {
         runtime::lock(&self.next_events).insert(server.to_owned(), number);
     }
@@ -138,8 +138,10 @@
     }
 }
 
-/// A request that waits. Dropped before its turn, it leaves the queue, and gives back a grant
-/// that came too late.
+/// A request that waits in the queue.
+///
+/// If it is dropped before its decision is received, the request is removed from the queue and a
+/// late grant is released.
 struct Waiter<'a> {
     shard: &'a Shard,
     id: &'a str,
@@ -148,7 +150,7 @@
 }
 
 impl Waiter<'_> {
-    /// Waits for the turn. When the time is over the queue is made to say so.
+    /// Waits for the decision. After the timeout, polls the queue so that it decides.
     async fn wait(mut self, time: Duration) -> Result<Grant, Refusal> {
         let decision = match runtime::timeout(time, self.receiver.recv()).await {
             Some(decision) => decision,
