--- a/crates/keeljunction/src/node/control.rs
+++ b/crates/keeljunction/src/node/control.rs
@@ -1,7 +1,8 @@
-//! Does what only one node may do for a service: orders to engines, and starting VMs.
+//! The control loop of a service: sends orders to engines and starts VMs.
 //!
-//! The owner of the service's first shard tries to hold the lease. The lease decides, not the
-//! ownership: two nodes that both think themselves owners still act one after the other.
+//! Only one node may do this at a time, so the owner of the service's first shard acquires a lease
+//! first. Ownership alone is not enough, because two nodes can consider themselves the owner at
+//! once.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 
 const CONTROL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a node remembers of one service that it may act for.
+/// The control state of one service.
 #[derive(Default)]
 struct ServiceControl {
     lease_client: LeaseClient,
@@ -26,7 +27,7 @@
     vm_starter: VmStarter,
 }
 
-/// Acts for the services that this node owns, for as long as the process lives.
+/// Runs the control loop for the services that this node owns. Never returns.
 pub async fn run(node: Arc<Node>) {
     let mut controls: HashMap<String, ServiceControl> = HashMap::new();
     loop {
@@ -55,7 +56,7 @@
     if let Err(fault) =
         control.lease_client.acquire_or_renew(node, &format!("lease/{}", service.name)).await
     {
-        log::debug!("the lease of {} was not renewed: {fault}", service.name);
+        log::debug!("could not renew the lease of {}: {fault}", service.name);
     }
     control.orders.send(node, active, service, &mut control.lease_client).await;
     control.vm_starter.start_next(node, active, service, &control.lease_client).await;
--- a/crates/keeljunction/src/node/fleet.rs
+++ b/crates/keeljunction/src/node/fleet.rs
@@ -1,8 +1,8 @@
-//! Starts the VMs that the plan lacks.
+//! Starts the VMs that the capacity plan requires.
 //!
-//! Each start has an intent row with a client token before the call to the cloud, so that neither a
-//! lost answer nor a new holder of the lease starts anything twice: whoever finds the row asks
-//! again with the same token.
+//! An intent row with a client token is written before each call to the cloud. A node that finds
+//! the row repeats the call with the same token, so neither a lost response nor a new lease holder
+//! starts a VM twice.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,24 +18,23 @@
 use crate::platform::{Commit, Fault, Row, Start, Transaction};
 use crate::runtime;
 
-/// How long a place that refused a start is passed over, in milliseconds.
+/// Time for which an offer is skipped after the cloud refused a start, in milliseconds.
 const OFFER_RETRY_DELAY_MS: Millis = 5_000;
-/// The most VMs of one offer.
 const MAX_VMS_PER_OFFER: u32 = 100;
 
-/// What a holder remembers of the offers that refused.
+/// Starts VMs for one service, and skips offers that were refused recently.
 #[derive(Debug, Default)]
 pub struct VmStarter {
     refused: BTreeMap<(String, bool), Millis>,
 }
 
-/// Returns `true` if VMs are started for a service.
+/// Returns `true` if the control loop starts VMs for a service.
 pub fn is_needed(service: &Service) -> bool {
     !service.vm_class.is_empty()
 }
 
 impl VmStarter {
-    /// Starts one VM that the plan lacks, if there is one, while the lease stands.
+    /// Starts one VM if the plan requires it and the lease is held.
     pub async fn start_next(
         &mut self,
         node: &Arc<Node>,
@@ -49,7 +48,7 @@
         let prefix = format!("intent/{}/", service.name);
         let intents = match node.platform.scan(&prefix).await {
             Ok(rows) => rows,
-            Err(fault) => return log::debug!("the intents were not read: {fault}"),
+            Err(fault) => return log::debug!("could not read the intents: {fault}"),
         };
         let open_intents = list_open_intents(node, &intents).await;
         if let Some(unconfirmed) = open_intents.iter().find(|intent| !intent.is_started) {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Asks the cloud for the VM of an intent, and notes in the row what came of it.
+    /// Requests the VM of an intent from the cloud, and records the result in the row.
     async fn request_vm(
         &mut self,
         node: &Node,
@@ -82,12 +81,12 @@
         let outcome = match node.platform.start(start).await {
             Ok(started) => {
                 node.metric.count("vms_started", 1);
-                log::info!(target: "audit", "VM {} was started for {}", started.vm, start.service);
+                log::info!(target: "audit", "started VM {} for {}", started.vm, start.service);
                 transaction.put(&row.key, encode_intent(start, Some(&started.vm)))
             }
             Err(Fault::Refused(status)) => {
                 node.metric.count("vm_starts_refused", 1);
-                log::info!(target: "audit", "a VM in {} was refused with status {status}", start.data_centre);
+                log::info!(target: "audit", "the cloud refused a VM in {} with status {status}", start.data_centre);
                 let until = node.now() + OFFER_RETRY_DELAY_MS;
                 self.refused.insert((start.data_centre.clone(), start.reclaimable), until);
                 transaction.delete(&row.key)
@@ -95,7 +94,7 @@
             Err(_) => return node.metric.count("vm_starts_unknown", 1),
         };
         if let Err(fault) = node.platform.commit(&outcome).await {
-            log::debug!("an intent was not noted: {fault}");
+            log::debug!("could not update an intent: {fault}");
         }
     }
 
@@ -117,7 +116,7 @@
     }
 }
 
-/// Lists the intents whose VMs the VM list does not show yet, and takes away the others' rows.
+/// Returns the intents whose VMs are not in the VM list yet, and deletes the rows of all others.
 async fn list_open_intents(node: &Node, intents: &[Row]) -> Vec<OpenIntent> {
     let mut open_intents = Vec::new();
     for row in intents {
@@ -135,15 +134,15 @@
     open_intents
 }
 
-/// An intent whose VM the VM list does not show yet.
+/// An intent whose VM is not in the VM list yet.
 struct OpenIntent {
     row: Row,
     start: Start,
-    /// Whether the cloud has said that it started the VM.
+    /// Whether the cloud has confirmed the start.
     is_started: bool,
 }
 
-/// An intent, as the table service keeps it.
+/// An intent as stored in the table service.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 struct Intent {
     start: Start,
@@ -182,7 +181,7 @@
     }
 }
 
-/// Counts the VMs held of each offer: those listed, and those that were requested.
+/// Counts the VMs of each offer, both listed and requested.
 fn held_vms(node: &Node, service: &Service, offers: &[Offer], open_intents: &[OpenIntent]) -> Plan {
     let mut held_vms = Plan::new();
     let directory = runtime::lock(&node.directory);
--- a/crates/keeljunction/src/node/lease.rs
+++ b/crates/keeljunction/src/node/lease.rs
@@ -1,4 +1,4 @@
-//! Leases in the table service, by which one node at a time acts for a service.
+//! Leases in the table service, which let one node at a time control a service.
 
 use keeljunction_core::Millis;
 use keeljunction_core::lease::{Lease, Row, Watcher};
@@ -6,15 +6,16 @@
 use super::Node;
 use crate::platform::{self, Commit, Fault, Transaction};
 
-/// How long a lease is held from each renewal, in milliseconds.
+/// Duration of a lease from each renewal, in milliseconds.
 const LEASE_DURATION_MS: Millis = 3_000;
-/// Time before its end at which a holder stops to act, in milliseconds.
+/// Time before expiry at which the holder stops using the lease, in milliseconds.
 const EXPIRY_MARGIN_MS: Millis = 500;
-/// The longest that an order may be on its way, in milliseconds. The next holder waits it out,
-/// for the sake of servers that do not check fences.
+/// Timeout of an order, in milliseconds.
+///
+/// The next holder waits for this time too, because some servers do not check fencing tokens.
 pub const ORDER_TIMEOUT_MS: Millis = 1_000;
 
-/// This node's part in one lease.
+/// A client for one lease.
 #[derive(Debug, Default)]
 pub struct LeaseClient {
     held: Option<Lease>,
@@ -23,22 +24,22 @@
 }
 
 impl LeaseClient {
-    /// Returns the fence to send with an order, or `None` where the lease may have lapsed.
+    /// Returns the fencing token to send with an order, or `None` if the lease may have expired.
     pub fn get_fence(&self, now: Millis) -> Option<u64> {
         self.held.as_ref().and_then(|lease| lease.get_fence(now))
     }
 
-    /// Gives the lease up for this node's part, after somebody showed a newer fence.
+    /// Drops the lease locally. Called when a server has seen a newer fencing token.
     pub fn drop_lease(&mut self) {
         self.held = None;
     }
 
-    /// Gets or renews the lease, where that is due and possible.
+    /// Acquires or renews the lease if that is due and possible.
     ///
     /// # Errors
     ///
-    /// Returns the platform's [`Fault`]. After a lost answer the lease counts as not renewed; the
-    /// next look at the row shows.
+    /// Returns the platform's [`Fault`]. If the response was lost, the lease counts as not renewed
+    /// until the row is read again.
     pub async fn acquire_or_renew(&mut self, node: &Node, key: &str) -> Result<(), Fault> {
         if self.held.as_ref().is_some_and(|lease| !lease.is_renewal_due(node.now())) {
             return Ok(());
@@ -76,7 +77,7 @@
         match node.platform.commit(&transaction).await? {
             Commit::Done(version) => {
                 if self.held.is_none() {
-                    log::info!(target: "audit", "{key} is held with fence {version}");
+                    log::info!(target: "audit", "acquired {key} with fencing token {version}");
                 }
                 self.held = Some(Lease::new(version, sent_at, LEASE_DURATION_MS, EXPIRY_MARGIN_MS));
             }
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -1,7 +1,7 @@
 //! Orders to engines: which models, adapters and versions to run.
 //!
-//! An order states the whole desired set, so that a late double changes nothing. The fence is
-//! read just before each order is sent.
+//! An order contains the complete desired state, so a late duplicate has no effect. The fencing
+//! token is read immediately before each order is sent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,19 +17,19 @@
 use crate::backend::Ordered;
 use crate::runtime;
 
-/// The rolls that servers were last ordered to run.
+/// The last roll that each server was ordered to run.
 #[derive(Debug, Default)]
 pub struct Orders {
     sent: HashMap<String, u64>,
 }
 
-/// Returns `true` if a service's servers take orders.
+/// Returns `true` if the servers of a service take orders.
 pub fn is_needed(service: &Service) -> bool {
     service.kind == Kind::Model
 }
 
 impl Orders {
-    /// Sends each server of a service what the bundle in force says, once for each roll.
+    /// Sends the models of the active bundle to each server of a service, once per roll.
     pub async fn send(
         &mut self,
         node: &Arc<Node>,
