--- a/crates/keeljunction/src/node/adoption.rs
+++ b/crates/keeljunction/src/node/adoption.rs
@@ -1,4 +1,4 @@
-//! Puts the newest roll in force, from the table service or from peers.
+//! Activates the newest roll, read from the table service or from peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +15,29 @@
 
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Checks a roll and its bundle, and puts them in force if they are newer.
+/// Verifies a roll and its bundle, and activates them if they are newer.
+///
+/// Returns `true` if they were activated.
 ///
 /// # Errors
 ///
-/// Returns [`ErrorKind::Untrusted`] or [`ErrorKind::Malformed`] where the bundle is refused.
+/// Returns [`ErrorKind::Untrusted`] if the digest or signature does not match, or
+/// [`ErrorKind::Malformed`] if the bundle cannot be parsed.
 pub fn adopt(node: &Arc<Node>, roll: Roll, body: Vec<u8>) -> Result<bool, Error> {
     if bundle::digest(&body) != roll.digest {
-        return Err(Error::new(ErrorKind::Untrusted, "the bundle is not the one that was rolled"));
+        return Err(Error::new(
+            ErrorKind::Untrusted,
+            "the bundle does not match the digest of the roll",
+        ));
     }
     bundle::verify(&node.settings.trusted_keys, &body, &roll.signature)?;
     let text = std::str::from_utf8(&body)
-        .map_err(|_| Error::new(ErrorKind::Malformed, "the bundle is not text"))?;
+        .map_err(|_| Error::new(ErrorKind::Malformed, "the bundle is not valid UTF-8"))?;
     let document = bundle::parse(text)?;
     let (number, version) = (roll.number, roll.version.clone());
     let is_adopted = node.activate(ActiveBundle { roll, body, document });
     if is_adopted {
-        log::info!(target: "audit", "roll {number}, version {version}, is in force");
+        log::info!(target: "audit", "roll {number}, version {version}, is active");
         node.metric.gauge("roll", number);
         grant::sync_all(node);
         node.notify_peers();
@@ -39,7 +45,7 @@
     Ok(is_adopted)
 }
 
-/// Reads the roll from the table service for as long as the process lives.
+/// Polls the roll in the table service. Never returns.
 pub async fn watch(node: Arc<Node>) {
     let mut round: u64 = 0;
     loop {
@@ -51,26 +57,26 @@
     }
 }
 
-/// Reads the roll from the table service once, and its bundle if it is newer.
+/// Reads the roll from the table service once, and fetches its bundle if the roll is newer.
 pub async fn read_roll(node: &Arc<Node>) {
     let row = match node.platform.read(ROLL_KEY).await {
         Ok(Some(row)) => row,
         Ok(None) => return,
-        Err(fault) => return log::debug!("the roll was not read: {fault}"),
+        Err(fault) => return log::debug!("could not read the roll: {fault}"),
     };
     let Ok(roll) = serde_json::from_str::<Roll>(&row.value) else {
-        return log::error!("the roll row is not understood");
+        return log::error!("the roll row is malformed");
     };
     if roll.number <= node.get_roll() {
         return;
     }
     match node.platform.get_object(&roll.digest).await {
         Ok(body) => log_rejection(adopt(node, roll, body.to_vec())),
-        Err(fault) => log::warn!("the bundle of roll {} was not read: {fault}", roll.number),
+        Err(fault) => log::warn!("could not read the bundle of roll {}: {fault}", roll.number),
     }
 }
 
-/// Reads a newer bundle, and the backend servers, from a peer.
+/// Fetches a newer bundle and the list of backend servers from a peer.
 pub async fn fetch(node: &Arc<Node>, address: &str) {
     let message = wire::FetchRequest { above_roll: node.get_roll() };
     let call = node
@@ -83,11 +89,12 @@
     }
     match serde_json::from_slice::<Roll>(&reply.row) {
         Ok(roll) => log_rejection(adopt(node, roll, reply.body)),
-        Err(error) => log::error!("a peer's roll is not understood: {error}"),
+        Err(error) => log::error!("a peer sent a malformed roll: {error}"),
     }
 }
 
-/// Writes what this node knows for a peer whose roll is older.
+/// Builds the reply to a peer: the servers, and the active bundle if its roll is above
+/// `above_roll`.
 pub fn reply(node: &Node, above_roll: u64) -> wire::FetchReply {
     let servers = servers(node);
     let active = node.get_active_bundle().filter(|active| active.roll.number > above_roll);
@@ -128,6 +135,6 @@
 
 fn log_rejection(adopted: Result<bool, Error>) {
     if let Err(error) = adopted {
-        log::error!("a bundle was refused: {error}");
+        log::error!("rejected a bundle: {error}");
     }
 }
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -1,4 +1,4 @@
-//! Moves streams off VMs that are going away.
+//! Drains streams from VMs that are being reclaimed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,8 +9,9 @@
 use super::{Answer, Node, grant, stop};
 use crate::runtime;
 
-/// Takes news in that a VM is leaving: nothing new goes there, and its streams are moved. Of its
-/// own VM the node learns like that too, and stops.
+/// Applies a departure: the server gets no new requests and its streams are drained.
+///
+/// If the VM is that of this node, the node stops.
 pub fn apply(node: &Arc<Node>, departure: &Departure) {
     let is_new = runtime::lock(&node.directory).add_departure(departure);
     if !is_new {
@@ -20,14 +21,14 @@
     if departure.server == node.get_name() {
         stop::begin(node, Duration::from_millis(left));
     }
-    log::info!("server {} is leaving in {left} ms", departure.server);
+    log::info!("VM {} leaves in {left} ms", departure.server);
     node.metric.count("departures", 1);
     grant::sync_all(node);
     node.notify_peers();
     drain_streams(node, &departure.server, left);
 }
 
-/// Plans the streams of this node on a server that is leaving, and notifies their relays.
+/// Plans how the streams of this node leave a server, and notifies their relays.
 fn drain_streams(node: &Arc<Node>, server: &str, notice: u64) {
     let answers = streams_on(node, server);
     let Some(first) = answers.first() else { return };
@@ -54,7 +55,7 @@
     }
 }
 
-/// Lists the model answers that run on a server.
+/// Returns the unfinished model answers on a server.
 fn streams_on(node: &Node, server: &str) -> Vec<Arc<Answer>> {
     let answers = runtime::lock(&node.answers);
     let is_running_there = |answer: &&Arc<Answer>| {
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Probes, and the news that ride on them.
+//! Failure detection by probes, with membership and departure updates piggybacked on them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use crate::peer::wire;
 use crate::runtime;
 
-/// News of members and of departures in one message.
+/// Limits for one message.
 const MAX_MEMBER_UPDATES: usize = 6;
 const MAX_DEPARTURE_UPDATES: usize = 8;
-/// Members in a message to a node that is not known yet.
+/// Members in a message to a node that is not a known member.
 const MAX_FULL_UPDATE_MEMBERS: usize = 64;
-/// Nodes that get urgent news at once.
+/// Nodes to which an urgent update is sent at once.
 const URGENT_FANOUT: usize = 3;
 
-/// Probes nodes for as long as the process lives.
+/// Probes nodes periodically. Never returns.
 pub async fn run(node: Arc<Node>) {
     let period = Duration::from_millis(node.settings.membership.probe_ms);
     loop {
@@ -35,8 +35,7 @@
     }
 }
 
-/// Sends a few nodes what is new at once, each time that there is something, for as long as the
-/// process lives.
+/// Sends each urgent update to a few nodes at once, for the lifetime of the process.
 pub async fn run_urgent(node: Arc<Node>) {
     while node.wait_for_urgent_update().await {
         push_urgent(&node);
@@ -56,14 +55,16 @@
     }
 }
 
-/// Writes the news that ride on one message.
+/// Returns the pending updates for one message.
 pub fn take_updates(node: &Node) -> wire::News {
     let members = runtime::lock(&node.members).take_updates(MAX_MEMBER_UPDATES);
     to_wire_news(node, &members)
 }
 
-/// Writes the news for a node that probes. One that is not thought alive is notified of it, each time,
-/// since it can refute only what it hears: news sent while it slept were lost.
+/// Returns the updates for a node that sent a probe.
+///
+/// If that node is not considered alive, its own state is always included. A node can refute only
+/// what it receives, and updates sent while it was suspended were lost.
 pub fn take_updates_for(node: &Node, from: &str) -> wire::News {
     let mut news = take_updates(node);
     let not_alive =
@@ -72,14 +73,15 @@
     news
 }
 
-/// Writes the news for a node that is not known yet: all the members there are.
+/// Returns all members, for a node that is not a known member.
 pub fn full_update(node: &Node) -> wire::News {
     let members: Vec<Member> =
         runtime::lock(&node.members).iter().take(MAX_FULL_UPDATE_MEMBERS).cloned().collect();
     to_wire_news(node, &members)
 }
 
-/// Takes news in that a peer at an address sent.
+/// Applies the updates of a peer, and fetches the bundle from `address` if the peer's roll is
+/// newer.
 pub fn apply(node: &Arc<Node>, news: wire::News, address: Option<String>) {
     let now = node.now();
     for member in news.members {
@@ -103,7 +105,7 @@
     }
 }
 
-/// Answers a probe of another node on behalf of a third.
+/// Probes a node on behalf of another node.
 pub async fn probe_on_behalf(node: &Arc<Node>, target: &str) -> bool {
     let Some(address) = node.get_peer_address(target) else { return false };
     probe_address(node, &address, "").await
@@ -126,7 +128,7 @@
     }
 }
 
-/// Probes the node at an address, or through it another one.
+/// Probes the node at an address, or through it the node named `target` if that is not empty.
 async fn probe_address(node: &Arc<Node>, address: &str, target: &str) -> bool {
     let hops = if target.is_empty() { 1 } else { 2 };
     let timeout = Duration::from_millis(node.settings.membership.answer_ms * hops);
@@ -171,16 +173,16 @@
     false
 }
 
-/// Declares silent nodes dead.
+/// Declares nodes dead that did not refute suspicion in time.
 fn expire_suspects(node: &Arc<Node>) {
     let dead = runtime::lock(&node.members).expire(node.now());
     for member in dead {
-        log::warn!("node {} is taken for dead", member.name);
+        log::warn!("node {} is declared dead", member.name);
         handle_dead_node(node, &member.name);
     }
 }
 
-/// Does what must be done when a node is gone.
+/// Releases the grants of a dead node and takes over its requests.
 fn handle_dead_node(node: &Arc<Node>, name: &str) {
     let shards: Vec<_> = runtime::lock(&node.grants.owned).values().cloned().collect();
     for shard in shards {
--- a/crates/keeljunction/src/node/housekeeping.rs
+++ b/crates/keeljunction/src/node/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Forgets what is old.
+//! Removal of expired answers and records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Forgets answers and records that nobody can want any more, for as long as the process lives.
+/// Removes expired answers and records periodically. Never returns.
 pub async fn sweep(node: Arc<Node>) {
     loop {
         remove_expired(&node);
--- a/crates/keeljunction/src/node/mod.rs
+++ b/crates/keeljunction/src/node/mod.rs
@@ -1,25 +1,25 @@
-//! What a node knows and does.
+//! The entry node: admission, routing, replication and membership.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
-//! | [`state`] | what a node knows |
-//! | [`request`], [`answer`] | a request, and its answer as it grows |
-//! | [`accept`] | takes a request, or refuses it at once |
-//! | [`grant`], [`shard`] | asks the owner of a shard for a backend server; is the owner |
-//! | [`relay`], [`attempt`] | carries a request through as many attempts as it may have |
-//! | [`ending`] | ends an answer, and records it with its claim |
-//! | [`copy`], [`takeover`] | keeps a request's record at a peer; goes on with a gone node's requests |
-//! | [`find`] | finds the answer of a caller that comes back |
-//! | [`claims`] | lets an unrepeatable request run at most once |
-//! | [`gossip`], [`adoption`], [`watch`] | membership, the bundle in force, the VM list and notices |
-//! | [`control`], [`lease`] | does what only one node may do, under a lease |
-//! | [`order`], [`fleet`] | orders engines to load models; starts VMs |
-//! | [`departure`] | moves streams off VMs that are going away |
-//! | [`service`] | answers peers |
-//! | [`settlement`] | reports to owners of shards which grants are used and released |
-//! | [`housekeeping`] | forgets what is old |
-//! | [`serve`] | starts it all |
-//! | [`stop`] | stops without cutting anything |
+//! | [`state`] | state shared by all modules |
+//! | [`request`], [`answer`] | a request, and its answer while it is generated |
+//! | [`accept`] | admission of requests |
+//! | [`grant`], [`shard`] | grants of backend servers; the queue of a shard |
+//! | [`relay`], [`attempt`] | attempts of a request, with failover and migration |
+//! | [`ending`] | end of an answer, recorded with its claim |
+//! | [`copy`], [`takeover`] | replication of records; takeover of a dead node's requests |
+//! | [`find`] | search for the answer of a client that reconnects |
+//! | [`claims`] | claims, which make unrepeatable requests run at most once |
+//! | [`gossip`], [`adoption`], [`watch`] | membership, the active bundle, the VM list and notices |
+//! | [`control`], [`lease`] | control loop of a service, under a lease |
+//! | [`order`], [`fleet`] | orders to engines to load models; VM starts |
+//! | [`departure`] | draining of VMs that are being reclaimed |
+//! | [`service`] | calls from peers |
+//! | [`settlement`] | reports of used and released grants to shard owners |
+//! | [`housekeeping`] | removal of expired answers and records |
+//! | [`serve`] | startup |
+//! | [`stop`] | graceful shutdown |
 
 pub mod accept;
 pub mod adoption;
--- a/crates/keeljunction/src/node/serve.rs
+++ b/crates/keeljunction/src/node/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a node and runs it until it has stopped.
+//! Startup of a node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,21 +18,23 @@
 use crate::runtime;
 use crate::settings::Settings;
 
-/// Time for responses in flight to be written out at the very end.
+/// Time for responses in flight to be written at the end of the shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after the last answer in which answers still carry `Connection: close`: one
-/// that has just read its answer may be about to ask again on the same connection.
+/// Time after the last answer in which responses still carry `Connection: close`.
+///
+/// A client that has just read its answer may be about to send the next request on the same
+/// connection.
 const FINAL_GRACE_PERIOD: Duration = Duration::from_millis(250);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where a node listens, as it says on standard output once it does.
+/// The addresses that a node listens on. The node prints them to standard output at startup.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listening {
-    /// For callers.
+    /// The address for clients.
     pub caller: SocketAddr,
-    /// For peers.
+    /// The address for peers.
     pub peer: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operator: SocketAddr,
 }
 
@@ -40,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`ErrorKind::Unavailable`] where an address cannot be listened at.
+/// Returns [`ErrorKind::Unavailable`] if an address cannot be bound.
 pub async fn serve(settings: Settings) -> Result<(), Error> {
     let listen = settings.listen.clone();
     let limits =
@@ -65,7 +67,7 @@
         operators.serve(move |request| caller::operator(operator_node.clone(), request)),
     );
     println!("{}", serde_json::to_string(&listening).unwrap_or_default());
-    log::info!("node {} listens: {listening:?}", node.get_name());
+    log::info!("node {} is listening: {listening:?}", node.get_name());
     runtime::spawn(wait_for_signal(node.clone()));
     node.stopped.wait().await;
     runtime::sleep(FINAL_GRACE_PERIOD).await;
@@ -76,7 +78,7 @@
         }
     });
     if flushed.await.is_none() {
-        log::warn!("{} connections were still open at the end", connections.get());
+        log::warn!("{} connections were still open at shutdown", connections.get());
     }
     log::info!("node {} has stopped", node.get_name());
     Ok(())
@@ -98,7 +100,7 @@
 async fn wait_for_signal(node: Arc<Node>) {
     let signals = match Signals::new([Signal::Term, Signal::Int]) {
         Ok(signals) => signals,
-        Err(error) => return log::error!("no signals can be had: {error}"),
+        Err(error) => return log::error!("could not register signal handlers: {error}"),
     };
     let mut signals = signals;
     if signals.next().await.is_some() {
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -1,4 +1,4 @@
-//! Answers peers.
+//! The peer service: calls from other nodes.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::peer::wire::peer_server::Peer;
 use crate::runtime;
 
-/// Answers peers for a node.
+/// The peer service of a node.
 pub struct Service {
     node: Arc<Node>,
 }
 
 impl Service {
-    /// Answers peers for a node.
+    /// Creates the peer service of a node.
     pub fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Holds a record, or takes news of one in.
+/// Stores a record, or applies progress to a stored one. Returns `true` if it was accepted.
 fn hold(node: &Arc<Node>, message: wire::HoldRequest) -> bool {
     let Some(record) = message.record else { return false };
     let id: Id = (record.account.clone(), record.key.clone());
@@ -238,7 +238,9 @@
     }
 }
 
-/// Takes in which grants of a node are used, given back and kept; false from a node that is not the owner.
+/// Applies a report of the grants that a node uses, has released and still holds.
+///
+/// Returns `true` if this node owns the shard.
 pub fn settle(node: &Arc<Node>, message: wire::SettleRequest) -> bool {
     let key: ShardKey = (message.service, message.shard);
     let Some(shard) = grant::owned_shard(node, &key) else { return false };
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows.
+//! The state of a node, shared by all modules.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -27,69 +27,70 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const DEAD_MEMBER_RETENTION_MS: Millis = 600_000;
-/// Nodes that read the platform at the full rate on behalf of all.
+/// Nodes that read the platform at the full rate. The others receive the data from their peers.
 const FULL_RATE_READERS: usize = 3;
-/// The window in which retries are counted against first tries, as in the examples' settings.
+/// The window of the retry budget, in milliseconds; the same as in the example settings.
 const RETRY_BUDGET_WINDOW_MS: Millis = 10_000;
-/// How many times more seldom the others read it.
+/// The factor by which the other nodes read it less often.
 const REDUCED_RATE_DIVISOR: u64 = 10;
 
-/// The bundle in force, with the roll that put it there.
+/// The active bundle, with the roll that activated it.
 #[derive(Debug)]
 pub struct ActiveBundle {
     /// The roll.
     pub roll: Roll,
-    /// The body, as it was signed.
+    /// The signed body.
     pub body: Vec<u8>,
-    /// What it says.
+    /// The parsed body.
     pub document: Document,
 }
 
-/// A record that this node holds for another.
+/// A record that this node holds for another node.
 #[derive(Clone, Debug)]
 pub struct HeldRecord {
     /// The record.
     pub record: wire::Record,
-    /// When it came, on this node's clock.
+    /// The time of arrival, on this node's clock.
     pub since: Millis,
-    /// When the request's answer is of no more use.
+    /// The deadline of the request.
     pub deadline: Millis,
 }
 
 impl HeldRecord {
-    /// Returns `true` if the request has ended without its answer, so that asking again begins anew.
+    /// Returns `true` if the request ended without an answer. A repeated request then starts
+    /// afresh.
     pub fn is_failed(&self) -> bool {
         self.record.r#final.as_ref().is_some_and(|ended| ended.outcome != Outcome::Done.as_str())
     }
 }
 
-/// One node.
+/// An entry node.
 pub struct Node {
     /// The node's settings.
     pub settings: Settings,
     /// The node's clock.
     pub clock: Clock,
-    /// Counts and times.
+    /// The metrics.
     pub metric: Metric,
-    /// The platform.
+    /// The client for the platform.
     pub platform: platform::Client,
     /// The client for backend servers.
     pub http: http::Client,
-    /// The connections to peers.
+    /// The connection pool for peers.
     pub peers: Pool,
-    /// The nodes that are known.
+    /// The known nodes.
     pub members: Mutex<List>,
-    /// The backend servers that are known.
+    /// The known backend servers.
     pub directory: Mutex<Directory>,
-    /// The requests that this node runs or ran.
+    /// The answers of current and recent requests.
     pub answers: Mutex<HashMap<Id, Arc<Answer>>>,
     /// The records held for other nodes.
     pub records: Mutex<HashMap<Id, HeldRecord>>,
-    /// Queues of shards, and grants that are out.
+    /// The queues of shards, and the grants that this node holds.
     pub grants: GrantTable,
-    /// Claims waiting to be written.
+    /// The claims that are waiting to be written.
     pub claims: Claims,
-    /// Given once the node has stopped.
+    /// Sent once the node has stopped.
     pub stopped: http::StopSignal,
     urgent: (Sender<()>, Receiver<()>),
     active: Mutex<Option<Arc<ActiveBundle>>>,
@@ -101,7 +102,7 @@
 }
 
 impl Node {
-    /// Makes a node that knows only itself. Its peers reach it at `peer_address`.
+    /// Creates a node that knows only itself. Its peers connect to `peer_address`.
     pub fn new(settings: Settings, peer_address: String) -> Arc<Self> {
         let clock = Clock::new();
         let local = Member {
@@ -156,17 +157,17 @@
         self.clock.now()
     }
 
-    /// Returns the bundle in force.
+    /// Returns the active bundle.
     pub fn get_active_bundle(&self) -> Option<Arc<ActiveBundle>> {
         runtime::lock(&self.active).clone()
     }
 
-    /// Returns the number of the roll in force; 0 where there is none.
+    /// Returns the number of the active roll, or 0 if there is none.
     pub fn get_roll(&self) -> u64 {
         self.get_active_bundle().map_or(0, |active| active.roll.number)
     }
 
-    /// Puts a bundle in force if its roll is newer; returns `true` if it did.
+    /// Activates a bundle if its roll is newer. Returns `true` if it was activated.
     pub fn activate(&self, active: ActiveBundle) -> bool {
         use keeljunction_core::bundle::{Adoption, adopt};
         let mut current = runtime::lock(&self.active);
@@ -178,13 +179,13 @@
         true
     }
 
-    /// Has a few peers notified at once of what is new.
+    /// Schedules an urgent update to a few peers.
     pub fn notify_peers(&self) {
-        // One notification that waits already covers this one.
+        // A pending notification already covers this one.
         let _ = self.urgent.0.try_send(());
     }
 
-    /// Waits until peers must be notified at once; `false` once that cannot be any more.
+    /// Waits until an urgent update is scheduled. Returns `false` if the channel is closed.
     pub async fn wait_for_urgent_update(&self) -> bool {
         self.urgent.1.recv().await.is_ok()
     }
@@ -194,15 +195,16 @@
         runtime::lock(&self.directory).is_leaving(server)
     }
 
-    /// Returns the names and data centres of the nodes that may be given work.
+    /// Returns the names and data centres of the nodes that can be given work.
     pub fn usable_nodes(&self) -> Vec<(String, String)> {
         let members = runtime::lock(&self.members);
         members.iter_usable().map(|m| (m.name.clone(), m.data_centre.clone())).collect()
     }
 
-    /// Returns `true` if it is this node's turn to read something of the platform that all nodes want.
+    /// Returns `true` if this node must read `what` from the platform in this round.
     ///
-    /// A few nodes read it each time, the others far more seldom: they hear of it from their peers.
+    /// A few nodes read it in each round. The others read it less often, because their peers tell
+    /// them of changes.
     pub fn is_read_due(&self, what: &str, round: u64) -> bool {
         let nodes = self.usable_nodes();
         let order = rendezvous::rank(what, nodes.iter().map(|(name, _)| name.as_str()));
@@ -211,25 +213,26 @@
         is_full_rate_reader || round.is_multiple_of(REDUCED_RATE_DIVISOR)
     }
 
-    /// Returns where a node is reached by its peers.
+    /// Returns the peer address of a node.
     pub fn get_peer_address(&self, name: &str) -> Option<String> {
         runtime::lock(&self.members).get(name).map(|member| member.address.clone())
     }
 
-    /// Counts a first try of a service.
+    /// Adds a first attempt to the retry budget of a service.
     pub fn count_first_attempt(&self, service: &str) {
         runtime::lock(&self.budget).count_request(self.now(), service);
     }
 
-    /// Takes one retry of a service, if its budget allows it.
+    /// Takes one retry from the budget of a service. Returns `false` if the budget is exhausted.
     pub fn take_retry(&self, service: &str) -> bool {
-        // The settings speak of each node by itself.
+        // The settings define the budget of each node, so it is not shared.
         let is_allowed = runtime::lock(&self.budget).take(self.now(), service, 1);
         self.metric.count(if is_allowed { "retries" } else { "retries_denied" }, 1);
         is_allowed
     }
 
-    /// Takes a seat for a request of an account; `None` where all are taken.
+    /// Acquires a permit for a request of an account. Returns `None` if an in-flight limit is
+    /// reached.
     pub fn try_acquire_permit(self: &Arc<Self>, account: &str) -> Option<RequestPermit> {
         let limits = &self.settings.limits;
         let mut in_flight = runtime::lock(&self.in_flight);
@@ -242,7 +245,7 @@
         Some(RequestPermit { node: self.clone(), account: account.to_owned() })
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn get_running(&self) -> usize {
         self.running.load(Ordering::SeqCst)
     }
@@ -252,34 +255,34 @@
         self.is_stopping.load(Ordering::SeqCst)
     }
 
-    /// Notes that the node is stopping; returns false where that was known.
+    /// Marks the node as stopping. Returns `false` if it was stopping already.
     pub fn set_stopping(&self) -> bool {
         !self.is_stopping.swap(true, Ordering::SeqCst)
     }
 
-    /// Returns `true` if the node takes nothing new.
+    /// Returns `true` if the node rejects new requests.
     pub fn is_closed(&self) -> bool {
         self.is_closed.load(Ordering::SeqCst)
     }
 
-    /// Notes that the node takes nothing new.
+    /// Makes the node reject new requests.
     pub fn close(&self) {
         self.is_closed.store(true, Ordering::SeqCst);
     }
 
-    /// Explains why the node is not ready; `None` where it is.
+    /// Returns why the node is not ready, or `None` if it is ready.
     pub fn get_unready_reason(&self) -> Option<&'static str> {
         if self.is_stopping() {
             return Some("the node is stopping");
         }
         if self.get_active_bundle().is_none() {
-            return Some("no bundle is in force: neither the platform nor a peer has given one");
+            return Some("no bundle is active: none was received from the platform or a peer");
         }
         None
     }
 }
 
-/// A place among the requests in flight, given back when dropped.
+/// A permit for one request in flight. Dropping it releases the permit.
 pub struct RequestPermit {
     node: Arc<Node>,
     account: String,
--- a/crates/keeljunction/src/node/stop.rs
+++ b/crates/keeljunction/src/node/stop.rs
@@ -1,8 +1,8 @@
-//! Stops without cutting anything.
+//! Graceful shutdown.
 //!
-//! The node says that it is not ready and that it leaves, goes on taking requests for a moment
-//! until the balancer has seen it, lets what is in flight finish, and gives up to the holders of
-//! their records what would outlast the time that is left.
+//! The node reports that it is not ready and leaving, and accepts requests for a grace period until
+//! the load balancer has noticed. It then drains the requests in flight, and hands over those that
+//! would exceed the time limit to the holders of their records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use super::{Answer, Node, copy};
 use crate::runtime;
 
-/// Time kept at the end for handing requests over.
+/// Time reserved at the end for handing over requests.
 const HANDOVER_RESERVE: Duration = Duration::from_millis(500);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Begins to stop, within a time; a second call changes nothing.
+/// Starts the shutdown. A second call has no effect.
 pub fn begin(node: &Arc<Node>, time_limit: Duration) {
     if !node.set_stopping() {
         return;
@@ -42,7 +42,7 @@
     for answer in unfinished(node) {
         let is_handed_over = copy::hand_over(node, &answer).await;
         node.metric.count("requests_handed_over", 1);
-        log::info!("handed over {}: {is_handed_over}", answer.request.key);
+        log::info!("handover of request {}: accepted={is_handed_over}", answer.request.key);
     }
 }
 
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list and notices, and the load of backend servers.
+//! Polling of the VM list, the reclaim notices and the load of backend servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,12 +15,13 @@
 use crate::platform::{Role, Vm, VmState};
 use crate::runtime;
 
-/// A VM that is listed as leaving without a notice is taken to be gone after this time.
+/// Time until a VM that is listed as leaving without a notice is assumed to be gone, in
+/// milliseconds.
 const ASSUMED_NOTICE_MS: u64 = 30_000;
-/// The key whose succession list says who reads the VM list and the notices.
+/// The key whose succession list selects the nodes that read the VM list and the notices.
 const WATCH_KEY: &str = "vms";
 
-/// Reads the VM list and the notices for as long as the process lives.
+/// Polls the VM list and the notices. Never returns.
 pub async fn run_vms(node: Arc<Node>) {
     let mut round: u64 = 0;
     loop {
@@ -35,7 +36,7 @@
 async fn read_vms(node: &Arc<Node>) {
     match node.platform.vms().await {
         Ok(vms) => apply_vms(node, vms),
-        Err(fault) => log::debug!("the VM list was not read: {fault}"),
+        Err(fault) => log::debug!("could not read the VM list: {fault}"),
     }
     match node.platform.notices().await {
         Ok(notices) => {
@@ -44,11 +45,11 @@
                 departure::apply(node, &Departure { server: notice.vm, gone_at });
             }
         }
-        Err(fault) => log::debug!("the notices were not read: {fault}"),
+        Err(fault) => log::debug!("could not read the notices: {fault}"),
     }
 }
 
-/// Reads the load of the servers of this node's queues for as long as the process lives.
+/// Polls the load of the servers in this node's queues. Never returns.
 pub async fn run_loads(node: Arc<Node>) {
     loop {
         for shards in [&node.grants.owned, &node.grants.fallback] {
