--- a/crates/keeljunction/src/caller/check.rs
+++ b/crates/keeljunction/src/caller/check.rs
@@ -1,4 +1,4 @@
-//! Authenticates a caller's request and checks it, before anything is done for it.
+//! Authentication and validation of client requests, before admission.
 
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -15,46 +15,46 @@
 use crate::node::state::ActiveBundle;
 use crate::node::{Node, Request};
 
-const CLASS: &str = "keeljunction-class";
-const KEY: &str = "idempotency-key";
-const LAST_EVENT: &str = "last-event-id";
-const LONGEST_KEY: usize = 128;
-const SERVICES: &str = "/services/";
-const COMPLETIONS: &str = "/v1/completions";
-const CHAT: &str = "/v1/chat/completions";
-/// Headers of callers that plain services get.
-const PASSED: [&str; 3] = ["content-type", "accept", "accept-language"];
-
-/// A request that was checked, and how its answer is to be given.
-pub struct Checked {
+const CLASS_HEADER: &str = "keeljunction-class";
+const KEY_HEADER: &str = "idempotency-key";
+const LAST_EVENT_ID_HEADER: &str = "last-event-id";
+const MAX_KEY_LENGTH: usize = 128;
+const SERVICES_PREFIX: &str = "/services/";
+const COMPLETIONS_PATH: &str = "/v1/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
+/// Client headers that are forwarded to plain services.
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "accept", "accept-language"];
+
+/// A valid request, and how to respond to it.
+pub struct ValidRequest {
     /// The request.
     pub request: Request,
-    /// How the caller names it.
+    /// Where the key of the request comes from.
     pub key_source: KeySource,
-    /// The offset from which the caller wants the answer.
+    /// The offset of the first token to send.
     pub offset: u64,
-    /// The model, for a model request.
+    /// The model; empty for a plain service.
     pub model: String,
-    /// Whether the caller speaks of messages.
+    /// Whether the request uses the chat API.
     pub is_chat: bool,
 }
 
-/// Where a path leads.
+/// The route that a path matches.
 enum Route<'a> {
     Model,
     Plain { service: &'a str, path: String },
 }
 
-/// Checks a request whole.
+/// Validates a request.
 ///
 /// # Errors
 ///
-/// Returns the [`Problem`] to answer with; nothing was dispatched.
+/// Returns the [`Problem`] to respond with. The request was not sent to a server.
 pub async fn check(
     node: &Node,
     active: &ActiveBundle,
     request: HttpRequest<Incoming>,
-) -> Result<Checked, Problem> {
+) -> Result<ValidRequest, Problem> {
     let bundle = &active.document;
     let (head, body) = request.into_parts();
     let (group, account) = authenticate(bundle, &head.headers)?;
@@ -74,7 +74,7 @@
     let is_model = service.kind == Kind::Model;
     let prompt = if is_model { Prompt::read(&parsed) } else { Prompt::default() };
     let digest = digest(head.method.as_str(), &path, &body);
-    let headers = PASSED.iter().filter_map(|name| {
+    let headers = FORWARDED_HEADERS.iter().filter_map(|name| {
         Some(((*name).to_owned(), head.headers.get(*name)?.to_str().ok()?.to_owned()))
     });
     let request = Request {
@@ -95,17 +95,20 @@
     };
     let key_source = if offset > 0 { KeySource::Resumption } else { key_source };
     let model = parsed["model"].as_str().unwrap_or_default().to_owned();
-    Ok(Checked { request, key_source, offset, model, is_chat: uri.starts_with(CHAT) })
+    Ok(ValidRequest { request, key_source, offset, model, is_chat: uri.starts_with(CHAT_PATH) })
 }
 
 fn authenticate(bundle: &Document, headers: &HeaderMap) -> Result<(String, String), Problem> {
-    let shown = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let credential = shown.and_then(|value| value.strip_prefix("Bearer ")).ok_or_else(|| {
-        Problem::refused(StatusCode::UNAUTHORIZED, "no credential; send Authorization: Bearer ...")
+    let header = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let credential = header.and_then(|value| value.strip_prefix("Bearer ")).ok_or_else(|| {
+        Problem::refused(
+            StatusCode::UNAUTHORIZED,
+            "missing credential; send Authorization: Bearer ...",
+        )
     })?;
     let digest = bundle::digest(credential.trim().as_bytes());
     let found = bundle.get_account(&digest).ok_or_else(|| {
-        Problem::refused(StatusCode::UNAUTHORIZED, "no client account has this credential")
+        Problem::refused(StatusCode::UNAUTHORIZED, "no client account matches this credential")
     })?;
     Ok((found.0.name.clone(), found.1.name.clone()))
 }
@@ -113,84 +116,89 @@
 fn find_class<'a>(bundle: &'a Document, headers: &HeaderMap) -> Result<&'a Class, Problem> {
     let names: Vec<&str> = bundle.classes.iter().map(|class| class.name.as_str()).collect();
     let allowed = names.join(", ");
-    let Some(name) = header(headers, CLASS) else {
-        let detail = format!("no request class; send Keeljunction-Class, one of: {allowed}");
+    let Some(name) = header(headers, CLASS_HEADER) else {
+        let detail =
+            format!("missing request class; send Keeljunction-Class with one of: {allowed}");
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     };
     bundle.get_class(name).ok_or_else(|| {
-        let detail = format!("no request class {name:?}; possible values: {allowed}");
+        let detail = format!("unknown request class {name:?}; possible values: {allowed}");
         Problem::refused(StatusCode::BAD_REQUEST, detail)
     })
 }
 
 fn find_key(headers: &HeaderMap, class: &Class) -> Result<(String, KeySource), Problem> {
-    match header(headers, KEY) {
-        Some(key) if is_key(key) => Ok((key.to_owned(), KeySource::Client)),
+    match header(headers, KEY_HEADER) {
+        Some(key) if is_valid_key(key) => Ok((key.to_owned(), KeySource::Client)),
         Some(_) => {
-            let detail = "Idempotency-Key takes 1 to 128 of A-Z a-z 0-9 . _ : -";
+            let detail = "invalid Idempotency-Key; use 1 to 128 characters of A-Z a-z 0-9 . _ : -";
             Err(Problem::refused(StatusCode::BAD_REQUEST, detail))
         }
         None if class.repeatable => Ok((Uuid::new_v4().to_string(), KeySource::Generated)),
         None => {
-            let detail =
-                "a request of this class runs at most once; send an Idempotency-Key with it";
+            let detail = "requests of this class run at most once and require an Idempotency-Key";
             Err(Problem::refused(StatusCode::BAD_REQUEST, detail))
         }
     }
 }
 
-fn is_key(key: &str) -> bool {
-    let is_fit = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
-    (1..=LONGEST_KEY).contains(&key.len()) && key.bytes().all(is_fit)
+fn is_valid_key(key: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
+    (1..=MAX_KEY_LENGTH).contains(&key.len()) && key.bytes().all(is_allowed)
 }
 
-/// Reads the offset after the last event that the caller has.
+/// Returns the offset after the last event that the client has received.
 fn find_offset(headers: &HeaderMap) -> Result<u64, Problem> {
-    let Some(last) = header(headers, LAST_EVENT) else { return Ok(0) };
+    let Some(last) = header(headers, LAST_EVENT_ID_HEADER) else { return Ok(0) };
     let last: u64 = last.parse().map_err(|_| {
         Problem::refused(
             StatusCode::BAD_REQUEST,
-            "Last-Event-ID takes the id of an event of the answer",
+            "invalid Last-Event-ID; send the id of an event of the answer",
         )
     })?;
     Ok(last.saturating_add(1))
 }
 
 fn find_route<'a>(method: &Method, path: &'a str, uri: &str) -> Result<Route<'a>, Problem> {
-    if path == COMPLETIONS || path == CHAT {
+    if path == COMPLETIONS_PATH || path == CHAT_PATH {
         if method != Method::POST {
-            return Err(Problem::refused(StatusCode::METHOD_NOT_ALLOWED, "this path takes POST"));
+            return Err(Problem::refused(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "this path requires POST",
+            ));
         }
         return Ok(Route::Model);
     }
-    let Some(rest) = path.strip_prefix(SERVICES) else {
-        let detail = format!("no such path; possible: {COMPLETIONS}, {CHAT}, {SERVICES}NAME/...");
+    let Some(rest) = path.strip_prefix(SERVICES_PREFIX) else {
+        let detail = format!(
+            "unknown path; possible values: {COMPLETIONS_PATH}, {CHAT_PATH}, {SERVICES_PREFIX}NAME/..."
+        );
         return Err(Problem::refused(StatusCode::NOT_FOUND, detail));
     };
     let service = rest.split('/').next().unwrap_or_default();
-    let path = &uri[SERVICES.len() + service.len()..];
+    let path = &uri[SERVICES_PREFIX.len() + service.len()..];
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     Ok(Route::Plain { service, path })
 }
 
 async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Problem> {
-    let most = node.settings.limits.body_bytes;
-    http::read_body(body, most).await.ok_or_else(|| {
-        let detail = format!("the body is longer than {most} bytes, or broke off");
+    let max_bytes = node.settings.limits.body_bytes;
+    http::read_body(body, max_bytes).await.ok_or_else(|| {
+        let detail = format!("the body is longer than {max_bytes} bytes or incomplete");
         Problem::refused(StatusCode::PAYLOAD_TOO_LARGE, detail)
     })
 }
 
 fn parse_body(body: &[u8]) -> Result<Value, Problem> {
     let parsed: Value = serde_json::from_slice(body).map_err(|error| {
-        Problem::refused(StatusCode::BAD_REQUEST, format!("the body is not JSON: {error}"))
+        Problem::refused(StatusCode::BAD_REQUEST, format!("the body is not valid JSON: {error}"))
     })?;
     if !parsed.is_object() {
         return Err(Problem::refused(StatusCode::BAD_REQUEST, "the body is not a JSON object"));
     }
     let has_prompt = parsed["prompt"].is_string() || parsed["messages"].is_array();
     if !has_prompt {
-        let detail = "no prompt; send prompt as text, or messages as a list";
+        let detail = "missing prompt; send `prompt` as a string or `messages` as an array";
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     }
     Ok(parsed)
@@ -200,11 +208,11 @@
     let models = bundle.services.iter().flat_map(|service| &service.models);
     let names: Vec<&str> = models.map(|model| model.name.as_str()).collect();
     let Some(name) = body["model"].as_str() else {
-        let detail = format!("no model; possible values: {}", names.join(", "));
+        let detail = format!("missing model; possible values: {}", names.join(", "));
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     };
     bundle.get_model_service(name).ok_or_else(|| {
-        let detail = format!("no model {name:?}; possible values: {}", names.join(", "));
+        let detail = format!("unknown model {name:?}; possible values: {}", names.join(", "));
         Problem::refused(StatusCode::NOT_FOUND, detail)
     })
 }
@@ -214,7 +222,8 @@
     service.ok_or_else(|| {
         let plain = bundle.services.iter().filter(|service| service.kind == Kind::Plain);
         let names: Vec<&str> = plain.map(|service| service.name.as_str()).collect();
-        let detail = format!("no plain service {name:?}; possible values: {}", names.join(", "));
+        let detail =
+            format!("unknown plain service {name:?}; possible values: {}", names.join(", "));
         Problem::refused(StatusCode::NOT_FOUND, detail)
     })
 }
--- a/crates/keeljunction/src/caller/event.rs
+++ b/crates/keeljunction/src/caller/event.rs
@@ -1,35 +1,35 @@
-//! Answers of models, as events or as one document.
+//! Model answers as server-sent events or as one JSON document.
 
 use serde::Serialize;
 use serde_json::json;
 
-/// What an answer is called towards the caller.
+/// The fields of a response that do not change with each token.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Envelope {
     /// The request key.
     pub key: String,
     /// The model.
     pub model: String,
-    /// Whether the caller speaks of messages or of a prompt.
+    /// Whether the request uses the chat API.
     pub is_chat: bool,
 }
 
 /// The event that ends a stream.
-pub const LAST: &str = "data: [DONE]\n\n";
+pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-impl Shape {
-    /// Writes one token as an event. Its id is the offset, to come back with.
+impl Envelope {
+    /// Formats one token as an event. The event ID is the offset, for `Last-Event-ID`.
     pub fn token(&self, offset: u64, text: &str) -> String {
         format!("id: {offset}\ndata: {}\n\n", self.chunk(Some(text), None))
     }
 
-    /// Writes the event after the last token.
+    /// Formats the event after the last token.
     pub fn finish(&self) -> String {
         format!("data: {}\n\n", self.chunk(None, Some("stop")))
     }
 
-    /// Writes the whole answer as one document.
-    pub fn whole(&self, text: &str, tokens: u64) -> String {
+    /// Formats the complete answer as one JSON document.
+    pub fn document(&self, text: &str, tokens: u64) -> String {
         let choice = match self.is_chat {
             true => {
                 json!({ "index": 0, "message": { "role": "assistant", "content": text }, "finish_reason": "stop" })
@@ -60,7 +60,7 @@
     }
 }
 
-/// A part of an answer, as the usual protocol has it.
+/// A chunk of an answer, as in the OpenAI completions API.
 #[derive(Serialize)]
 struct Chunk<'a> {
     id: &'a str,
--- a/crates/keeljunction/src/caller/handler.rs
+++ b/crates/keeljunction/src/caller/handler.rs
@@ -1,4 +1,4 @@
-//! Answers callers.
+//! The handler of client requests.
 
 use std::io;
 use std::sync::Arc;
@@ -11,24 +11,24 @@
 use hyper::{Request, Response, StatusCode};
 use keeljunction_core::outcome::Outcome;
 
-use super::check::{self, Checked};
-use super::event::{LAST, Shape};
+use super::check::{self, ValidRequest};
+use super::event::{DONE_EVENT, Envelope};
 use super::problem::{Problem, respond};
 use crate::http::Body;
 use crate::node::{Answer, Node, accept};
 use crate::peer::wire::Final;
 use crate::runtime;
 
-/// Pieces that wait for a slow reader.
-const WAITING_PIECES: usize = 4;
-/// When to come back to another node, in milliseconds.
-const CLOSED_RETRY_MS: u64 = 1_000;
-const KEY: &str = "idempotency-key";
+/// Pieces that are buffered for a slow client.
+const CHANNEL_CAPACITY: usize = 4;
+/// Retry delay sent while this node stops or is not ready. The client then reaches another node.
+const STOPPING_RETRY_AFTER_MS: u64 = 1_000;
+const KEY_HEADER: &str = "idempotency-key";
 
-/// Answers one request of a caller.
+/// Handles one client request.
 ///
-/// A node that is stopping closes each connection after its response, so that no caller is about
-/// to use one again when the node ends.
+/// A node that is stopping closes each connection after its response, so that no client reuses a
+/// connection while the node exits.
 pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let mut response = respond_to(&node, request).await;
     if node.is_stopping() {
@@ -41,55 +41,55 @@
     let started = node.now();
     node.metric.count("requests", 1);
     if node.is_closed() {
-        return closed(node);
+        return reject_stopping(node);
     }
     let Some(active) = node.get_active_bundle() else {
         let why = node.get_unready_reason().unwrap_or("not ready");
         let problem = Problem::refused(StatusCode::SERVICE_UNAVAILABLE, why);
-        return respond(&problem.retry_after(CLOSED_RETRY_MS));
+        return respond(&problem.retry_after(STOPPING_RETRY_AFTER_MS));
     };
-    let checked = match check::check(node, &active, request).await {
-        Ok(checked) => checked,
+    let valid = match check::check(node, &active, request).await {
+        Ok(valid) => valid,
         Err(problem) => {
             node.metric.count("requests_bad", 1);
             return respond(&problem);
         }
     };
-    let response = give(node, checked).await;
+    let response = handle(node, valid).await;
     node.metric.time("head_ms", node.now() - started);
     response
 }
 
-/// A node that takes nothing more refuses at once.
-fn closed(node: &Node) -> Response<Body> {
+/// Rejects a request because the node accepts no new ones.
+fn reject_stopping(node: &Node) -> Response<Body> {
     node.metric.count("requests_refused", 1);
     let problem = Problem::refused(StatusCode::SERVICE_UNAVAILABLE, "this node is stopping");
-    respond(&problem.retry_after(CLOSED_RETRY_MS))
+    respond(&problem.retry_after(STOPPING_RETRY_AFTER_MS))
 }
 
-async fn give(node: &Arc<Node>, checked: Checked) -> Response<Body> {
-    let Checked { request, key_source, offset, model, is_chat } = checked;
+async fn handle(node: &Arc<Node>, valid: ValidRequest) -> Response<Body> {
+    let ValidRequest { request, key_source, offset, model, is_chat } = valid;
     let is_model = request.is_model();
     let stream = request.stream;
-    let shape = Shape { key: request.key.clone(), model, is_chat };
+    let envelope = Envelope { key: request.key.clone(), model, is_chat };
     let answer = accept::accept(node, request, key_source);
     let mut response = if is_model && stream {
         match answer.wait_accepted().await {
             Some(ended) if !is_done(&ended) && answer.get_length() == 0 => {
                 respond(&Problem::from_final(&ended))
             }
-            _ => events(node, answer, shape.clone(), offset),
+            _ => event_stream(node, answer, envelope.clone(), offset),
         }
     } else {
         let ended = answer.wait_ended().await;
         match is_done(&ended) {
             false => respond(&Problem::from_final(&ended)),
-            true if is_model => whole(&answer, &shape, &ended),
-            true => plain(ended),
+            true if is_model => json_response(&answer, &envelope, &ended),
+            true => plain_response(ended),
         }
     };
-    if let Ok(key) = HeaderValue::from_str(&shape.key) {
-        response.headers_mut().insert(KEY, key);
+    if let Ok(key) = HeaderValue::from_str(&envelope.key) {
+        response.headers_mut().insert(KEY_HEADER, key);
     }
     response
 }
@@ -98,7 +98,7 @@
     ended.outcome == Outcome::Done.as_str()
 }
 
-fn plain(ended: Final) -> Response<Body> {
+fn plain_response(ended: Final) -> Response<Body> {
     let mut response = Response::new(Body::from(ended.body));
     *response.status_mut() =
         StatusCode::from_u16(ended.status as u16).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -108,25 +108,33 @@
     response
 }
 
-fn whole(answer: &Answer, shape: &Shape, ended: &Final) -> Response<Body> {
+fn json_response(answer: &Answer, envelope: &Envelope, ended: &Final) -> Response<Body> {
     let mut tokens = answer.get_since(0).tokens;
     if tokens.is_empty() && !ended.body.is_empty() {
         tokens.push(String::from_utf8_lossy(&ended.body).into_owned());
     }
     let mut response =
-        Response::new(Body::from(shape.whole(&tokens.concat(), tokens.len() as u64)));
+        Response::new(Body::from(envelope.document(&tokens.concat(), tokens.len() as u64)));
     response.headers_mut().insert("content-type", HeaderValue::from_static("application/json"));
     response
 }
 
-/// Gives an answer as events, from an offset on.
-fn events(node: &Arc<Node>, answer: Arc<Answer>, shape: Shape, offset: u64) -> Response<Body> {
-    let (sender, receiver) = async_channel::bounded(WAITING_PIECES);
+/// Responds with an answer as events, starting at an offset.
+fn event_stream(
+    node: &Arc<Node>,
+    answer: Arc<Answer>,
+    envelope: Envelope,
+    offset: u64,
+) -> Response<Body> {
+    let (sender, receiver) = async_channel::bounded(CHANNEL_CAPACITY);
     let node = node.clone();
     runtime::spawn(async move {
-        if write(&node, &answer, &shape, offset, &sender).await.is_none() {
+        if write(&node, &answer, &envelope, offset, &sender).await.is_none() {
             node.metric.count("callers_cut", 1);
-            log::info!("the caller of {} did not take its answer in time or has gone", shape.key);
+            log::info!(
+                "request {}: the client disconnected or did not read its answer in time",
+                envelope.key
+            );
             let _ = sender.try_send(Err(io::Error::from(io::ErrorKind::TimedOut)));
         }
     });
@@ -137,11 +145,11 @@
     response
 }
 
-/// Writes events as the answer grows; `None` where the caller is slow or has gone.
+/// Writes events as tokens arrive. Returns `None` if the client is too slow or has disconnected.
 async fn write(
     node: &Node,
     answer: &Answer,
-    shape: &Shape,
+    envelope: &Envelope,
     offset: u64,
     sender: &Sender<io::Result<Bytes>>,
 ) -> Option<()> {
@@ -151,22 +159,26 @@
         let update = answer.wait_beyond(offset).await;
         let mut text = String::new();
         for token in &update.tokens {
-            text.push_str(&shape.token(offset, token));
+            text.push_str(&envelope.token(offset, token));
             offset += 1;
         }
         if let Some(ended) = &update.ended {
-            text.push_str(&last(shape, ended, offset));
+            text.push_str(&final_events(envelope, ended, offset));
         }
         node.metric.count("tokens_relayed", update.tokens.len() as u64);
-        put(sender, Bytes::from(text), time).await?;
+        send_piece(sender, Bytes::from(text), time).await?;
         if update.ended.is_some() {
             return Some(());
         }
     }
 }
 
-/// Gives a piece to the connection; a timer is set only where it does not take it at once.
-async fn put(sender: &Sender<io::Result<Bytes>>, piece: Bytes, time: Duration) -> Option<()> {
+/// Sends a piece to the connection. A timer is set only if the channel is full.
+async fn send_piece(
+    sender: &Sender<io::Result<Bytes>>,
+    piece: Bytes,
+    time: Duration,
+) -> Option<()> {
     match sender.try_send(Ok(piece)) {
         Ok(()) => Some(()),
         Err(TrySendError::Closed(_)) => None,
@@ -174,14 +186,14 @@
     }
 }
 
-/// Writes what ends a stream. A recorded answer comes as one event.
-fn last(shape: &Shape, ended: &Final, offset: u64) -> String {
+/// Formats the events that end a stream. A recorded answer is sent as one event.
+fn final_events(envelope: &Envelope, ended: &Final, offset: u64) -> String {
     if !is_done(ended) {
         return format!("event: error\ndata: {}\n\n", Problem::from_final(ended).to_json());
     }
     let recorded = match offset {
-        0 if !ended.body.is_empty() => shape.token(0, &String::from_utf8_lossy(&ended.body)),
+        0 if !ended.body.is_empty() => envelope.token(0, &String::from_utf8_lossy(&ended.body)),
         _ => String::new(),
     };
-    format!("{recorded}{}{LAST}", shape.finish())
+    format!("{recorded}{}{DONE_EVENT}", envelope.finish())
 }
--- a/crates/keeljunction/src/caller/mod.rs
+++ b/crates/keeljunction/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP side towards callers, and the operator's page.
+//! The HTTP server for clients and operators.
 
 mod check;
 mod event;
--- a/crates/keeljunction/src/caller/operator.rs
+++ b/crates/keeljunction/src/caller/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's page: health, readiness, status, and a nudge to look for a new roll.
+//! The HTTP API for operators: health, readiness, status, and a trigger to read the roll.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,53 +15,54 @@
 use crate::peer::get_traffic;
 use crate::runtime;
 
-/// What a node says of itself.
+/// The status of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The node's name.
     pub node: String,
-    /// The data centre it stands in.
+    /// The data centre of the node.
     pub data_centre: String,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub ready: bool,
-    /// The number of the roll in force; 0 where there is none.
+    /// The number of the active roll, or 0 if there is none.
     pub roll: u64,
-    /// The version of the bundle in force.
+    /// The version of the active bundle.
     pub version: String,
-    /// Requests that run here.
+    /// The number of running requests.
     pub running: usize,
-    /// Records held for other nodes.
+    /// The number of records held for other nodes.
     pub records: usize,
-    /// The nodes it knows, and how it thinks they are.
+    /// The known nodes and their membership state.
     pub members: BTreeMap<String, String>,
-    /// The backend servers it knows, and whether they are leaving.
+    /// The known backend servers, and whether they are live or leaving.
     pub servers: BTreeMap<String, String>,
-    /// The shards that it owns, with grants out and requests waiting.
+    /// The owned shards, with the number of grants and of waiting requests.
     pub shards: BTreeMap<String, (usize, usize)>,
-    /// Bytes sent to peers and received from them since it was started.
+    /// The bytes sent to peers and received from them since startup.
     pub peer_bytes: (u64, u64),
-    /// Counts since it was started.
+    /// The counters since startup.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// Answers one request of an operator or health checker.
+/// Handles one request of an operator or health checker.
 pub async fn operator(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/healthz") => Response::new(Body::from("ok\n")),
-        (&Method::GET, "/readyz") => ready(&node),
+        (&Method::GET, "/readyz") => readiness(&node),
         (&Method::GET, "/status") => status(&node),
         (&Method::POST, "/nudge") => {
             adoption::read_roll(&node).await;
             Response::new(Body::from(format!("{}\n", node.get_roll())))
         }
         _ => {
-            let detail = "no such path; possible: GET /healthz, /readyz, /status, POST /nudge";
+            let detail =
+                "unknown path; possible values: GET /healthz, /readyz, /status, POST /nudge";
             respond(&Problem::refused(StatusCode::NOT_FOUND, detail))
         }
     }
 }
 
-fn ready(node: &Node) -> Response<Body> {
+fn readiness(node: &Node) -> Response<Body> {
     match node.get_unready_reason() {
         None => Response::new(Body::from("ready\n")),
         Some(why) => respond(&Problem::refused(StatusCode::SERVICE_UNAVAILABLE, why)),
--- a/crates/keeljunction/src/caller/problem.rs
+++ b/crates/keeljunction/src/caller/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents (RFC 9457) with the outcome.
+//! Problem documents (RFC 9457) with the outcome of the request.
 
 use hyper::{Response, StatusCode};
 use keeljunction_core::outcome::Outcome;
@@ -7,24 +7,24 @@
 use crate::http::Body;
 use crate::peer::wire::Final;
 
-/// A refusal or failure, as the caller reads it.
+/// A rejection or failure, as sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// A few words for the status.
+    /// The reason phrase of the status.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// What was wrong, the possible values, and a tip.
+    /// The cause, with the possible values and a tip where they apply.
     pub detail: String,
     /// Whether the request ran: `not_run` or `unknown`.
     pub outcome: String,
-    /// Milliseconds after which to ask again, where that may help.
+    /// The delay before a retry, in milliseconds, if a retry may help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// Describes a request that was not understood or not allowed, and did not run.
+    /// Creates a problem for a request that was rejected and did not run.
     pub fn refused(status: StatusCode, detail: impl Into<String>) -> Self {
         Self {
             title: status.canonical_reason().unwrap_or("Error").to_owned(),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Says when to ask again.
+    /// Sets the delay before a retry, in milliseconds.
     pub fn retry_after(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// Describes how a request ended without its answer.
+    /// Creates a problem from the result of a request that ended without an answer.
     pub fn from_final(ended: &Final) -> Self {
         let status = StatusCode::from_u16(ended.status as u16).unwrap_or(StatusCode::BAD_GATEWAY);
         Self {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Writes the document.
+    /// Serializes the document to JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// Makes a response of a problem document.
+/// Creates a response with a problem document.
 pub fn respond(problem: &Problem) -> Response<Body> {
     let mut response = Response::new(Body::from(problem.to_json()));
     *response.status_mut() =
