--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use super::{ATTEMPT, KEY, PREFILL, PRIORITY, Tokens};
+use super::{ATTEMPT_HEADER, KEY_HEADER, PREFILL_HEADER, PRIORITY_HEADER, Tokens};
 use crate::http::{self, Body, SendError};
 use crate::runtime;
 
@@ -95,9 +95,9 @@
         let request = self
             .request(Method::POST, request.path)
             .header("content-type", "application/json")
-            .header(ATTEMPT, request.attempt)
-            .header(PRIORITY, request.priority.to_string())
-            .header(KEY, request.key)
+            .header(ATTEMPT_HEADER, request.attempt)
+            .header(PRIORITY_HEADER, request.priority.to_string())
+            .header(KEY_HEADER, request.key)
             .body(Body::from(body));
         self.stream(request).await
     }
@@ -112,7 +112,8 @@
         self.stream(self.request(Method::GET, &path).body(Body::empty())).await
     }
 
-    /// Ends an attempt whose tokens nobody reads any more; returns `true` if the engine confirmed it.
+    /// Ends an attempt whose tokens nobody reads any more; returns `true` if the engine confirmed
+    /// it.
     pub async fn cancel(&self, attempt: &str) -> bool {
         let request = self.request(Method::DELETE, &format!("/attempts/{attempt}"));
         match request.body(Body::empty()) {
@@ -199,7 +200,7 @@
             }
             _ => {}
         }
-        let prefill = response.headers().get(PREFILL).and_then(|value| value.to_str().ok());
+        let prefill = response.headers().get(PREFILL_HEADER).and_then(|value| value.to_str().ok());
         let prefill = prefill.and_then(|value| value.parse().ok()).unwrap_or(0);
         Ok(response.map(|body| Tokens::new(body, prefill)))
     }
--- a/crates/keeljunction/src/backend/plain.rs
+++ b/crates/keeljunction/src/backend/plain.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::Request;
 
-use super::{ATTEMPT, KEY};
+use super::{ATTEMPT_HEADER, KEY_HEADER};
 use crate::http::{self, Body, SendError};
 use crate::runtime;
 
@@ -57,8 +57,8 @@
             .method(self.method)
             .uri(self.path)
             .header("host", to.to_string())
-            .header(ATTEMPT, self.attempt)
-            .header(KEY, self.key);
+            .header(ATTEMPT_HEADER, self.attempt)
+            .header(KEY_HEADER, self.key);
         for (name, value) in self.headers {
             request = request.header(name, value);
         }
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -97,7 +97,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer; [`Fault::Refused`] with 404 where it is not there.
+    /// Returns a [`Fault`] where there is no answer; [`Fault::Refused`] with 404 where it is not
+    /// there.
     pub async fn get_object(&self, key: &str) -> Result<Bytes, Fault> {
         self.call(Method::GET, &format!("/objects/{key}"), Body::empty()).await
     }
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -10,7 +10,9 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use keeljunction::backend::{ATTEMPT, Events, KEY, Load, PREFILL, PRIORITY};
+use keeljunction::backend::{
+    ATTEMPT_HEADER, Events, KEY_HEADER, Load, PREFILL_HEADER, PRIORITY_HEADER,
+};
 use keeljunction::http::{self, Body};
 use keeljunction::runtime::{self, lock};
 use keeljunction_core::route;
@@ -137,7 +139,8 @@
     let header = |name: &str| {
         request.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
     };
-    let (id, key, priority) = (header(ATTEMPT), header(KEY), header(PRIORITY).parse().unwrap_or(0));
+    let (id, key, priority) =
+        (header(ATTEMPT_HEADER), header(KEY_HEADER), header(PRIORITY_HEADER).parse().unwrap_or(0));
     let Some(body) = reply::read_json::<Value>(request.into_body()).await else {
         return reply::status(StatusCode::BAD_REQUEST);
     };
@@ -166,7 +169,7 @@
         generate(&running, &generated, priority, prefill, &blocks, most).await
     });
     let mut response = stream(&engine, attempt, id, from);
-    response.headers_mut().insert(PREFILL, prefill.into());
+    response.headers_mut().insert(PREFILL_HEADER, prefill.into());
     response
 }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -8,7 +8,7 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use keeljunction::backend::{ATTEMPT, KEY, Load};
+use keeljunction::backend::{ATTEMPT_HEADER, KEY_HEADER, Load};
 use keeljunction::http::Body;
 use keeljunction::runtime::{self, lock};
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,8 @@
     let header = |name: &str| {
         request.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
     };
-    let (key, attempt, method) = (header(KEY), header(ATTEMPT), request.method().to_string());
+    let (key, attempt, method) =
+        (header(KEY_HEADER), header(ATTEMPT_HEADER), request.method().to_string());
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let delay = reply::query(&request, "delay_ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
     let fault = *lock(&service.fault);
