--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Commit, Key, Notice, Row, Scan, Start, Started, Transaction, Vm};
+use super::{Commit, Notice, Read, Row, Scan, Start, Started, Transaction, Vm};
 use crate::http::{self, Body};
 use crate::runtime::{self, Clock};
 use crate::settings;
@@ -52,7 +52,7 @@
     ///
     /// Returns a [`Fault`] where there is no answer.
     pub async fn read(&self, key: &str) -> Result<Option<Row>, Fault> {
-        let rows: Vec<Row> = self.ask("/table/read", &Key { keys: vec![key.to_owned()] }).await?;
+        let rows: Vec<Row> = self.ask("/table/read", &Read { keys: vec![key.to_owned()] }).await?;
         Ok(rows.into_iter().next())
     }
 
@@ -62,7 +62,7 @@
     ///
     /// Returns a [`Fault`] where there is no answer.
     pub async fn read_all(&self, keys: Vec<String>) -> Result<Vec<Row>, Fault> {
-        self.ask("/table/read", &Key { keys }).await
+        self.ask("/table/read", &Read { keys }).await
     }
 
     /// Reads the rows whose keys start with a prefix, in order.
--- a/crates/keeljunction/src/platform/message.rs
+++ b/crates/keeljunction/src/platform/message.rs
@@ -15,7 +15,7 @@
 
 /// The keys of rows to read.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Key {
+pub struct Read {
     /// The keys.
     pub keys: Vec<String>,
 }
--- a/crates/keeljunction/src/platform/mod.rs
+++ b/crates/keeljunction/src/platform/mod.rs
@@ -8,7 +8,7 @@
 
 pub use client::{Client, Fault};
 pub use message::{
-    Commit, Expect, Key, Notice, Put, Role, Row, Scan, Start, Started, Transaction, Vm, VmState,
+    Commit, Expect, Notice, Put, Read, Role, Row, Scan, Start, Started, Transaction, Vm, VmState,
 };
 
 /// The table key of the roll in force.
--- a/crates/standin/src/platform/serve.rs
+++ b/crates/standin/src/platform/serve.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use keeljunction::http::Body;
-use keeljunction::platform::{Key, Notice, Scan, Start, Started, Transaction, Vm, VmState};
+use keeljunction::platform::{Notice, Read, Scan, Start, Started, Transaction, Vm, VmState};
 use keeljunction::runtime::{self, lock};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -81,7 +81,7 @@
 fn act(state: &Shared, method: &Method, path: &str, content: &[u8]) -> Response<Body> {
     let mut state = lock(state);
     match (method.as_str(), path) {
-        ("POST", "/table/read") => with(content, |key: Key| reply::json(&state.read(&key.keys))),
+        ("POST", "/table/read") => with(content, |read: Read| reply::json(&state.read(&read.keys))),
         ("POST", "/table/scan") => {
             with(content, |scan: Scan| reply::json(&state.scan(&scan.prefix)))
         }
