--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: streams, their caches and their load.
+//! The client for model engines: token streams, cache events, load reports and orders.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,82 +14,82 @@
 
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// What to send to an engine.
+/// A request to an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRequest<'a> {
-    /// The path of the caller's request.
+    /// The path of the client's request.
     pub path: &'a str,
-    /// The caller's body.
+    /// The body of the client's request.
     pub body: &'a [u8],
-    /// The attempt's name.
+    /// The ID of the attempt.
     pub attempt: &'a str,
-    /// The class's priority.
+    /// The priority of the request class.
     pub priority: u32,
     /// The request key.
     pub key: &'a str,
-    /// Tokens of the answer that are already there.
+    /// The tokens of the answer that were already generated.
     pub tokens: &'a [String],
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests running or waiting.
+    /// The number of running and waiting requests.
     pub requests: u32,
-    /// Prompt tokens waiting to be read.
+    /// The number of prompt tokens that wait for prefill.
     pub queued_tokens: u64,
-    /// How old the report is, in milliseconds.
+    /// The age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Cache events from one number on.
+/// A list of cache events, starting at a given number.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Events {
-    /// The events, in the order of their numbers, possibly with gaps.
+    /// The events, ordered by number, possibly with gaps.
     pub events: Vec<Event>,
 }
 
 /// One cache event.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Event {
-    /// Its number.
+    /// The number of the event.
     pub number: u64,
-    /// Blocks that the cache holds from now on.
+    /// The blocks that were added to the cache.
     #[serde(default)]
     pub stored: Vec<u64>,
-    /// Blocks that it no longer holds.
+    /// The blocks that were evicted from the cache.
     #[serde(default)]
     pub evicted: Vec<u64>,
 }
 
-/// What an engine says to an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
-    /// It was taken.
-    Taken,
-    /// A newer fence was seen before.
-    OldFence,
-    /// It was refused, or there was no answer.
+pub enum OrderResult {
+    /// The engine accepted the order.
+    Accepted,
+    /// The engine has seen a newer fencing token.
+    StaleFence,
+    /// The engine rejected the order or did not respond.
     Failed,
 }
 
-/// One model engine.
+/// A client for one model engine.
 pub struct Engine<'a> {
-    /// The client to reach it with.
+    /// The HTTP client.
     pub http: &'a http::Client,
-    /// Where it is reached.
+    /// The address of the engine.
     pub address: SocketAddr,
-    /// Time for an answer's head.
+    /// The timeout for a response header, and for a complete short response.
     pub timeout: Duration,
 }
 
 impl Engine<'_> {
-    /// Starts an attempt, or goes on with an answer where it was broken off.
+    /// Starts an attempt. If the request contains tokens, generation resumes after them.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] where the engine cannot have run it, which it also says
-    /// itself by status 429 or 503.
+    /// Returns [`SendError::NotSent`] if the engine cannot have run the attempt. This includes
+    /// responses with status 429 or 503.
     pub async fn send(&self, request: &EngineRequest<'_>) -> Result<Response<Tokens>, SendError> {
         let body = engine_body(request).map_err(SendError::NotSent)?;
         let request = self
@@ -102,11 +102,11 @@
         self.stream(request).await
     }
 
-    /// Reads an attempt that runs, or has run, from an offset on.
+    /// Reads an attempt that is running, or has run, starting at an offset.
     ///
     /// # Errors
     ///
-    /// Returns a [`SendError`] where the engine does not answer or does not know the attempt.
+    /// Returns a [`SendError`] if the engine does not respond or does not know the attempt.
     pub async fn attach(&self, attempt: &str, offset: u64) -> Result<Response<Tokens>, SendError> {
         let path = format!("/attempts/{attempt}?from={offset}");
         self.stream(self.request(Method::GET, &path).body(Body::empty())).await
@@ -122,11 +122,11 @@
         }
     }
 
-    /// Lets this engine fetch the KV cache of an attempt from another engine.
+    /// Makes this engine fetch the KV cache of an attempt from another engine.
     ///
     /// # Errors
     ///
-    /// Returns a [`SendError`] where that did not work.
+    /// Returns a [`SendError`] if the cache was not fetched.
     pub async fn import(&self, from: &str, attempt: &str) -> Result<(), SendError> {
         let body = json!({ "from": from, "attempt": attempt }).to_string();
         let request = self.request(Method::POST, "/kv/import").body(Body::from(body));
@@ -134,14 +134,16 @@
     }
 
     /// Sends an order.
-    pub async fn order(&self, order: &Value) -> Ordered {
+    pub async fn order(&self, order: &Value) -> OrderResult {
         let request = self.request(Method::POST, "/orders").body(Body::from(order.to_string()));
-        let Ok(request) = request else { return Ordered::Failed };
+        let Ok(request) = request else { return OrderResult::Failed };
         let sent = runtime::timeout(self.timeout, self.http.send(self.address, request)).await;
         match sent {
-            Some(Ok(response)) if response.status() == StatusCode::OK => Ordered::Taken,
-            Some(Ok(response)) if response.status() == StatusCode::CONFLICT => Ordered::OldFence,
-            _ => Ordered::Failed,
+            Some(Ok(response)) if response.status() == StatusCode::OK => OrderResult::Accepted,
+            Some(Ok(response)) if response.status() == StatusCode::CONFLICT => {
+                OrderResult::StaleFence
+            }
+            _ => OrderResult::Failed,
         }
     }
 
@@ -149,16 +151,16 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`SendError`] where the engine does not answer.
+    /// Returns a [`SendError`] if the engine does not respond.
     pub async fn load(&self) -> Result<Load, SendError> {
         self.read("/load").await
     }
 
-    /// Reads the cache events from a number on.
+    /// Reads the cache events, starting at a number.
     ///
     /// # Errors
     ///
-    /// Returns a [`SendError`] where the engine does not answer.
+    /// Returns a [`SendError`] if the engine does not respond.
     pub async fn events(&self, from: u64) -> Result<Events, SendError> {
         self.read(&format!("/cache/events?from={from}")).await
     }
@@ -178,8 +180,9 @@
             let response = self.http.send(self.address, request).await?;
             let status = response.status();
             let content = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
-            let content = content.ok_or_else(|| SendError::MaybeSent("broke off".to_owned()))?;
-            if status == StatusCode::OK { Ok(content) } else { Err(refused(status)) }
+            let content =
+                content.ok_or_else(|| SendError::MaybeSent("incomplete response".to_owned()))?;
+            if status == StatusCode::OK { Ok(content) } else { Err(error_status(status)) }
         };
         runtime::timeout(self.timeout, exchange).await.unwrap_or_else(|| Err(timed_out()))
     }
@@ -194,7 +197,7 @@
         match response.status() {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 return Err(SendError::NotSent(format!(
-                    "refused with status {}",
+                    "rejected with status {}",
                     response.status()
                 )));
             }
@@ -206,7 +209,7 @@
     }
 }
 
-/// Makes the body for the engine: always a stream, with the tokens that are already there.
+/// Builds the request body for the engine, which always streams and resumes after known tokens.
 fn engine_body(request: &EngineRequest<'_>) -> Result<Vec<u8>, String> {
     let mut body: Value =
         serde_json::from_slice(request.body).map_err(|error| error.to_string())?;
@@ -221,10 +224,10 @@
     SendError::NotSent(error.to_string())
 }
 
-fn refused(status: StatusCode) -> SendError {
+fn error_status(status: StatusCode) -> SendError {
     SendError::MaybeSent(format!("status {status}"))
 }
 
 fn timed_out() -> SendError {
-    SendError::MaybeSent("no answer in time".to_owned())
+    SendError::MaybeSent("no response before the timeout".to_owned())
 }
--- a/crates/keeljunction/src/backend/plain.rs
+++ b/crates/keeljunction/src/backend/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: one request, one whole answer.
+//! The client for plain services: one request, one complete response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,21 +16,21 @@
 /// A request for a plain service.
 #[derive(Clone, Copy, Debug)]
 pub struct PlainRequest<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
     /// The path on the server.
     pub path: &'a str,
-    /// Headers to pass on.
+    /// The forwarded headers.
     pub headers: &'a [(String, String)],
-    /// The body.
+    /// The request body.
     pub body: &'a Bytes,
-    /// The attempt's name.
+    /// The ID of the attempt.
     pub attempt: &'a str,
     /// The request key.
     pub key: &'a str,
 }
 
-/// A whole answer of a plain service.
+/// A complete response of a plain service.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The HTTP status.
@@ -42,21 +42,22 @@
 }
 
 impl PlainRequest<'_> {
-    /// Sends the request and reads the answer whole, within a time.
+    /// Sends the request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only where no byte of the request left.
+    /// Returns [`SendError::NotSent`] only if no byte of the request was sent, and
+    /// [`SendError::MaybeSent`] for any other failure or after the timeout.
     pub async fn send(
         &self,
         http: &http::Client,
-        to: SocketAddr,
-        time: Duration,
+        address: SocketAddr,
+        timeout: Duration,
     ) -> Result<Reply, SendError> {
         let mut request = Request::builder()
             .method(self.method)
             .uri(self.path)
-            .header("host", to.to_string())
+            .header("host", address.to_string())
             .header(ATTEMPT_HEADER, self.attempt)
             .header(KEY_HEADER, self.key);
         for (name, value) in self.headers {
@@ -65,17 +66,17 @@
         let request = request.body(Body::from(self.body.clone()));
         let request = request.map_err(|error| SendError::NotSent(error.to_string()))?;
         let exchange = async {
-            let response = http.send(to, request).await?;
+            let response = http.send(address, request).await?;
             let status = response.status().as_u16();
             let media_type = response.headers().get("content-type");
             let media_type = media_type.and_then(|value| value.to_str().ok());
             let media_type = media_type.unwrap_or(DEFAULT_MEDIA_TYPE).to_owned();
             let body = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
             let body =
-                body.ok_or_else(|| SendError::MaybeSent("the answer broke off".to_owned()))?;
+                body.ok_or_else(|| SendError::MaybeSent("incomplete response".to_owned()))?;
             Ok(Reply { status, media_type, body })
         };
-        let timed_out = || Err(SendError::MaybeSent("no answer in time".to_owned()));
-        runtime::timeout(time, exchange).await.unwrap_or_else(timed_out)
+        let timed_out = || Err(SendError::MaybeSent("no response before the timeout".to_owned()));
+        runtime::timeout(timeout, exchange).await.unwrap_or_else(timed_out)
     }
 }
--- a/crates/keeljunction/src/backend/tokens.rs
+++ b/crates/keeljunction/src/backend/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens from an engine's event stream.
+//! Parsing of tokens from an engine's event stream.
 
 use std::pin::Pin;
 
@@ -9,22 +9,22 @@
 
 use crate::http;
 
-const LAST: &str = "[DONE]";
+const DONE: &str = "[DONE]";
 
-/// One thing that an engine says in a stream.
+/// One piece of an engine's stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
     /// A token with its attempt and offset.
     Token {
-        /// The attempt that it belongs to.
+        /// The ID of the attempt that it belongs to.
         attempt: String,
-        /// Its place in the answer, from 0.
+        /// The offset in the answer, from 0.
         offset: u64,
-        /// Its text.
+        /// The text of the token.
         text: String,
     },
-    /// The answer is whole.
-    Last,
+    /// The end of a complete answer.
+    End,
 }
 
 type Events = Pin<Box<dyn Stream<Item = Option<Event>> + Send>>;
@@ -32,7 +32,7 @@
 /// A stream of tokens from an engine.
 pub struct Tokens {
     events: Events,
-    /// Tokens that the engine had to compute before the first of these.
+    /// The number of tokens that the engine had to prefill before the first token.
     pub prefill: u64,
 }
 
@@ -53,18 +53,18 @@
 }
 
 impl Tokens {
-    /// Reads tokens from the body of an engine's response.
+    /// Creates a stream of tokens from the body of an engine's response.
     pub fn new(body: http::ResponseBody, prefill: u64) -> Self {
         let events = BodyDataStream::new(body).eventsource();
         Self { events: Box::pin(events.map(Result::ok)), prefill }
     }
 
-    /// Returns the next piece; `None` where the stream broke off or is not understood.
+    /// Returns the next piece, or `None` if the stream was interrupted or is malformed.
     pub async fn next(&mut self) -> Option<Piece> {
         loop {
             let event = self.events.next().await??;
-            if event.data == LAST {
-                return Some(Piece::Last);
+            if event.data == DONE {
+                return Some(Piece::End);
             }
             if event.id.is_empty() {
                 continue;
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -14,7 +14,7 @@
 use super::lease::{LeaseClient, ORDER_TIMEOUT_MS};
 use super::state::ActiveBundle;
 use super::{Node, attempt};
-use crate::backend::Ordered;
+use crate::backend::OrderResult;
 use crate::runtime;
 
 /// The last roll that each server was ordered to run.
@@ -52,15 +52,15 @@
             let sending = engine.order(&order);
             let answer = runtime::timeout(Duration::from_millis(ORDER_TIMEOUT_MS), sending).await;
             match answer {
-                Some(Ordered::Taken) => {
+                Some(OrderResult::Accepted) => {
                     self.sent.insert(name, active.roll.number);
                     node.metric.count("orders_sent", 1);
                 }
-                Some(Ordered::OldFence) => {
+                Some(OrderResult::StaleFence) => {
                     node.metric.count("orders_fenced_off", 1);
                     return lease_client.drop_lease();
                 }
-                Some(Ordered::Failed) | None => node.metric.count("orders_failed", 1),
+                Some(OrderResult::Failed) | None => node.metric.count("orders_failed", 1),
             }
         }
     }
