--- a/crates/keeljunction/src/peer/channel.rs
+++ b/crates/keeljunction/src/peer/channel.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer.
+//! A connection to a peer.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use tonic::body::Body;
 use tower_service::Service;
 
-use super::traffic::Counted;
+use super::traffic::CountedStream;
 use crate::runtime;
 
-/// Runs hyper's tasks on the project's executor.
+/// Runs hyper's tasks on this crate's executor.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Spawner;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A connection to a peer, which many calls share.
+/// A connection to a peer, shared by concurrent calls.
 #[derive(Clone)]
 pub struct Channel {
     sender: SendRequest<Body>,
@@ -39,25 +39,25 @@
 }
 
 impl Channel {
-    /// Connects to a peer. Each call will show the credential.
+    /// Connects to a peer. Each call sends the credential.
     ///
     /// # Errors
     ///
-    /// Returns a status of `Unavailable` where the peer is not reached.
+    /// Returns a status of `Unavailable` if the connection cannot be established.
     pub async fn connect(address: SocketAddr, credential: HeaderValue) -> Result<Self, Status> {
         let stream = TcpStream::connect(address).await.map_err(unavailable)?;
         let _ = stream.set_nodelay(true);
         let mut builder = http2::Builder::new(Spawner);
         builder.timer(SmolTimer::new());
         let (sender, connection) =
-            builder.handshake(FuturesIo::new(Counted(stream))).await.map_err(unavailable)?;
+            builder.handshake(FuturesIo::new(CountedStream(stream))).await.map_err(unavailable)?;
         runtime::spawn(async move {
             let _ = connection.await;
         });
         Ok(Self { sender, credential })
     }
 
-    /// Returns `true` if the connection has ended.
+    /// Returns `true` if the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/crates/keeljunction/src/peer/listener.rs
+++ b/crates/keeljunction/src/peer/listener.rs
@@ -1,4 +1,4 @@
-//! Where peers connect.
+//! The listener for peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,50 +19,50 @@
 
 use super::channel::Spawner;
 use super::generated::peer_server::{Peer, PeerServer};
-use super::traffic::Counted;
+use super::traffic::CountedStream;
 use crate::runtime;
 
-/// Bytes of one message at most: a bundle, or a record with its body.
-const MAX_MESSAGE: usize = 64 << 20;
+/// The maximum size of a message, such as a bundle or a record with its body.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// A listener for peers. It answers only those that show the credential.
+/// A listener for peers. Calls without the credential are rejected.
 pub struct Listener {
     listener: TcpListener,
     expected: Arc<Vec<u8>>,
 }
 
 impl Listener {
-    /// Starts to listen.
+    /// Binds a listener to an address.
     ///
     /// # Errors
     ///
-    /// Returns the system's error where the address cannot be had.
+    /// Returns an [`io::Error`] if the address cannot be bound.
     pub async fn bind(address: SocketAddr, credential: &str) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener, expected: Arc::new(format!("Bearer {credential}").into_bytes()) })
     }
 
-    /// Returns the address that was got.
+    /// Returns the local address.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns an [`io::Error`] if the address is not available.
     pub fn get_address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Answers peers for as long as the process lives.
+    /// Serves peers. Never returns.
     pub async fn serve<P: Peer>(self, peer: P) {
         let server = PeerServer::new(peer)
-            .max_decoding_message_size(MAX_MESSAGE)
-            .max_encoding_message_size(MAX_MESSAGE);
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES);
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
                     runtime::spawn(handle(stream, server.clone(), self.expected.clone()))
                 }
                 Err(error) => {
-                    log::warn!("no peer was accepted: {error}");
+                    log::warn!("could not accept a peer connection: {error}");
                     runtime::sleep(Duration::from_millis(50)).await;
                 }
             }
@@ -74,21 +74,22 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
         let mut server = server.clone();
-        let is_peer = is_peer(&request, &expected);
+        let is_authenticated = is_authenticated(&request, &expected);
         async move {
-            if !is_peer {
-                let refusal: Response<Body> = Status::unauthenticated("not a peer").into_http();
-                return Ok(refusal);
+            if !is_authenticated {
+                let rejection: Response<Body> =
+                    Status::unauthenticated("invalid peer credential").into_http();
+                return Ok(rejection);
             }
             server.call(request).await
         }
     });
     let mut builder = http2::Builder::new(Spawner);
     builder.timer(SmolTimer::new());
-    let _ = builder.serve_connection(FuturesIo::new(Counted(stream)), service).await;
+    let _ = builder.serve_connection(FuturesIo::new(CountedStream(stream)), service).await;
 }
 
-fn is_peer(request: &Request<Incoming>, expected: &[u8]) -> bool {
-    let shown = request.headers().get(AUTHORIZATION);
-    shown.is_some_and(|shown| bool::from(shown.as_bytes().ct_eq(expected)))
+fn is_authenticated(request: &Request<Incoming>, expected: &[u8]) -> bool {
+    let header = request.headers().get(AUTHORIZATION);
+    header.is_some_and(|header| bool::from(header.as_bytes().ct_eq(expected)))
 }
--- a/crates/keeljunction/src/peer/mod.rs
+++ b/crates/keeljunction/src/peer/mod.rs
@@ -1,11 +1,11 @@
-//! The protocol between nodes: `tonic` over `hyper` on the project's executor.
+//! The protocol between nodes: `tonic` over `hyper` on this crate's executor.
 
 mod channel;
 mod listener;
 mod pool;
 mod traffic;
 
-/// The code generated from `proto/peer.proto` by `make codegen`.
+/// Code generated from `proto/peer.proto` by `make codegen`.
 #[allow(missing_docs, clippy::all)]
 #[path = "generated/keeljunction.peer.v1.rs"]
 pub mod generated;
--- a/crates/keeljunction/src/peer/traffic.rs
+++ b/crates/keeljunction/src/peer/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes between nodes.
+//! Byte counters for the traffic between nodes.
 
 use std::io;
 use std::pin::Pin;
@@ -11,16 +11,16 @@
 static SENT: AtomicU64 = AtomicU64::new(0);
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the bytes that this process has sent to peers and received from them, with all framing
-/// above TCP.
+/// Returns the bytes that this process has sent to peers and received from them, including all
+/// framing above TCP.
 pub fn get_traffic() -> (u64, u64) {
     (SENT.load(Ordering::Relaxed), RECEIVED.load(Ordering::Relaxed))
 }
 
 /// A connection whose bytes are counted.
-pub(super) struct Counted(pub TcpStream);
+pub(super) struct CountedStream(pub TcpStream);
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -34,7 +34,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
