--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform, each bounded in time and under a rate.
+//! The platform client. Each call has a timeout and is subject to a rate limit.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -14,23 +14,23 @@
 use crate::runtime::{self, Clock};
 use crate::settings;
 
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Explains why there is no answer from the platform.
+/// The reason why a call to the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The call cannot have had an effect.
-    #[error("the platform was not reached: {0}")]
+    /// The call was not sent, so it had no effect.
+    #[error("could not reach the platform: {0}")]
     NotSent(String),
-    /// The call may have had its effect, and the answer was lost.
-    #[error("the platform's answer was lost: {0}")]
+    /// The response was lost. The call may have had an effect.
+    #[error("lost the response of the platform: {0}")]
     Unknown(String),
-    /// The platform refused the call.
+    /// The platform refused the call, which had no effect.
     #[error("the platform refused the call with status {0}")]
     Refused(u16),
 }
 
-/// A client of the platform.
+/// A client for the platform.
 pub struct Client {
     http: http::Client,
     settings: settings::Platform,
@@ -39,7 +39,7 @@
 }
 
 impl Client {
-    /// Makes a client; it connects when it is first used.
+    /// Creates a client. It connects on first use.
     pub fn new(settings: settings::Platform, http: http::Client) -> Self {
         let clock = Clock::new();
         let bucket = Mutex::new(TokenBucket::full(clock.now(), settings.calls_per_second));
@@ -50,44 +50,46 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if the call fails.
     pub async fn read(&self, key: &str) -> Result<Option<Row>, Fault> {
-        let rows: Vec<Row> = self.ask("/table/read", &Read { keys: vec![key.to_owned()] }).await?;
+        let rows: Vec<Row> =
+            self.post_json("/table/read", &Read { keys: vec![key.to_owned()] }).await?;
         Ok(rows.into_iter().next())
     }
 
-    /// Reads several rows; those that are not there are left out.
+    /// Reads several rows. Missing rows are left out of the result.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if the call fails.
     pub async fn read_all(&self, keys: Vec<String>) -> Result<Vec<Row>, Fault> {
-        self.ask("/table/read", &Read { keys }).await
+        self.post_json("/table/read", &Read { keys }).await
     }
 
-    /// Reads the rows whose keys start with a prefix, in order.
+    /// Reads the rows whose keys start with a prefix, ordered by key.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if the call fails.
     pub async fn scan(&self, prefix: &str) -> Result<Vec<Row>, Fault> {
-        self.ask("/table/scan", &Scan { prefix: prefix.to_owned() }).await
+        self.post_json("/table/scan", &Scan { prefix: prefix.to_owned() }).await
     }
 
-    /// Carries out a transaction.
+    /// Commits a transaction.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer; with [`Fault::Unknown`] it may have happened.
+    /// Returns a [`Fault`] if the call fails. With [`Fault::Unknown`] the transaction may have been
+    /// committed.
     pub async fn commit(&self, transaction: &Transaction) -> Result<Commit, Fault> {
-        self.ask("/table/commit", transaction).await
+        self.post_json("/table/commit", transaction).await
     }
 
     /// Writes an object.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if the call fails.
     pub async fn put_object(&self, key: &str, content: Bytes) -> Result<(), Fault> {
         let path = format!("/objects/{key}");
         self.call(Method::PUT, &path, content.into()).await.map(|_| ())
@@ -97,26 +99,26 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer; [`Fault::Refused`] with 404 where it is not
-    /// there.
+    /// Returns a [`Fault`] if the call fails. [`Fault::Refused`] with status 404 means that the
+    /// object does not exist.
     pub async fn get_object(&self, key: &str) -> Result<Bytes, Fault> {
         self.call(Method::GET, &format!("/objects/{key}"), Body::empty()).await
     }
 
-    /// Reads the list of VMs, which lags.
+    /// Reads the VM list, which may be out of date.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if the call fails.
     pub async fn vms(&self) -> Result<Vec<Vm>, Fault> {
         decode(&self.call(Method::GET, "/vms", Body::empty()).await?)
     }
 
-    /// Reads the reclaim notices that are out.
+    /// Reads the current reclaim notices.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if the call fails.
     pub async fn notices(&self) -> Result<Vec<Notice>, Fault> {
         decode(&self.call(Method::GET, "/notices", Body::empty()).await?)
     }
@@ -125,33 +127,32 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] where there is no answer; [`Fault::Refused`] where there is no VM to be
-    /// had.
+    /// Returns a [`Fault`] if the call fails, and [`Fault::Refused`] if no VM is available.
     pub async fn start(&self, start: &Start) -> Result<Started, Fault> {
-        self.ask("/cloud/start", start).await
+        self.post_json("/cloud/start", start).await
     }
 
-    async fn ask<Q: Serialize, A: DeserializeOwned>(
+    async fn post_json<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
-        question: &Q,
+        content: &Q,
     ) -> Result<A, Fault> {
         let body =
-            serde_json::to_vec(question).map_err(|error| Fault::NotSent(error.to_string()))?;
+            serde_json::to_vec(content).map_err(|error| Fault::NotSent(error.to_string()))?;
         decode(&self.call(Method::POST, path, body.into()).await?)
     }
 
     async fn call(&self, method: Method, path: &str, body: Body) -> Result<Bytes, Fault> {
-        let time = Duration::from_millis(self.settings.call_ms);
-        self.take_turn().await?;
+        let timeout = Duration::from_millis(self.settings.call_ms);
+        self.wait_for_rate_limit().await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
             .header("host", self.settings.address.to_string())
             .body(body)
             .map_err(|error| Fault::NotSent(error.to_string()))?;
-        let answer = runtime::timeout(time, self.exchange(request)).await;
-        answer.unwrap_or_else(|| Err(Fault::Unknown("no answer in time".to_owned())))
+        let answer = runtime::timeout(timeout, self.exchange(request)).await;
+        answer.unwrap_or_else(|| Err(Fault::Unknown("no response before the timeout".to_owned())))
     }
 
     async fn exchange(&self, request: Request<Body>) -> Result<Bytes, Fault> {
@@ -162,28 +163,28 @@
         })?;
         let status = response.status();
         if status != StatusCode::OK {
-            return Err(refusal(status));
+            return Err(status_fault(status));
         }
-        let content = http::read_body(response.into_body(), MAX_ANSWER).await;
-        content.ok_or_else(|| Fault::Unknown("the answer broke off".to_owned()))
+        let content = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
+        content.ok_or_else(|| Fault::Unknown("incomplete response".to_owned()))
     }
 
-    /// Waits for its turn under the rate.
-    async fn take_turn(&self) -> Result<(), Fault> {
-        let until = self.clock.now() + self.settings.call_ms;
+    /// Waits until the rate limit permits a call.
+    async fn wait_for_rate_limit(&self) -> Result<(), Fault> {
+        let deadline = self.clock.now() + self.settings.call_ms;
         loop {
             let taken = runtime::lock(&self.bucket).take(self.clock.now());
             let Err(wait) = taken else { return Ok(()) };
-            if self.clock.now() + wait > until {
-                return Err(Fault::NotSent("this node's share of calls is used up".to_owned()));
+            if self.clock.now() + wait > deadline {
+                return Err(Fault::NotSent("the rate limit of this node is exhausted".to_owned()));
             }
             runtime::sleep(Duration::from_millis(wait)).await;
         }
     }
 }
 
-/// Distinguishes a refusal, which had no effect, from a failure halfway, which may have had one.
-fn refusal(status: StatusCode) -> Fault {
+/// Distinguishes a refusal, which had no effect, from a server error, which may have had one.
+fn status_fault(status: StatusCode) -> Fault {
     if status.is_server_error() && status != StatusCode::SERVICE_UNAVAILABLE {
         return Fault::Unknown(format!("status {status}"));
     }
--- a/crates/keeljunction/src/platform/message.rs
+++ b/crates/keeljunction/src/platform/message.rs
@@ -1,66 +1,66 @@
-//! What is said to the platform, as JSON.
+//! The JSON messages of the platform's API.
 
 use serde::{Deserialize, Serialize};
 
 /// A row of the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// A number that each write raises.
+    /// The version, which increases with each write.
     pub version: u64,
-    /// The value, as text.
+    /// The value.
     pub value: String,
 }
 
-/// The keys of rows to read.
+/// A read of several rows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Read {
     /// The keys.
     pub keys: Vec<String>,
 }
 
-/// A prefix of keys to read in order.
+/// A scan of the rows with a key prefix.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Scan {
-    /// What the keys start with.
+    /// The key prefix.
     pub prefix: String,
 }
 
-/// A condition of a transaction.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Expect {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// The version that it must have; `None` where it must not be there.
+    /// The version that the row must have, or `None` if it must not exist.
     pub version: Option<u64>,
 }
 
 /// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// Its new value; `None` takes the row away.
+    /// The new value, or `None` to delete the row.
     pub value: Option<String>,
 }
 
-/// Writes that all happen if all conditions hold, and else none.
+/// An atomic set of writes, applied only if all preconditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// The conditions.
+    /// The preconditions.
     pub expect: Vec<Expect>,
     /// The writes.
     pub put: Vec<Put>,
 }
 
 impl Transaction {
-    /// Makes a transaction without conditions or writes.
+    /// Creates an empty transaction.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a condition: the row has this version, or is not there.
+    /// Adds the precondition that a row has this version, or does not exist if it is `None`.
     pub fn expect(mut self, key: &str, version: Option<u64>) -> Self {
         self.expect.push(Expect { key: key.to_owned(), version });
         self
@@ -72,85 +72,85 @@
         self
     }
 
-    /// Takes a row away.
+    /// Deletes a row.
     pub fn delete(mut self, key: &str) -> Self {
         self.put.push(Put { key: key.to_owned(), value: None });
         self
     }
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Commit {
-    /// All writes happened; the number is the version of each written row.
+    /// The transaction was committed. Contains the new version of each written row.
     Done(u64),
-    /// Nothing happened: the conditions on these keys did not hold.
+    /// Nothing was written, because the preconditions on these keys failed.
     Conflict(Vec<String>),
 }
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// An entry node; the address is for its peers.
+    /// An entry node. Its address is the peer address.
     Entry,
-    /// A backend server of a service.
+    /// A backend server of the named service.
     Server(String),
 }
 
-/// Whether a VM stays.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It stays.
+    /// The VM is running.
     Live,
-    /// It is going away.
+    /// The VM is being reclaimed or shut down.
     Leaving,
 }
 
 /// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// The name of the VM.
     pub name: String,
-    /// What it is for.
+    /// The role of the VM.
     pub role: Role,
-    /// Where it is reached, as `IP:port`.
+    /// The address, as `IP:port`.
     pub address: String,
-    /// The data centre it stands in.
+    /// The data centre of the VM.
     pub data_centre: String,
-    /// Whether it stays.
+    /// The state of the VM.
     pub state: VmState,
 }
 
-/// A VM to start. For one token the cloud starts one VM, however often the call is repeated.
+/// A request to start a VM. It is idempotent: the cloud starts one VM per token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// The client's token.
+    /// The client token.
     pub token: String,
-    /// The service that it is for.
+    /// The service that the VM runs.
     pub service: String,
     /// The data centre.
     pub data_centre: String,
     /// The VM class.
     pub vm_class: String,
-    /// Whether it may be taken back.
+    /// Whether the VM is reclaimable.
     pub reclaimable: bool,
 }
 
-/// A VM that was started.
+/// The response to a [`Start`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Started {
-    /// Its name.
+    /// The name of the started VM.
     pub vm: String,
 }
 
 /// A reclaim notice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The VM's name.
+    /// The name of the VM.
     pub vm: String,
-    /// Milliseconds left until it is gone.
+    /// The time until the VM is gone, in milliseconds.
     pub left_ms: u64,
 }
--- a/crates/keeljunction/src/platform/mod.rs
+++ b/crates/keeljunction/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! The platform: its table service, object store, VM list and notices.
 //!
-//! Each call has a bound on its time and stays under a rate. A commit whose answer was lost says
-//! so ([`Fault::Unknown`]); the calling task reads back before doing anything else.
+//! Each call has a timeout and is subject to a rate limit. If the response of a commit is lost, it
+//! returns [`Fault::Unknown`], and the caller must read the rows back before it continues.
 
 mod client;
 mod message;
@@ -11,7 +11,7 @@
     Commit, Expect, Notice, Put, Read, Role, Row, Scan, Start, Started, Transaction, Vm, VmState,
 };
 
-/// The table key of the roll in force.
+/// The table key of the active roll.
 pub const ROLL_KEY: &str = "bundle/roll";
-/// The prefix of the table keys of all rolls, which are the audit trail.
+/// The prefix of the table keys of all rolls, which form the audit log.
 pub const AUDIT_PREFIX: &str = "audit/";
