--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -112,8 +112,8 @@
         self.stream(self.request(Method::GET, &path).body(Body::empty())).await
     }
 
-    /// Ends an attempt whose tokens nobody reads any more; returns `true` if the engine confirmed
-    /// it.
+    /// Cancels an attempt whose tokens are no longer read. Returns `true` if the engine confirmed
+    /// this.
     pub async fn cancel(&self, attempt: &str) -> bool {
         let request = self.request(Method::DELETE, &format!("/attempts/{attempt}"));
         match request.body(Body::empty()) {
