--- a/crates/keeljunction/src/settings/document.rs
+++ b/crates/keeljunction/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! What the settings say. Each key with a time has its unit in its name.
+//! The settings document. Each key that holds a time has the unit in its name.
 
 use std::net::SocketAddr;
 
@@ -9,145 +9,146 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the node is.
+    /// The identity of the node.
     pub node: Node,
-    /// Where it listens.
+    /// The addresses that the node listens on.
     pub listen: Listen,
-    /// Where the platform is.
+    /// The connection to the platform.
     pub platform: Platform,
-    /// The credential that nodes show each other; at least 16 characters.
+    /// The shared credential of all nodes, with at least 16 characters.
     pub peer_credential: String,
-    /// The operators' ed25519 public keys, in hex.
+    /// The ed25519 public keys of the operators, in hex.
     pub trusted_keys: Vec<String>,
-    /// Peer addresses of nodes to ask first, besides those that the VM list gives.
+    /// Peer addresses of seed nodes, in addition to the nodes in the VM list.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Bounds on what callers may ask.
+    /// Limits on client requests.
     #[serde(default)]
     pub limits: Limits,
-    /// How nodes watch each other.
+    /// Failure detection between nodes.
     #[serde(default)]
     pub membership: Membership,
-    /// How backend servers are chosen.
+    /// Selection of backend servers.
     #[serde(default)]
     pub routing: Routing,
-    /// Other times.
+    /// Other intervals and timeouts.
     #[serde(default)]
     pub times: Times,
-    /// Where metrics go by statsd over UDP, as `IP:port`; none are sent without it.
+    /// The address for statsd metrics over UDP, as `IP:port`. Without it no metrics are sent.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
-    /// The least level that is logged: error, warn, info, debug or trace.
+    /// The minimum log level: error, warn, info, debug or trace.
     #[serde(default = "default_level")]
     pub log_level: String,
-    /// Threads that run tasks.
+    /// The number of threads that run tasks.
     #[serde(default = "default_threads")]
     pub threads: usize,
 }
 
-/// Who a node is.
+/// The identity of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// The name of its VM.
+    /// The name of the node's VM.
     pub name: String,
-    /// The data centre that it stands in.
+    /// The data centre of the VM.
     pub data_centre: String,
 }
 
-/// Where a node listens. Port 0 takes any free port; the log shows which.
+/// The addresses that a node listens on. Port 0 selects a free port, which is logged at startup.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers, by HTTP/1.1.
+    /// The address for clients, over HTTP/1.1.
     pub caller: SocketAddr,
-    /// For other nodes. It belongs on a private network.
+    /// The address for peers. Use a private network.
     pub peer: SocketAddr,
-    /// For health checks and operators. It belongs on a private network.
+    /// The address for health checks and operators. Use a private network.
     pub operator: SocketAddr,
 }
 
-/// Where the platform is and how much of it this node may use.
+/// The connection to the platform, and its rate limit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Where it is reached.
+    /// The address of the platform.
     pub address: SocketAddr,
-    /// Calls to the table service and object store in a second.
+    /// The maximum number of calls to the platform per second.
     #[serde(default = "default_calls")]
     pub calls_per_second: u32,
-    /// Time for one call, in milliseconds.
+    /// The timeout of one call, in milliseconds.
     #[serde(default = "default_call_ms")]
     pub call_ms: u64,
 }
 
-/// Bounds on what callers may ask.
+/// Limits on client requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Bytes of a request's body.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of a request's head.
+    /// The maximum size of a request header, in bytes.
     pub head_bytes: usize,
-    /// Caller connections at the same time.
+    /// The maximum number of concurrent client connections.
     pub connections: usize,
-    /// Requests in flight, all together.
+    /// The maximum number of requests in flight.
     pub requests: usize,
-    /// Requests in flight of one client account.
+    /// The maximum number of requests in flight per client account.
     pub requests_per_account: usize,
-    /// Bytes of records held for other nodes.
+    /// The maximum size of all records held for other nodes, in bytes.
     pub record_bytes: usize,
-    /// Time for a caller to take a piece of its answer before it is cut off, in milliseconds.
+    /// Time for a client to read a piece of its answer before it is disconnected, in milliseconds.
     pub write_ms: u64,
-    /// Time between two signs of life from a backend server, in milliseconds.
+    /// The maximum time without data from a backend server, in milliseconds.
     pub idle_ms: u64,
 }
 
-/// How nodes watch each other.
+/// Failure detection between nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
-    /// Time between two probes, in milliseconds.
+    /// The interval between probes, in milliseconds.
     pub probe_ms: u64,
-    /// Time for a probe to be answered, in milliseconds.
+    /// The timeout of a probe, in milliseconds.
     pub answer_ms: u64,
-    /// Time for a suspect to refute, in milliseconds.
+    /// Time for a suspected node to refute the suspicion, in milliseconds.
     pub suspicion_ms: u64,
-    /// Other nodes to ask about one that did not answer.
+    /// The number of nodes that probe a node indirectly after it did not respond.
     pub helpers: usize,
 }
 
-/// How backend servers are chosen.
+/// Selection of backend servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Routing {
-    /// Whether shard owners give grants; otherwise each node decides alone.
+    /// Whether shard owners issue grants. Otherwise each node grants servers itself.
     pub owners: bool,
-    /// How a server is chosen: `expected`, or the baselines `two_choices` and `round_robin`.
+    /// The selection policy: `expected`, or the baselines `two_choices` and `round_robin`.
     pub policy: Policy,
-    /// Time between two load reports, in milliseconds.
+    /// The interval between load reports, in milliseconds.
     pub report_ms: u64,
-    /// Retries allowed, in thousandths of the first tries.
+    /// The retry budget, in thousandths of the first attempts.
     pub retry_per_mille: u64,
-    /// Retries allowed at once.
+    /// The number of retries allowed per budget window in addition to `retry_per_mille`.
     pub retry_burst: u64,
 }
 
-/// Other times, in milliseconds.
+/// Other intervals and timeouts, in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
-    /// Between two reads of the roll by the nodes that watch it.
+    /// The interval between reads of the roll, on the nodes that read it at the full rate.
     pub roll_poll_ms: u64,
-    /// Between two reads of the VM list and the notices.
+    /// The interval between reads of the VM list and the notices.
     pub vm_poll_ms: u64,
-    /// After a stop signal: how long new requests are still taken, until the balancer has seen it.
+    /// Time after a stop signal in which new requests are still accepted, until the load balancer
+    /// has noticed.
     pub stop_grace_ms: u64,
-    /// After a stop signal: how long requests in flight may take before they are handed over.
+    /// Time after a stop signal until requests in flight are handed over.
     pub stop_ms: u64,
-    /// Between two copies of the tokens so far to the holder of a request's record.
+    /// The interval between copies of new tokens to the holder of a request's record.
     pub progress_ms: u64,
-    /// How long an answer is kept for a caller that comes back.
+    /// Time for which an answer is kept for a client that reconnects.
     pub keep_answer_ms: u64,
 }
 
--- a/crates/keeljunction/src/settings/mod.rs
+++ b/crates/keeljunction/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of a node: YAML, checked whole before anything starts.
+//! The settings of a node, in YAML, validated before startup.
 
 mod check;
 mod document;
