--- a/crates/keeljunction/src/lib.rs
+++ b/crates/keeljunction/src/lib.rs
@@ -1,19 +1,18 @@
 //! A serving system for reclaimable VMs.
 //!
-//! Entry nodes stand between callers and backend servers. Each decision lives in
-//! [`keeljunction_core`], without input or output; this crate puts sockets, timers and files
-//! round it.
+//! Entry nodes route requests from clients to backend servers. All decisions are made in
+//! [`keeljunction_core`], which does no I/O. This crate adds sockets, timers and files.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
 //! | [`command`] | the command line |
 //! | [`settings`] | the settings of a node |
-//! | [`node`] | what a node knows and does |
-//! | [`caller`] | the HTTP side towards callers |
-//! | [`backend`] | the HTTP side towards backend servers |
+//! | [`node`] | the entry node |
+//! | [`caller`] | the HTTP server for clients and operators |
+//! | [`backend`] | the HTTP clients for backend servers |
 //! | [`peer`] | the protocol between nodes |
-//! | [`platform`] | the table service, object store, VM list and notices |
-//! | [`http`], [`runtime`], [`log`](mod@log), [`metric`] | plumbing |
+//! | [`platform`] | the client for the table service, object store, VM list and notices |
+//! | [`http`], [`runtime`], [`log`](mod@log), [`metric`] | infrastructure |
 
 pub mod backend;
 pub mod caller;
--- a/crates/keeljunction/src/log.rs
+++ b/crates/keeljunction/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard error.
+//! Logging to standard error, as JSON lines.
 
 use std::str::FromStr;
 
@@ -9,9 +9,9 @@
 
 const APPENDER: &str = "stderr";
 
-/// Sends logs of at least a level to standard error, one JSON object a line.
+/// Starts logging to standard error, with one JSON object per line.
 ///
-/// A second call changes nothing.
+/// An unknown level is treated as `info`. A second call has no effect.
 pub fn start(level: &str) {
     let level = LevelFilter::from_str(level).unwrap_or(LevelFilter::Info);
     let appender =
--- a/crates/keeljunction/src/main.rs
+++ b/crates/keeljunction/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary: entry nodes and the operators' client.
+//! The `keeljunction` binary: the entry node and the operator commands.
 
 use std::process::ExitCode;
 
--- a/crates/keeljunction/src/metric.rs
+++ b/crates/keeljunction/src/metric.rs
@@ -1,4 +1,4 @@
-//! Metrics by statsd, and the same counts for the operator's page.
+//! Metrics over statsd, with the counters also kept for the operator API.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,24 +10,25 @@
 
 const PREFIX: &str = "keeljunction";
 
-/// Counts, gauges and times of one node.
+/// The metrics of a node.
 pub struct Metric {
     statsd: StatsdClient,
     counts: Mutex<BTreeMap<&'static str, u64>>,
 }
 
 impl Metric {
-    /// Sends metrics to an address, or keeps the counts only.
-    pub fn new(to: Option<SocketAddr>) -> Self {
-        let statsd =
-            to.and_then(connect).unwrap_or_else(|| StatsdClient::from_sink(PREFIX, NopMetricSink));
+    /// Creates metrics that are sent to an address. Without one, only the counters are kept.
+    pub fn new(address: Option<SocketAddr>) -> Self {
+        let statsd = address
+            .and_then(connect)
+            .unwrap_or_else(|| StatsdClient::from_sink(PREFIX, NopMetricSink));
         Self { statsd, counts: Mutex::default() }
     }
 
-    /// Adds to a count.
-    pub fn count(&self, name: &'static str, by: u64) {
-        *runtime::lock(&self.counts).entry(name).or_default() += by;
-        let _ = self.statsd.count(name, by as i64);
+    /// Adds to a counter.
+    pub fn count(&self, name: &'static str, amount: u64) {
+        *runtime::lock(&self.counts).entry(name).or_default() += amount;
+        let _ = self.statsd.count(name, amount as i64);
     }
 
     /// Sets a gauge.
@@ -35,20 +36,20 @@
         let _ = self.statsd.gauge(name, value);
     }
 
-    /// Notes a time, in milliseconds.
+    /// Records a duration, in milliseconds.
     pub fn time(&self, name: &'static str, ms: u64) {
         let _ = self.statsd.time(name, ms);
     }
 
-    /// Returns all counts so far.
+    /// Returns all counters.
     pub fn get_counts(&self) -> BTreeMap<&'static str, u64> {
         runtime::lock(&self.counts).clone()
     }
 }
 
-fn connect(to: SocketAddr) -> Option<StatsdClient> {
+fn connect(address: SocketAddr) -> Option<StatsdClient> {
     let socket = UdpSocket::bind("0.0.0.0:0").ok()?;
     socket.set_nonblocking(true).ok()?;
-    let sink = UdpMetricSink::from(to, socket).ok()?;
+    let sink = UdpMetricSink::from(address, socket).ok()?;
     Some(StatsdClient::from_sink(PREFIX, sink))
 }
