--- a/crates/keeljunction/src/command/audit.rs
+++ b/crates/keeljunction/src/command/audit.rs
@@ -13,7 +13,7 @@
 
 pub(super) fn build() -> Command {
     Command::new("audit")
-        .about("Shows who changed what, and when")
+        .about("Shows the audit log of all rolls")
         .arg(platform_arg())
         .arg(timeout_arg())
         .arg(json_arg())
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// Reads all rolls, the oldest first.
+/// Reads all rolls, oldest first.
 pub(super) async fn rolls(client: &Client) -> Result<Vec<Roll>, Error> {
     let rows = client.scan(AUDIT_PREFIX).await.map_err(|fault| unavailable(&fault))?;
     rows.iter().map(read_roll).collect()
--- a/crates/keeljunction/src/command/bundle.rs
+++ b/crates/keeljunction/src/command/bundle.rs
@@ -14,9 +14,9 @@
 use super::platform::{
     connect, get_timeout, json_arg, platform_arg, print_json, timeout_arg, unavailable,
 };
-use super::roll::{self, Order};
+use super::roll::{self, RollRequest};
 use super::serve::get_path;
-use super::status::{ask, get_nodes, node_arg};
+use super::status::{call_node, get_nodes, node_arg};
 use super::{Failure, audit};
 use crate::platform::Client;
 use crate::runtime;
@@ -25,27 +25,27 @@
 
 pub(super) fn build() -> Command {
     Command::new("bundle")
-        .about("Checks, signs, rolls and rolls back bundle versions")
+        .about("Checks, signs, rolls out and rolls back bundles")
         .subcommand_required(true)
-        .subcommand(Command::new("check").about("Checks a bundle whole").arg(file_arg()))
+        .subcommand(Command::new("check").about("Validates a bundle").arg(file_arg()))
         .subcommand(
             Command::new("key")
-                .about("Makes a signing key, or shows the public key of one")
-                .arg(key_arg().help("The signing key's file; made where it is not there")),
+                .about("Prints the public key of a signing key, and creates the key if it does not exist")
+                .arg(key_arg().help("The file of the signing key; created if it does not exist")),
         )
         .subcommand(
             Command::new("sign")
-                .about("Checks a bundle and signs it")
+                .about("Validates and signs a bundle")
                 .arg(file_arg())
                 .arg(key_arg()),
         )
         .subcommand(
-            rolling(Command::new("roll").about("Puts a signed bundle in force everywhere"))
+            with_roll_args(Command::new("roll").about("Activates a signed bundle on all nodes"))
                 .arg(file_arg()),
         )
         .subcommand(
-            rolling(
-                Command::new("rollback").about("Puts an earlier roll's version in force again"),
+            with_roll_args(
+                Command::new("rollback").about("Reactivates the bundle of an earlier roll"),
             )
             .arg(
                 Arg::new("to")
@@ -56,13 +56,13 @@
                     .help("The number of the earlier roll"),
             ),
         )
-        .subcommand(reading(Command::new("list").about("Lists all rolls")))
+        .subcommand(with_read_args(Command::new("list").about("Lists all rolls")))
         .subcommand(
-            reading(Command::new("show").about("Shows the bundle of a roll")).arg(
+            with_read_args(Command::new("show").about("Shows the bundle of a roll")).arg(
                 Arg::new("number")
                     .value_name("NUMBER")
                     .value_parser(value_parser!(u64))
-                    .help("The roll; the last one if left out"),
+                    .help("The number of the roll [default: the last one]"),
             ),
         )
 }
@@ -80,25 +80,25 @@
     }
 }
 
-fn rolling(command: Command) -> Command {
+fn with_roll_args(command: Command) -> Command {
     let operator = Arg::new("operator")
         .long("operator")
         .value_name("NAME")
         .env("USER")
         .default_value("unknown")
-        .help("Who rolls, for the audit trail");
+        .help("The name of the operator, for the audit log");
     let above = Arg::new("above")
         .long("above")
         .value_name("NUMBER")
         .value_parser(value_parser!(u64))
-        .help("Rolls only if this is the number in force");
-    reading(command)
+        .help("Fails unless this is the number of the active roll");
+    with_read_args(command)
         .arg(operator)
         .arg(above)
-        .arg(node_arg().help("The operator address of a node to tell at once"))
+        .arg(node_arg().help("The operator address of a node to notify at once"))
 }
 
-fn reading(command: Command) -> Command {
+fn with_read_args(command: Command) -> Command {
     command.arg(platform_arg()).arg(timeout_arg()).arg(json_arg())
 }
 
@@ -107,7 +107,7 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The bundle, as YAML")
+        .help("The bundle file, in YAML")
 }
 
 fn key_arg() -> Arg {
@@ -116,7 +116,7 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The operator's signing key")
+        .help("The file of the operator's signing key")
 }
 
 fn check(matches: &ArgMatches) -> Result<(), Failure> {
@@ -161,7 +161,7 @@
     let signature = read_signature(path)?;
     bundle::verify(std::slice::from_ref(&signature.key), &body, &signature)?;
     let client = connect(matches)?;
-    let order = Order {
+    let request = RollRequest {
         version: &document.version,
         digest: bundle::digest(&body),
         signature,
@@ -171,7 +171,7 @@
     };
     let rolled = runtime::run(0, async {
         roll::upload(&client, &body).await?;
-        roll::commit(&client, order).await
+        roll::commit(&client, request).await
     })?;
     finish(matches, &rolled);
     Ok(())
@@ -182,7 +182,7 @@
     let number = matches.get_one::<u64>("to").copied().unwrap_or_default();
     let rolled = runtime::run(0, async {
         let earlier = find(&client, Some(number)).await?;
-        let order = Order {
+        let request = RollRequest {
             version: &earlier.version,
             digest: earlier.digest.clone(),
             signature: earlier.signature.clone(),
@@ -190,7 +190,7 @@
             operator: get_operator(matches),
             above: matches.get_one::<u64>("above").copied(),
         };
-        roll::commit(&client, order).await
+        roll::commit(&client, request).await
     })?;
     finish(matches, &rolled);
     Ok(())
@@ -224,21 +224,21 @@
     };
     found.cloned().ok_or_else(|| {
         let last = rolls.last().map_or(0, |roll| roll.number);
-        Error::new(ErrorKind::NotFound, "there is no such roll")
+        Error::new(ErrorKind::NotFound, "unknown roll")
             .value(number.unwrap_or_default().to_string())
             .allowed(format!("1 to {last}"))
-            .tip("`keeljunction bundle list` shows all rolls")
+            .tip("run `keeljunction bundle list` to see all rolls")
     })
 }
 
-/// Notifies nodes at once, and prints what was rolled.
+/// Notifies the given nodes, and prints the roll.
 fn finish(matches: &ArgMatches, rolled: &Roll) {
     let time = get_timeout(matches);
     runtime::run(0, async {
         for node in get_nodes(matches) {
-            if let Err(error) = ask(node, Method::POST, "/nudge", time).await {
+            if let Err(error) = call_node(node, Method::POST, "/nudge", time).await {
                 eprintln!(
-                    "{node} was not notified at once and will hear of it from its peers: {error}"
+                    "could not notify {node}, which will receive the roll from its peers: {error}"
                 );
             }
         }
@@ -256,14 +256,14 @@
 
 fn read(path: &Path) -> Result<Vec<u8>, Error> {
     fs::read(path).map_err(|error| {
-        Error::new(ErrorKind::NotFound, format!("the bundle cannot be read: {error}"))
+        Error::new(ErrorKind::NotFound, format!("cannot read the bundle: {error}"))
             .value(path.display().to_string())
     })
 }
 
 fn parse(body: &[u8]) -> Result<bundle::Document, Error> {
     let text = std::str::from_utf8(body)
-        .map_err(|_| Error::new(ErrorKind::Malformed, "the bundle is not UTF-8 text"))?;
+        .map_err(|_| Error::new(ErrorKind::Malformed, "the bundle is not valid UTF-8"))?;
     bundle::parse(text)
 }
 
@@ -279,14 +279,14 @@
     let text = fs::read_to_string(&path).map_err(|_| {
         Error::new(ErrorKind::Untrusted, "the bundle is not signed")
             .value(path.display().to_string())
-            .tip("`keeljunction bundle sign FILE --key KEY` signs it")
+            .tip("run `keeljunction bundle sign FILE --key KEY` to sign it")
     })?;
     serde_json::from_str(&text).map_err(|error| {
-        Error::new(ErrorKind::Untrusted, format!("the signature is not understood: {error}"))
+        Error::new(ErrorKind::Untrusted, format!("the signature file is malformed: {error}"))
     })
 }
 
-/// Writes a file that only its owner can read.
+/// Writes a file that only its owner can read. Fails if the file exists.
 fn write_secret(path: &Path, text: &str) -> std::io::Result<()> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
--- a/crates/keeljunction/src/command/gateway.rs
+++ b/crates/keeljunction/src/command/gateway.rs
@@ -12,18 +12,18 @@
 
 pub(super) fn build() -> Command {
     Command::new("gateway")
-        .about("Runs an entry node of a platform that keeps configuration, servers and leases")
+        .about("Runs an entry node that uses a platform for configuration, discovery and leases")
         .long_about(
-            "Runs an entry node that relays requests to the servers that a platform lists, until\n\
-             SIGTERM or SIGINT, after which it finishes what is in flight. SIGHUP reads the\n\
-             settings again. Logs go to standard output as JSON lines.",
+            "Runs an entry node that forwards requests to the servers listed by a platform.\n\
+             SIGTERM or SIGINT stops the node after it has drained the requests in flight.\n\
+             SIGHUP reloads the settings. Logs go to standard output as JSON lines.",
         )
         .arg(settings_arg())
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(clap::ArgAction::SetTrue)
-                .help("Checks the settings whole, and starts nothing"),
+                .help("Validates the settings and exits"),
         )
 }
 
@@ -34,7 +34,7 @@
         .env("KEELJUNCTION_BOOT")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The settings, as YAML")
+        .help("The settings file, in YAML")
 }
 
 pub(super) fn run(matches: &ArgMatches) -> Result<(), Failure> {
--- a/crates/keeljunction/src/command/mod.rs
+++ b/crates/keeljunction/src/command/mod.rs
@@ -18,17 +18,17 @@
 
 pub use report::Failure;
 
-/// Describes the whole command line.
+/// Builds the command-line parser.
 pub fn build() -> Command {
     Command::new("keeljunction")
         .version(clap::crate_version!())
-        .about("Serves models and plain services on reclaimable VMs")
+        .about("Routes requests to models and services on reclaimable VMs")
         .long_about(
-            "Serves models and plain services on VMs that the cloud may take back at short notice.\n\n\
-             `serve` runs an entry node. All other subcommands are for operators: they talk to the\n\
-             platform's table service and object store, and to nodes' operator addresses.",
+            "Routes requests to models and plain services on VMs that the cloud may reclaim at\n\
+             short notice.\n\n\
+             `serve` and `gateway` run an entry node. All other subcommands are for operators.",
         )
-        .after_help("Exit status: 0 done, 1 failed, 2 wrong arguments or settings, 3 lost a race.")
+        .after_help("Exit status: 0 done, 1 failed, 2 invalid arguments or settings, 3 conflict with another roll.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(serve::build())
@@ -41,9 +41,9 @@
         .subcommand(trace::build())
 }
 
-/// Runs the subcommand.
+/// Runs the selected subcommand.
 pub fn run(matches: &ArgMatches) -> ExitCode {
-    let done = match matches.subcommand() {
+    let result = match matches.subcommand() {
         Some(("serve", matches)) => serve::run(matches),
         Some(("gateway", matches)) => gateway::run(matches),
         Some(("settings", matches)) => settings::run(matches),
@@ -54,7 +54,7 @@
         Some(("trace", matches)) => trace::run(matches),
         _ => Ok(()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => failure.print(),
     }
--- a/crates/keeljunction/src/command/platform.rs
+++ b/crates/keeljunction/src/command/platform.rs
@@ -1,4 +1,4 @@
-//! What the operators' subcommands share: the platform, and JSON output.
+//! Arguments and helpers shared by the operator subcommands.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,11 +19,11 @@
         .value_name("IP:PORT")
         .required(true)
         .value_parser(value_parser!(SocketAddr))
-        .help("Where the platform is")
+        .help("The address of the platform")
 }
 
 pub(super) fn json_arg() -> Arg {
-    Arg::new("json").long("json").action(ArgAction::SetTrue).help("Prints JSON, for scripts")
+    Arg::new("json").long("json").action(ArgAction::SetTrue).help("Prints JSON")
 }
 
 pub(super) fn timeout_arg() -> Arg {
@@ -32,13 +32,14 @@
         .value_name("MS")
         .default_value("3000")
         .value_parser(value_parser!(u64).range(1..))
-        .help("Time for one call")
+        .help("The timeout of one call, in milliseconds")
 }
 
 pub(super) fn connect(matches: &ArgMatches) -> Result<Client, Error> {
     let address = matches.get_one::<SocketAddr>("platform").copied();
-    let address = address
-        .ok_or_else(|| Error::new(ErrorKind::MissingKey, "no platform").key("--platform"))?;
+    let address = address.ok_or_else(|| {
+        Error::new(ErrorKind::MissingKey, "missing platform address").key("--platform")
+    })?;
     let call_ms = get_timeout(matches).as_millis() as u64;
     let settings = settings::Platform { address, calls_per_second: CALLS_PER_SECOND, call_ms };
     Ok(Client::new(settings, http::Client::new(get_timeout(matches))))
@@ -50,12 +51,12 @@
 
 pub(super) fn unavailable(fault: &Fault) -> Error {
     Error::new(ErrorKind::Unavailable, fault.to_string())
-        .tip("nothing was changed; try again when the platform answers")
+        .tip("nothing was changed; try again when the platform is available")
 }
 
 pub(super) fn read_roll(row: &Row) -> Result<Roll, Error> {
     serde_json::from_str(&row.value).map_err(|error| {
-        Error::new(ErrorKind::Malformed, format!("a roll is not understood: {error}"))
+        Error::new(ErrorKind::Malformed, format!("the roll is malformed: {error}"))
             .key(row.key.as_str())
     })
 }
--- a/crates/keeljunction/src/command/report.rs
+++ b/crates/keeljunction/src/command/report.rs
@@ -1,4 +1,4 @@
-//! Failures as a person reads them.
+//! Error reports of the command line.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -8,8 +8,8 @@
 use miette::Diagnostic;
 
 const FAILED: u8 = 1;
-const MISUSED: u8 = 2;
-const RACED: u8 = 3;
+const USAGE: u8 = 2;
+const CONFLICT: u8 = 3;
 
 /// A failure of a subcommand.
 #[derive(Debug)]
@@ -32,11 +32,11 @@
 }
 
 impl Failure {
-    /// Prints the failure on standard error, and returns the exit status that goes with it.
+    /// Prints the failure to standard error, and returns its exit status.
     pub fn print(self) -> ExitCode {
         let status = match self.error.get_kind() {
-            ErrorKind::InvalidValue | ErrorKind::MissingKey | ErrorKind::Malformed => MISUSED,
-            ErrorKind::Conflict => RACED,
+            ErrorKind::InvalidValue | ErrorKind::MissingKey | ErrorKind::Malformed => USAGE,
+            ErrorKind::Conflict => CONFLICT,
             _ => FAILED,
         };
         eprintln!("{:?}", miette::Report::new(self));
--- a/crates/keeljunction/src/command/rollout.rs
+++ b/crates/keeljunction/src/command/rollout.rs
@@ -11,30 +11,28 @@
 
 use super::Failure;
 use super::platform::{get_timeout, json_arg, print_json, timeout_arg};
-use super::status::ask;
+use super::status::call_node;
 use crate::runtime;
 
 const PATH: &str = "/rollouts";
-/// The time between two tables of `watch`.
-const PERIOD: Duration = Duration::from_secs(1);
+/// The interval between the tables printed by `watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) fn build() -> Command {
     Command::new("rollout")
-        .about("Shows how services move to other versions, as a gateway node knows it")
+        .about("Shows the roll-outs of service versions, as seen by a gateway node")
         .subcommand_required(true)
-        .subcommand(with_arguments(
-            Command::new("list").about("Lists the roll-outs and how far they have come"),
-        ))
+        .subcommand(with_args(Command::new("list").about("Lists the roll-outs and their progress")))
         .subcommand(
-            with_arguments(Command::new("show").about("Shows the roll-out of one service"))
+            with_args(Command::new("show").about("Shows the roll-out of one service"))
                 .arg(Arg::new("service").value_name("SERVICE").required(true).help("The service")),
         )
-        .subcommand(with_arguments(
-            Command::new("watch").about("Lists them each second until all are decided"),
+        .subcommand(with_args(
+            Command::new("watch").about("Lists the roll-outs every second until all have finished"),
         ))
 }
 
-fn with_arguments(command: Command) -> Command {
+fn with_args(command: Command) -> Command {
     command.arg(node_arg()).arg(timeout_arg()).arg(json_arg())
 }
 
@@ -61,14 +59,17 @@
     let node = matches
         .get_one::<SocketAddr>("node")
         .copied()
-        .ok_or_else(|| Error::new(ErrorKind::MissingKey, "no node").key("--node"))?;
+        .ok_or_else(|| Error::new(ErrorKind::MissingKey, "missing node address").key("--node"))?;
     let time = get_timeout(matches);
-    let answer: Value = runtime::run(0, ask(node, Method::GET, PATH, time))?;
+    let answer: Value = runtime::run(0, call_node(node, Method::GET, PATH, time))?;
     serde_json::from_value(answer).map_err(|error| {
-        Error::new(ErrorKind::Malformed, format!("the answer is no list of roll-outs: {error}"))
-            .key("--node")
-            .value(node.to_string())
-            .tip("give the metrics address of a gateway node")
+        Error::new(
+            ErrorKind::Malformed,
+            format!("the response is not a list of roll-outs: {error}"),
+        )
+        .key("--node")
+        .value(node.to_string())
+        .tip("pass the metrics address of a gateway node")
     })
 }
 
@@ -77,10 +78,10 @@
     let mut summaries = get(matches)?;
     summaries.retain(|summary| summary.order.service == service);
     if summaries.is_empty() {
-        return Err(Error::new(ErrorKind::NotFound, "there is no roll-out of this service")
+        return Err(Error::new(ErrorKind::NotFound, "no roll-out of this service")
             .key("SERVICE")
             .value(service)
-            .tip("`keeljunction rollout list` names those that the node knows of"));
+            .tip("run `keeljunction rollout list` to see all roll-outs that the node knows"));
     }
     print(&summaries, matches.get_flag("json"));
     Ok(())
@@ -93,7 +94,7 @@
         if summaries.iter().all(|summary| summary.stage.is_final()) {
             return Ok(());
         }
-        std::thread::sleep(PERIOD);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
--- a/crates/keeljunction/src/command/serve.rs
+++ b/crates/keeljunction/src/command/serve.rs
@@ -12,9 +12,9 @@
     Command::new("serve")
         .about("Runs an entry node")
         .long_about(
-            "Runs an entry node until SIGTERM or SIGINT, after which it finishes what is in flight.\n\
-             Once it listens, it prints its addresses as one JSON line on standard output; logs go\n\
-             to standard error as JSON lines.",
+            "Runs an entry node. SIGTERM or SIGINT stops the node after it has drained the requests\n\
+             in flight. At startup the node prints its addresses to standard output as one JSON\n\
+             line. Logs go to standard error as JSON lines.",
         )
         .arg(settings_arg())
 }
@@ -25,13 +25,13 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The settings, as YAML")
+        .help("The settings file, in YAML")
 }
 
 pub(super) fn run(matches: &ArgMatches) -> Result<(), Failure> {
     let settings = settings::load(get_path(matches, "settings")?)?;
     log::start(&settings.log_level);
-    // A single thread runs the node's tasks itself.
+    // With a single thread, the main thread runs the tasks and no workers are started.
     let threads = if settings.threads > 1 { settings.threads } else { 0 };
     Ok(runtime::run(threads, node::serve::serve(settings))?)
 }
@@ -40,5 +40,5 @@
 pub(super) fn get_path<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a PathBuf, Error> {
     matches
         .get_one::<PathBuf>(name)
-        .ok_or_else(|| Error::new(ErrorKind::MissingKey, "an argument is missing").key(name))
+        .ok_or_else(|| Error::new(ErrorKind::MissingKey, "missing argument").key(name))
 }
--- a/crates/keeljunction/src/command/settings.rs
+++ b/crates/keeljunction/src/command/settings.rs
@@ -8,13 +8,9 @@
 
 pub(super) fn build() -> Command {
     Command::new("settings")
-        .about("Works on a node's settings")
+        .about("Works with the settings of a node")
         .subcommand_required(true)
-        .subcommand(
-            Command::new("check")
-                .about("Checks settings whole, and starts nothing")
-                .arg(settings_arg()),
-        )
+        .subcommand(Command::new("check").about("Validates settings").arg(settings_arg()))
 }
 
 pub(super) fn run(matches: &ArgMatches) -> Result<(), Failure> {
--- a/crates/keeljunction/src/command/status.rs
+++ b/crates/keeljunction/src/command/status.rs
@@ -13,11 +13,11 @@
 use crate::http::{self, Body};
 use crate::runtime;
 
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 pub(super) fn build() -> Command {
     Command::new("status")
-        .about("Asks nodes how they are")
+        .about("Shows the status of nodes")
         .arg(node_arg().required(true))
         .arg(timeout_arg())
         .arg(json_arg())
@@ -29,7 +29,7 @@
         .value_name("IP:PORT")
         .action(ArgAction::Append)
         .value_parser(value_parser!(SocketAddr))
-        .help("The operator address of a node; may be given several times")
+        .help("The operator address of a node; can be repeated")
 }
 
 pub(super) fn run(matches: &ArgMatches) -> Result<(), Failure> {
@@ -38,7 +38,7 @@
     let answers: Vec<(SocketAddr, Result<Value, Error>)> = runtime::run(0, async {
         let mut answers = Vec::new();
         for node in nodes {
-            answers.push((node, ask(node, Method::GET, "/status", time).await));
+            answers.push((node, call_node(node, Method::GET, "/status", time).await));
         }
         answers
     });
@@ -53,8 +53,8 @@
     matches.get_many::<SocketAddr>("node").into_iter().flatten().copied().collect()
 }
 
-/// Asks a node's operator page.
-pub(super) async fn ask(
+/// Calls the operator API of a node.
+pub(super) async fn call_node(
     node: SocketAddr,
     method: Method,
     path: &str,
@@ -68,21 +68,22 @@
     let exchange = async {
         let response =
             client.send(node, request).await.map_err(|error| failed(error.to_string()))?;
-        let content = http::read_body(response.into_body(), MAX_ANSWER).await;
-        content.ok_or_else(|| failed("the answer broke off".to_owned()))
+        let content = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
+        content.ok_or_else(|| failed("incomplete response".to_owned()))
     };
     let content = runtime::timeout(time, exchange).await;
-    let content = content.unwrap_or_else(|| Err(failed("no answer in time".to_owned())))?;
+    let content =
+        content.unwrap_or_else(|| Err(failed("no response before the timeout".to_owned())))?;
     serde_json::from_slice(&content).map_err(|error| failed(error.to_string()))
 }
 
 fn print(answers: &[(SocketAddr, Result<Value, Error>)], is_json: bool) {
     if is_json {
-        let write = |(node, answer): &(SocketAddr, Result<Value, Error>)| match answer {
+        let to_json = |(node, answer): &(SocketAddr, Result<Value, Error>)| match answer {
             Ok(status) => status.clone(),
             Err(error) => json!({ "address": node.to_string(), "error": error.to_string() }),
         };
-        return print_json(&answers.iter().map(write).collect::<Vec<_>>());
+        return print_json(&answers.iter().map(to_json).collect::<Vec<_>>());
     }
     println!(
         "{:<16} {:<16} {:<6} {:>5}  {:<20} {:>7}",
@@ -99,7 +100,7 @@
                 status["version"].as_str().unwrap_or_default(),
                 status["running"]
             ),
-            Err(_) => println!("{node:<16} does not answer"),
+            Err(_) => println!("{node:<16} does not respond"),
         }
     }
 }
--- a/crates/keeljunction/src/command/trace.rs
+++ b/crates/keeljunction/src/command/trace.rs
@@ -11,13 +11,13 @@
 
 pub(super) fn build() -> Command {
     Command::new("trace")
-        .about("Shows what the nodes logged of one request, in order of time")
+        .about("Shows the log lines of one request from all nodes, in chronological order")
         .arg(
             Arg::new("request")
                 .long("request")
                 .value_name("ID")
                 .required(true)
-                .help("The request's id, as the caller sent it"),
+                .help("The ID of the request, as sent by the client"),
         )
         .arg(
             Arg::new("files")
@@ -25,7 +25,7 @@
                 .required(true)
                 .num_args(1..)
                 .value_parser(value_parser!(PathBuf))
-                .help("Logs of the nodes"),
+                .help("The log files of the nodes"),
         )
 }
 
@@ -34,10 +34,10 @@
     let mut lines = Vec::new();
     for path in matches.get_many::<PathBuf>("files").into_iter().flatten() {
         let log = fs::read_to_string(path).map_err(|error| {
-            Error::new(ErrorKind::NotFound, format!("a log cannot be read: {error}"))
+            Error::new(ErrorKind::NotFound, format!("cannot read a log file: {error}"))
                 .key("FILE")
                 .value(path.display().to_string())
-                .tip("name files that hold the nodes' standard output")
+                .tip("pass files with the standard output of the nodes")
         })?;
         let source = path.file_stem().map_or_else(String::new, |s| s.to_string_lossy().into());
         lines.extend(find(request, &source, &log));
@@ -46,7 +46,7 @@
         return Err(Error::new(ErrorKind::NotFound, "no line names the request")
             .key("--request")
             .value(request)
-            .tip("lines of requests that went as usual are sampled under load")
+            .tip("under load, only a sample of the lines of successful requests is logged")
             .into());
     }
     print!("{}", render(lines));
