--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -68,7 +68,7 @@
     /// The engine accepted the order.
     Accepted,
     /// The engine has seen a newer fencing token.
-    StaleFence,
+    Fenced,
     /// The engine rejected the order or did not respond.
     Failed,
 }
@@ -140,9 +140,7 @@
         let sent = runtime::timeout(self.timeout, self.http.send(self.address, request)).await;
         match sent {
             Some(Ok(response)) if response.status() == StatusCode::OK => OrderResult::Accepted,
-            Some(Ok(response)) if response.status() == StatusCode::CONFLICT => {
-                OrderResult::StaleFence
-            }
+            Some(Ok(response)) if response.status() == StatusCode::CONFLICT => OrderResult::Fenced,
             _ => OrderResult::Failed,
         }
     }
--- a/crates/keeljunction/src/command/bundle.rs
+++ b/crates/keeljunction/src/command/bundle.rs
@@ -25,7 +25,7 @@
 
 pub(super) fn build() -> Command {
     Command::new("bundle")
-        .about("Checks, signs, rolls out and rolls back bundles")
+        .about("Checks, signs, rolls and rolls back bundles")
         .subcommand_required(true)
         .subcommand(Command::new("check").about("Validates a bundle").arg(file_arg()))
         .subcommand(
--- a/crates/keeljunction/src/command/platform.rs
+++ b/crates/keeljunction/src/command/platform.rs
@@ -37,9 +37,8 @@
 
 pub(super) fn connect(matches: &ArgMatches) -> Result<Client, Error> {
     let address = matches.get_one::<SocketAddr>("platform").copied();
-    let address = address.ok_or_else(|| {
-        Error::new(ErrorKind::MissingKey, "missing platform address").key("--platform")
-    })?;
+    let address = address
+        .ok_or_else(|| Error::new(ErrorKind::MissingKey, "no platform").key("--platform"))?;
     let call_ms = get_timeout(matches).as_millis() as u64;
     let settings = settings::Platform { address, calls_per_second: CALLS_PER_SECOND, call_ms };
     Ok(Client::new(settings, http::Client::new(get_timeout(matches))))
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -30,7 +30,7 @@
     grant: &str,
 ) -> End {
     let Ok(address) = attempt.address.parse() else {
-        return not_sent("the address is not IP:port");
+        return not_sent("not an IP:port");
     };
     let request = &answer.request;
     let tokens = answer.get_since(0).tokens;
@@ -78,7 +78,7 @@
     cursor: &mut Cursor,
 ) -> End {
     let Ok(address) = attempt.address.parse() else {
-        return not_sent("the address is not IP:port");
+        return not_sent("not an IP:port");
     };
     cursor.switch(&attempt.id);
     match engine(node, address).attach(&attempt.id, cursor.get_next()).await {
@@ -94,7 +94,7 @@
 /// Sends a request to a plain service and reads its complete response.
 pub async fn run_plain(node: &Arc<Node>, answer: &Answer, attempt: &Attempt) -> End {
     let Ok(address) = attempt.address.parse() else {
-        return not_sent("the address is not IP:port");
+        return not_sent("not an IP:port");
     };
     let request = &answer.request;
     let plain = PlainRequest {
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -56,7 +56,7 @@
                     self.sent.insert(name, active.roll.number);
                     node.metric.count("orders_sent", 1);
                 }
-                Some(OrderResult::StaleFence) => {
+                Some(OrderResult::Fenced) => {
                     node.metric.count("orders_fenced_off", 1);
                     return lease_client.drop_lease();
                 }
