--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -29,9 +29,7 @@
     cursor: &mut Cursor,
     grant: &str,
 ) -> End {
-    let Ok(address) = attempt.address.parse() else {
-        return not_sent("not an IP:port");
-    };
+    let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
     let request = &answer.request;
     let tokens = answer.get_since(0).tokens;
     let engine_request = EngineRequest {
@@ -77,9 +75,7 @@
     attempt: &Attempt,
     cursor: &mut Cursor,
 ) -> End {
-    let Ok(address) = attempt.address.parse() else {
-        return not_sent("not an IP:port");
-    };
+    let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
     cursor.switch(&attempt.id);
     match engine(node, address).attach(&attempt.id, cursor.get_next()).await {
         Ok(response) if response.status().is_success() => {
@@ -93,9 +89,7 @@
 
 /// Sends a request to a plain service and reads its complete response.
 pub async fn run_plain(node: &Arc<Node>, answer: &Answer, attempt: &Attempt) -> End {
-    let Ok(address) = attempt.address.parse() else {
-        return not_sent("not an IP:port");
-    };
+    let Ok(address) = attempt.address.parse() else { return not_sent("not an IP:port") };
     let request = &answer.request;
     let plain = PlainRequest {
         method: &request.method,
