--- a/crates/keeljunction/src/command/mod.rs
+++ b/crates/keeljunction/src/command/mod.rs
@@ -26,7 +26,9 @@
         .long_about(
             "Routes requests to models and plain services on VMs that the cloud may reclaim at\n\
              short notice.\n\n\
-             `serve` and `gateway` run an entry node. All other subcommands are for operators.",
+             `serve` and `gateway` run an entry node. All other subcommands are for operators:\n\
+             they call the table service and object store of the platform, or the operator\n\
+             addresses of nodes.",
         )
         .after_help("Exit status: 0 done, 1 failed, 2 invalid arguments or settings, 3 conflict with another roll.")
         .subcommand_required(true)
