--- a/crates/core/src/serving/backpressure/permits.rs
+++ b/crates/core/src/serving/backpressure/permits.rs
@@ -17,17 +17,16 @@
 /// The minimum burst of a bucket: a permit must not be lost because no request arrives at the very
 /// moment it becomes available.
 const MIN_BURST_PERMITS: f64 = 2.0;
-/// The longest denial because of other nodes in the queue, in milliseconds. The node may have no
-/// request for the server when its turn comes. The time until the next permit may be longer.
-const MAX_QUEUE_WAIT: Millis = 2_000;
-/// The longest denial, in milliseconds: by then more nodes may have joined, and the limit may have
-/// ended.
-const MAX_DENIAL: Millis = 10_000;
+/// The longest denial because of other nodes in the queue. The node may have no request for the
+/// server when its turn comes. The time until the next permit may be longer.
+const MAX_QUEUE_WAIT_MS: Millis = 2_000;
+/// The longest denial: by then more nodes may have joined, and the limit may have ended.
+const MAX_DENIAL_MS: Millis = 10_000;
 /// Added to the time until a node's turn, in milliseconds, so that rounding does not make it retry
 /// before the permit is available.
-const TURN_SLACK: Millis = 5;
-/// How long an unused bucket is kept, in milliseconds. A new bucket starts empty.
-const IDLE_TTL: Millis = 60_000;
+const TURN_SLACK_MS: Millis = 5;
+/// How long an unused bucket is kept. A new bucket starts empty.
+const IDLE_TTL_MS: Millis = 60_000;
 
 /// The decision of a server's owner on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -112,7 +111,7 @@
 
     /// Removes buckets that are unused.
     pub fn expire(&mut self, now: Millis) {
-        self.pools.retain(|_, pool| now < pool.used_at.saturating_add(IDLE_TTL));
+        self.pools.retain(|_, pool| now < pool.used_at.saturating_add(IDLE_TTL_MS));
     }
 
     /// Returns the bucket of a server. A new one starts at `level`.
@@ -139,9 +138,10 @@
             self.queued = 0;
         }
         let behind = (f64::from(self.queued) / rate * 1_000.0) as Millis;
-        let until_turn = wait.saturating_add(behind).min(wait.clamp(MAX_QUEUE_WAIT, MAX_DENIAL));
+        let until_turn =
+            wait.saturating_add(behind).min(wait.clamp(MAX_QUEUE_WAIT_MS, MAX_DENIAL_MS));
         self.queued += 1;
         self.last_turn = self.last_turn.max(now + until_turn);
-        until_turn + TURN_SLACK
+        until_turn + TURN_SLACK_MS
     }
 }
--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -5,13 +5,13 @@
 use super::{InstanceKey, Observation};
 use crate::Millis;
 
-/// How long a limit is kept after the last response that reported it, in milliseconds. A response
-/// without a limit ends it at once, but a server that gets no requests sends no responses.
-const LIMIT_TTL: Millis = 600_000;
+/// How long a limit is kept after the last response that reported it. A response without a limit
+/// ends it at once, but a server that gets no requests sends no responses.
+const LIMIT_TTL_MS: Millis = 600_000;
 /// How long the end of a limit is remembered, in milliseconds, so that late observations do not
 /// restore the limit.
-const ENDED_TTL: Millis = 60_000;
-/// The relative change of a rate above which it is news for other nodes. Owners learn of smaller
+const ENDED_TTL_MS: Millis = 60_000;
+/// The relative change of a rate above which other nodes are told. Owners learn of smaller
 /// changes with the next request for a permit.
 const MIN_CHANGE_RATIO: f64 = 0.25;
 /// One report in this many carries observations, for nodes that just started or missed the news.
@@ -133,7 +133,7 @@
     /// Removes expired records.
     pub fn expire(&mut self, now: Millis) {
         self.servers.retain(|_, record| {
-            let ttl = if record.rate.is_some() { LIMIT_TTL } else { ENDED_TTL };
+            let ttl = if record.rate.is_some() { LIMIT_TTL_MS } else { ENDED_TTL_MS };
             now < record.seen_at.saturating_add(ttl)
         });
     }
--- a/crates/core/src/serving/backpressure/tracker.rs
+++ b/crates/core/src/serving/backpressure/tracker.rs
@@ -24,7 +24,7 @@
 /// The changes that a signal made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Update {
-    /// The rate limit to gossip, if it is news for other nodes.
+    /// The rate limit to gossip, if it is new to other nodes.
     pub limit: Option<Observation>,
     /// The end of the server's back-off, if it is later than the known one.
     pub back_off_until: Option<Millis>,
@@ -58,7 +58,8 @@
         self.unreadable.insert(InstanceKey::of(server).server)
     }
 
-    /// Merges an observation of another node. Returns `true` if it is news, to be gossiped on.
+    /// Merges an observation of another node. Returns `true` if it is new and is to be gossiped
+    /// on.
     pub fn merge(&mut self, now: Millis, observation: &Observation) -> bool {
         self.limits.merge(now, observation)
     }
--- a/crates/core/src/serving/choice.rs
+++ b/crates/core/src/serving/choice.rs
@@ -9,8 +9,8 @@
 //! server as well. Load is measured in time, so the prompts of slow servers count for more.
 //!
 //! If even the least loaded server would miss the latency objective, the request is refused at
-//! once: a retry that is answered within the objective is better than a late response, and a refused
-//! request delays no other.
+//! once: a retry that is answered within the objective is better than a late response, and a
+//! refused request delays no other.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -139,8 +139,8 @@
     Choice::Server(preferred.unwrap_or(least).server)
 }
 
-/// Returns the time in milliseconds after which to retry, if the response of the least loaded server
-/// would miss the objective.
+/// Returns the time in milliseconds after which to retry, if the response of the least loaded
+/// server would miss the objective.
 ///
 /// A request that would miss the objective on an idle server as well is not refused.
 fn get_retry_wait(least: &Candidate<'_>, criteria: &Criteria) -> Option<Millis> {
--- a/crates/core/src/serving/health.rs
+++ b/crates/core/src/serving/health.rs
@@ -11,16 +11,16 @@
 
 use crate::Millis;
 
-/// The duration of a first ejection, in milliseconds: a few times the duration of a response.
-const MIN_EJECTION: Millis = 250;
-/// The longest ejection, in milliseconds: about the time that a new server takes to start.
-const MAX_EJECTION: Millis = 4_000;
+/// The duration of a first ejection: a few times the duration of a response.
+const MIN_EJECTION_MS: Millis = 250;
+/// The longest ejection: about the time that a new server takes to start.
+const MAX_EJECTION_MS: Millis = 4_000;
 /// Consecutive failures that are tolerated before a server is ejected.
 const MAX_TOLERATED_FAILURES: u32 = 1;
 
-/// How long a server that was unreachable takes to get its share of the requests back, in
-/// milliseconds: a few times the longest responses of plain services.
-const RAMP_PERIOD: Millis = 2_000;
+/// How long a server that was unreachable takes to get its share of the requests back: a few times
+/// the longest responses of plain services.
+const RAMP_PERIOD_MS: Millis = 2_000;
 
 /// The health of each server, from its latest responses.
 #[derive(Clone, Debug, Default)]
@@ -51,7 +51,7 @@
         let record = self.servers.entry(id.to_owned()).or_default();
         record.failures += 1;
         let excess = record.failures.checked_sub(MAX_TOLERATED_FAILURES + 1)?;
-        let ejected_for = (MIN_EJECTION << excess.min(8)).min(MAX_EJECTION);
+        let ejected_for = (MIN_EJECTION_MS << excess.min(8)).min(MAX_EJECTION_MS);
         record.ejected_until = now + ejected_for;
         Some(ejected_for)
     }
@@ -61,7 +61,7 @@
         self.servers.entry(id.to_owned()).or_default().failures += MAX_TOLERATED_FAILURES;
         if let Some(ejected_for) = self.record_failure(now, id) {
             let record = self.servers.entry(id.to_owned()).or_default();
-            record.ramped_at = now + ejected_for + RAMP_PERIOD;
+            record.ramped_at = now + ejected_for + RAMP_PERIOD_MS;
         }
     }
 
@@ -69,18 +69,18 @@
     /// so it gets its share of the requests back gradually.
     pub fn record_back_off(&mut self, id: &str, until: Millis) {
         let record = self.servers.entry(id.to_owned()).or_default();
-        record.ramped_at = record.ramped_at.max(until.saturating_add(RAMP_PERIOD));
+        record.ramped_at = record.ramped_at.max(until.saturating_add(RAMP_PERIOD_MS));
     }
 
     /// Returns `true` if a request should go elsewhere while the server gets its share back
     /// gradually.
     ///
     /// `draw` is random, from 0 to 1. At the end of the ejection all requests go elsewhere, and
-    /// this fraction falls linearly to zero within `RAMP_PERIOD`.
+    /// this fraction falls linearly to zero within `RAMP_PERIOD_MS`.
     pub fn is_ramping(&self, now: Millis, id: &str, draw: f64) -> bool {
         let Some(record) = self.servers.get(id) else { return false };
-        let remaining = record.ramped_at.saturating_sub(now).min(RAMP_PERIOD);
-        draw * (RAMP_PERIOD as f64) < remaining as f64
+        let remaining = record.ramped_at.saturating_sub(now).min(RAMP_PERIOD_MS);
+        draw * (RAMP_PERIOD_MS as f64) < remaining as f64
     }
 
     /// Returns `true` if the server is ejected.
--- a/crates/core/src/serving/in_flight_bytes.rs
+++ b/crates/core/src/serving/in_flight_bytes.rs
@@ -12,9 +12,9 @@
 /// The bytes that must be in flight at a server for its crash to be blamed on a lack of memory:
 /// some tens of usual requests, or a single large one.
 pub const MIN_SUSPECT_BYTES: u64 = 32 * 1024;
-/// The interval at which a limit doubles, in milliseconds. A crashed server is back by then, and a
-/// node whose limit is too low recovers within a minute.
-const DOUBLING_PERIOD: Millis = 5_000;
+/// The interval at which a limit doubles. A crashed server is back by then, and a node whose limit
+/// is too low recovers within a minute.
+const DOUBLING_PERIOD_MS: Millis = 5_000;
 /// How often a limit doubles before it is removed.
 const MAX_DOUBLINGS: u32 = 8;
 
@@ -37,7 +37,7 @@
     /// Returns the limit in bytes, or `None` once it has expired.
     fn get(&self, now: Millis) -> Option<u64> {
         let elapsed = now.saturating_sub(self.lowered_at);
-        let doublings = u32::try_from(elapsed / DOUBLING_PERIOD).unwrap_or(MAX_DOUBLINGS);
+        let doublings = u32::try_from(elapsed / DOUBLING_PERIOD_MS).unwrap_or(MAX_DOUBLINGS);
         (doublings < MAX_DOUBLINGS).then(|| self.bytes << doublings)
     }
 }
--- a/crates/core/src/serving/memory/eviction.rs
+++ b/crates/core/src/serving/memory/eviction.rs
@@ -4,7 +4,7 @@
 
 use super::budget::MemoryBudget;
 use super::kind::Kind;
-use super::release::MIN_RETRY_AFTER;
+use super::release::MIN_RETRY_AFTER_MS;
 use super::reservation::{Reservation, ReservationId};
 use crate::Millis;
 
@@ -32,7 +32,7 @@
         };
         let retry_after = match evicted.is_empty() {
             true => self.releases.estimate(now, bytes),
-            false => MIN_RETRY_AFTER,
+            false => MIN_RETRY_AFTER_MS,
         };
         Shortage { retry_after, evicted }
     }
@@ -41,8 +41,8 @@
     /// little.
     ///
     /// Uploads of accounts above their fair share come first, then the less urgent, then those that
-    /// have been stalled for longest, then the largest. For a body, an upload is evicted only if the
-    /// body is at least as urgent, or if the upload's account is above its fair share.
+    /// have been stalled for longest, then the largest. For a body, an upload is evicted only if
+    /// the body is at least as urgent, or if the upload's account is above its fair share.
     pub(super) fn evict(
         &mut self,
         now: Millis,
--- a/crates/core/src/serving/memory/mod.rs
+++ b/crates/core/src/serving/memory/mod.rs
@@ -1,11 +1,11 @@
 //! The memory budget of a node: how much memory it may hold for callers and servers, and who gets
 //! it under pressure.
 //!
-//! Every body or response reserves its bytes before it holds them, and releases them afterwards. The
-//! reservations never exceed the capacity. When the capacity is used up:
+//! Every body or response reserves its bytes before it holds them, and releases them afterwards.
+//! The reservations never exceed the capacity. When the capacity is used up:
 //!
-//! - Bodies leave a fraction to responses in progress, responses leave one to bodies, and both leave
-//!   one to control messages.
+//! - Bodies leave a fraction to responses in progress, responses leave one to bodies, and both
+//!   leave one to control messages.
 //! - Bodies share one pool, in which the less urgent leave a fraction to the most urgent. Small
 //!   bodies have a pool of their own in addition.
 //! - The account that has waited longest gets the memory that is released first. An account that
--- a/crates/core/src/serving/memory/release.rs
+++ b/crates/core/src/serving/memory/release.rs
@@ -2,12 +2,12 @@
 
 use crate::Millis;
 
-/// The shortest `Retry-After`, in milliseconds: most small bodies have ended by then.
-pub(super) const MIN_RETRY_AFTER: Millis = 100;
-/// The longest `Retry-After`, in milliseconds: stalled uploads are evicted by then.
-pub(super) const MAX_RETRY_AFTER: Millis = 3_000;
-/// The window over which the release rate is measured, in milliseconds.
-const RATE_WINDOW: Millis = 1_000;
+/// The shortest `Retry-After`: most small bodies have ended by then.
+pub(super) const MIN_RETRY_AFTER_MS: Millis = 100;
+/// The longest `Retry-After`: stalled uploads are evicted by then.
+pub(super) const MAX_RETRY_AFTER_MS: Millis = 3_000;
+/// The window over which the release rate is measured.
+const RATE_WINDOW_MS: Millis = 1_000;
 
 /// The bytes that were released recently.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,7 +23,7 @@
 impl Releases {
     /// Counts bytes that are released.
     pub(super) fn add(&mut self, now: Millis, bytes: u64) {
-        let window = now / RATE_WINDOW;
+        let window = now / RATE_WINDOW_MS;
         if window != self.window {
             self.previous_bytes = if window == self.window + 1 { self.bytes } else { 0 };
             self.bytes = 0;
@@ -34,9 +34,9 @@
 
     /// Estimates the time until `bytes` more bytes have been released.
     pub(super) fn estimate(&self, now: Millis, bytes: u64) -> Millis {
-        let windows = (now / RATE_WINDOW).saturating_sub(self.window);
+        let windows = (now / RATE_WINDOW_MS).saturating_sub(self.window);
         let rate = if windows <= 1 { self.bytes.max(self.previous_bytes) } else { 0 };
-        let wait = (bytes * RATE_WINDOW).checked_div(rate).unwrap_or(MAX_RETRY_AFTER);
-        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        let wait = (bytes * RATE_WINDOW_MS).checked_div(rate).unwrap_or(MAX_RETRY_AFTER_MS);
+        wait.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 }
--- a/crates/core/src/serving/memory/reservation.rs
+++ b/crates/core/src/serving/memory/reservation.rs
@@ -5,9 +5,9 @@
 
 /// The longest small body. Most requests are small, and hundreds of them fit in their pool.
 const SMALL_BODY_BYTES: u64 = 64 * 1024;
-/// How long nothing of an upload may arrive before it is stalled, in milliseconds: several round
-/// trips of a poor mobile link.
-const STALL_TIMEOUT: Millis = 400;
+/// How long nothing of an upload may arrive before it is stalled: several round trips of a poor
+/// mobile link.
+const STALL_TIMEOUT_MS: Millis = 400;
 
 /// Identifies a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,7 +52,7 @@
     /// Returns `true` if bytes of the body are missing and none have arrived for a while.
     pub(super) fn is_stalled(&self, now: Millis) -> bool {
         let idle = now.saturating_sub(self.progressed_at);
-        self.is_uploading && !self.is_evicted && idle >= STALL_TIMEOUT
+        self.is_uploading && !self.is_evicted && idle >= STALL_TIMEOUT_MS
     }
 
     /// Returns the bytes that are reserved but not in use yet.
--- a/crates/core/src/serving/memory/room.rs
+++ b/crates/core/src/serving/memory/room.rs
@@ -11,7 +11,8 @@
 /// The fraction of the capacity that bodies may hold. The rest is for responses: a request that was
 /// sent to a server has cost more than one that was not.
 pub(super) const MAX_BODY_FRACTION: f64 = 0.7;
-/// The fraction of the capacity that responses may hold: slow readers must not keep out all requests.
+/// The fraction of the capacity that responses may hold: slow readers must not keep out all
+/// requests.
 const MAX_RESPONSE_FRACTION: f64 = 0.5;
 /// The fraction of the bodies' memory that is kept for small bodies: hundreds of them fit in it.
 const SMALL_BODY_FRACTION: f64 = 0.15;
--- a/crates/core/src/serving/memory/share.rs
+++ b/crates/core/src/serving/memory/share.rs
@@ -1,11 +1,11 @@
 //! The bytes that each client account holds and waits for.
 
-use super::release::MAX_RETRY_AFTER;
+use super::release::MAX_RETRY_AFTER_MS;
 use crate::Millis;
 
-/// How long an account that was refused counts as waiting, in milliseconds: its caller retries
-/// within the longest `Retry-After` and half a second.
-const WAIT_TTL: Millis = MAX_RETRY_AFTER + 500;
+/// How long an account that was refused counts as waiting: its caller retries within the longest
+/// `Retry-After` and half a second.
+const WAIT_TTL_MS: Millis = MAX_RETRY_AFTER_MS + 500;
 
 /// The bytes that an account holds and waits for.
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,6 +32,6 @@
         let earlier = self.wait.filter(|wait| now < wait.until);
         let since = earlier.map_or(now, |wait| wait.since);
         let bytes = earlier.map_or(bytes, |wait| wait.bytes.max(bytes));
-        self.wait = Some(Wait { since, until: now + WAIT_TTL, bytes });
+        self.wait = Some(Wait { since, until: now + WAIT_TTL_MS, bytes });
     }
 }
--- a/crates/core/src/serving/quarantine/completed_requests.rs
+++ b/crates/core/src/serving/quarantine/completed_requests.rs
@@ -3,11 +3,11 @@
 use super::Fingerprint;
 use crate::Millis;
 
-/// How long a completed response shows that a request does not crash servers, in milliseconds.
-/// Callers repeat a popular request many times per minute, and a version of the servers that it
-/// does crash may start at any time.
-pub(super) const COMPLETION_TTL: Millis = 60_000;
-/// Slots in the table; 49 KB. At the size planned for in two years, a node responses some 400
+/// How long a completed response shows that a request does not crash servers. Callers repeat a
+/// popular request many times per minute, and a version of the servers that it does crash may start
+/// at any time.
+pub(super) const COMPLETION_TTL_MS: Millis = 60_000;
+/// Slots in the table; 49 KB. At the size planned for in two years, a node answers some 400
 /// requests per minute.
 const CAPACITY: usize = 2_048;
 
@@ -36,7 +36,7 @@
     /// Returns `true` if the request was completed recently.
     pub fn is_known(&self, now: Millis, fingerprint: Fingerprint) -> bool {
         let known = self.slots[get_slot(fingerprint)];
-        known.is_some_and(|(known, at)| known == fingerprint && now < at + COMPLETION_TTL)
+        known.is_some_and(|(known, at)| known == fingerprint && now < at + COMPLETION_TTL_MS)
     }
 }
 
--- a/crates/core/src/serving/quarantine/crash_analyzer.rs
+++ b/crates/core/src/serving/quarantine/crash_analyzer.rs
@@ -23,17 +23,17 @@
 /// Consecutive crashes after which requests are quarantined together if they always ran at the same
 /// servers, so that nothing shows which of them is the cause.
 const GROUP_QUARANTINE_THRESHOLD: u32 = 5;
-/// How long after a crash requests may first be quarantined for it, in milliseconds. Meanwhile
-/// other nodes report the crash, and nodes that completed a suspected request say so. Both messages
-/// are sent at once, 40 ms after a connection broke, and cross at most three nodes and one region.
-const SETTLE_PERIOD: Millis = 300;
+/// How long after a crash requests may first be quarantined for it. Meanwhile other nodes report
+/// the crash, and nodes that completed a suspected request say so. Both messages are sent at once,
+/// 40 ms after a connection broke, and cross at most three nodes and one region.
+const SETTLE_PERIOD_MS: Millis = 300;
 /// Reports of crashes of one server within this time are about the same crash, as seen by several
-/// nodes, in milliseconds: a server takes longer than this to start.
-const DEDUP_WINDOW: Millis = 1_000;
-/// How long a crash is remembered, in milliseconds: as long as a quarantine.
-const EVIDENCE_TTL: Millis = QUARANTINE_PERIOD;
-/// How long a suspicion is gossiped, in milliseconds: several times the duration of a response.
-const SUSPICION_TTL: Millis = 60_000;
+/// nodes: a server takes longer than this to start.
+const DEDUP_WINDOW_MS: Millis = 1_000;
+/// How long a crash is remembered: as long as a quarantine.
+const EVIDENCE_TTL_MS: Millis = QUARANTINE_PERIOD;
+/// How long a suspicion is gossiped: several times the duration of a response.
+const SUSPICION_TTL_MS: Millis = 60_000;
 /// The number of crashes that are remembered: most of the servers at the size planned for in two
 /// years.
 const CRASH_CAPACITY: usize = 512;
@@ -91,7 +91,7 @@
         }
         self.has_unjudged = true;
         let is_same =
-            |old: &&mut Record| old.server == crash.server && old.at.abs_diff(at) < DEDUP_WINDOW;
+            |old: &&mut Record| old.server == crash.server && old.at.abs_diff(at) < DEDUP_WINDOW_MS;
         match self.crashes.iter_mut().find(is_same) {
             Some(known) => runs.into_iter().for_each(|(fingerprint, sent_at)| {
                 known.runs.entry(fingerprint).or_insert(sent_at);
@@ -108,7 +108,7 @@
 
     /// Removes expired crashes, and the oldest ones above the capacity.
     fn expire(&mut self, now: Millis) {
-        self.crashes.retain(|crash| now < crash.at + EVIDENCE_TTL);
+        self.crashes.retain(|crash| now < crash.at + EVIDENCE_TTL_MS);
         self.quarantined.retain(|_, until| now < *until);
         let mut runs: usize = self.crashes.iter().map(|crash| crash.runs.len()).sum();
         while self.crashes.len() > CRASH_CAPACITY || runs > RUN_CAPACITY {
@@ -133,7 +133,7 @@
     /// Records that an earlier owner quarantined a request.
     pub fn record_quarantined(&mut self, now: Millis, verdict: &Verdict) {
         if verdict.standing == Standing::Quarantined {
-            let until = now + verdict.left + EVIDENCE_TTL;
+            let until = now + verdict.left + EVIDENCE_TTL_MS;
             self.remember_quarantined(now, verdict.fingerprint, until);
         }
     }
@@ -157,11 +157,11 @@
         if !self.has_unjudged {
             return Vec::new();
         }
-        self.has_unjudged = self.crashes.iter().any(|crash| now < crash.at + SETTLE_PERIOD);
+        self.has_unjudged = self.crashes.iter().any(|crash| now < crash.at + SETTLE_PERIOD_MS);
         let mut verdicts = self.find_suspected(now);
         // Each cause that is found leaves fewer crashes to explain.
         loop {
-            let suspects = self.collect_suspects(|crash| now >= crash.at + SETTLE_PERIOD);
+            let suspects = self.collect_suspects(|crash| now >= crash.at + SETTLE_PERIOD_MS);
             let found: Vec<Fingerprint> = suspects
                 .keys()
                 .filter(|fingerprint| self.is_cause(**fingerprint, &suspects))
@@ -171,7 +171,11 @@
                 return verdicts;
             }
             for fingerprint in found {
-                self.remember_quarantined(now, fingerprint, now + QUARANTINE_PERIOD + EVIDENCE_TTL);
+                self.remember_quarantined(
+                    now,
+                    fingerprint,
+                    now + QUARANTINE_PERIOD + EVIDENCE_TTL_MS,
+                );
                 let (standing, left) = (Standing::Quarantined, QUARANTINE_PERIOD);
                 verdicts.push(make_verdict(fingerprint, &suspects, standing, left));
             }
@@ -186,7 +190,7 @@
             if find_suspected.consecutive_crashes >= SUSPICION_THRESHOLD
                 && self.suspected.insert(*fingerprint)
             {
-                let (standing, left) = (Standing::Suspected, SUSPICION_TTL);
+                let (standing, left) = (Standing::Suspected, SUSPICION_TTL_MS);
                 verdicts.push(make_verdict(*fingerprint, &suspects, standing, left));
             }
         }
@@ -225,9 +229,9 @@
 
     /// Returns `true` if a quarantined request caused a crash.
     fn is_caused_by(&self, fingerprint: Fingerprint, crash: &Record) -> bool {
-        // A request is judged anew if servers crash again after its quarantine.
+        // A request is judged again if servers crash again after its quarantine.
         let until = self.quarantined.get(&fingerprint);
-        until.is_some_and(|until| crash.at + EVIDENCE_TTL < *until)
+        until.is_some_and(|until| crash.at + EVIDENCE_TTL_MS < *until)
     }
 
     /// Returns `true` if a request counts as the cause of its crashes.
--- a/crates/core/src/serving/quarantine/report.rs
+++ b/crates/core/src/serving/quarantine/report.rs
@@ -8,9 +8,9 @@
 use super::Fingerprint;
 use crate::Millis;
 
-/// How long reports are kept for the next owner of the service, in milliseconds: as long as nodes
-/// believe that a silent node may come back.
-const REPORT_TTL: Millis = 60_000;
+/// How long reports are kept for the next owner of the service: as long as nodes believe that a
+/// silent node may come back.
+const REPORT_TTL_MS: Millis = 60_000;
 /// The number of reports that are kept: the crashes of all servers of a large data centre.
 const OUTBOX_CAPACITY: usize = 128;
 /// How often each report is sent to an owner, since datagrams get lost.
@@ -71,7 +71,7 @@
         now: Millis,
         find_owner: impl Fn(u64) -> Option<SocketAddr>,
     ) -> Vec<(Option<SocketAddr>, Crash)> {
-        self.pending.retain(|pending| now < pending.crashed_at + REPORT_TTL);
+        self.pending.retain(|pending| now < pending.crashed_at + REPORT_TTL_MS);
         let mut due = Vec::new();
         for pending in &mut self.pending {
             let owner = find_owner(pending.crash.service);
--- a/crates/core/src/serving/quarantine/tracker.rs
+++ b/crates/core/src/serving/quarantine/tracker.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use super::completed_requests::COMPLETION_TTL;
+use super::completed_requests::COMPLETION_TTL_MS;
 use super::{
     CompletedRequests, Crash, CrashAnalyzer, Fingerprint, Outbox, Standing, Verdict, VerdictCache,
 };
@@ -26,9 +26,9 @@
 /// The outcome of merging a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Whether the verdict is news, to be gossiped on.
+    /// Whether the verdict is new, and is to be gossiped on.
     pub is_news: bool,
-    /// Whether this node completed the request, which the owner must be told.
+    /// Whether this node completed the request, so that the owner must be notified.
     pub is_answered_here: bool,
 }
 
@@ -66,7 +66,7 @@
     }
 
     /// Records that a server completed a request of this node. Returns the short id of its service
-    /// if the owner must be told, which happens once.
+    /// if the owner must be notified, which happens once.
     pub fn record_completion(&mut self, now: Millis, fingerprint: Fingerprint) -> Option<u64> {
         self.completed.record(now, fingerprint);
         let verdict = self.verdicts.get(now, fingerprint)?;
@@ -94,7 +94,7 @@
     }
 
     /// Queues a verdict to be written to the table service. If there are too many, the oldest are
-    /// dropped: such a request would be judged anew after a restart of all nodes.
+    /// dropped: such a request would be judged again after a restart of all nodes.
     pub fn save(&mut self, verdict: Verdict) {
         if self.unsaved.len() == UNSAVED_CAPACITY {
             self.unsaved.pop_front();
@@ -158,5 +158,5 @@
 }
 
 fn clear(verdict: Verdict) -> Verdict {
-    Verdict { standing: Standing::Cleared, left: COMPLETION_TTL, ..verdict }
+    Verdict { standing: Standing::Cleared, left: COMPLETION_TTL_MS, ..verdict }
 }
--- a/crates/core/src/serving/quarantine/verdict_cache.rs
+++ b/crates/core/src/serving/quarantine/verdict_cache.rs
@@ -10,9 +10,9 @@
 /// The number of verdicts in one report; some 200 bytes. A node that has just started knows all
 /// verdicts of a full cache after 32 reports, which take some 7 s.
 const GOSSIP_BATCH_SIZE: usize = 8;
-/// A verdict that expires this much later than the known one was decided anew, in milliseconds. A
-/// smaller difference is the time in transit.
-const MIN_RENEWAL: Millis = 20_000;
+/// A verdict that expires this much later than the known one was decided again. A smaller
+/// difference is the time in transit.
+const MIN_RENEWAL_MS: Millis = 20_000;
 
 /// The verdicts that a node knows, until they expire.
 #[derive(Clone, Debug, Default)]
@@ -27,22 +27,22 @@
 }
 
 impl VerdictCache {
-    /// Merges a verdict. Returns `true` if it is news.
+    /// Merges a verdict. Returns `true` if it is new.
     ///
-    /// A standing replaces a lower one, and replaces the same one if it was decided anew.
+    /// A standing replaces a lower one, and replaces the same one if it was decided again.
     pub fn merge(&mut self, now: Millis, verdict: Verdict) -> bool {
         let until = now + verdict.left;
         let known = self.entries.get(&verdict.fingerprint).filter(|known| now < known.until);
-        let is_news = known.is_none_or(|known| {
-            let is_renewed = until > known.until + MIN_RENEWAL;
+        let is_new = known.is_none_or(|known| {
+            let is_renewed = until > known.until + MIN_RENEWAL_MS;
             let (new, old) = (verdict.standing, known.verdict.standing);
             new > old || (new == old && is_renewed)
         });
-        if is_news && verdict.left > 0 {
+        if is_new && verdict.left > 0 {
             self.make_room(now);
             self.entries.insert(verdict.fingerprint, Entry { verdict, until });
         }
-        is_news && verdict.left > 0
+        is_new && verdict.left > 0
     }
 
     /// Removes expired verdicts, and the one that expires first if the cache is full.
--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -29,9 +29,9 @@
 /// node is about to stop, in milliseconds: a caller that reads at all reads something within this
 /// time.
 pub const STALL_TIMEOUT: Millis = 1_000;
-/// The longest time that one check of a caller counts for, in milliseconds. After a pause of the
-/// whole process, the silence of its callers means nothing.
-const MAX_CHECK_INTERVAL: Millis = 500;
+/// The longest time that one check of a caller counts for. After a pause of the whole process, the
+/// silence of its callers means nothing.
+const MAX_CHECK_INTERVAL_MS: Millis = 500;
 
 /// Returns the bytes that a node may buffer of one response, given its `capacity` for all of them.
 pub fn get_limit(capacity: u64) -> usize {
@@ -115,7 +115,7 @@
     /// Records a check of a caller that has not polled since it read the last piece. `since` is the
     /// time since the previous check, in milliseconds.
     pub fn record_check(&mut self, since: Millis) {
-        let since = since.min(MAX_CHECK_INTERVAL);
+        let since = since.min(MAX_CHECK_INTERVAL_MS);
         self.stalled += since;
         self.since_progress += since;
     }
--- a/crates/core/src/serving/rollout/registry.rs
+++ b/crates/core/src/serving/rollout/registry.rs
@@ -17,10 +17,10 @@
 const RAMP_SHARE: f64 = 0.3;
 const CANARIES_KEY: &str = "canaries";
 /// How long servers of other versions may remain listed after a rollout has completed and they
-/// stop, in milliseconds: entries are removed after three heartbeats of 1.2 s.
-const OTHERS_LISTED_PERIOD: Millis = 5_000;
-/// How long a stage is valid without a confirmation, in milliseconds.
-const STAGE_TTL: Millis = 2_500;
+/// stop: entries are removed after three heartbeats of 1.2 s.
+const OTHERS_LISTED_PERIOD_MS: Millis = 5_000;
+/// How long a stage is valid without a confirmation.
+const STAGE_TTL_MS: Millis = 2_500;
 
 /// The servers that a request may be sent to, by their version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -130,13 +130,13 @@
     /// Returns the filter after a completed rollout. The other servers stop at once, but remain
     /// listed for some time.
     fn pick_completed_filter(&self, now: Millis) -> VersionFilter {
-        let is_recent = now < self.stage_since + OTHERS_LISTED_PERIOD;
+        let is_recent = now < self.stage_since + OTHERS_LISTED_PERIOD_MS;
         if is_recent { VersionFilter::PreferTarget } else { VersionFilter::Any }
     }
 
     /// Returns the stage to act on. A stage that was not confirmed recently may have changed.
     fn get_stage(&self, now: Millis) -> Stage {
-        let is_recent = self.confirmed_at.is_some_and(|at| now < at + STAGE_TTL);
+        let is_recent = self.confirmed_at.is_some_and(|at| now < at + STAGE_TTL_MS);
         if self.stage.is_final() || is_recent { self.stage } else { Stage::Pending }
     }
 
--- a/crates/core/src/serving/round_trip.rs
+++ b/crates/core/src/serving/round_trip.rs
@@ -13,12 +13,12 @@
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 /// The timeout, in deviations above the smoothed round trip, as in TCP (RFC 6298).
 const DEVIATION_FACTOR: f64 = 4.0;
-/// The round trip that is assumed until the first measurement, in milliseconds: that of regions on
-/// one continent. A timeout that is too long costs one request this time, and one that is too short
-/// ends before the response arrives.
-const INITIAL_ROUND_TRIP: Millis = 100;
+/// The round trip that is assumed until the first measurement: that of regions on one continent. A
+/// timeout that is too long costs one request this time, and one that is too short ends before the
+/// response arrives.
+const INITIAL_ROUND_TRIP_MS: Millis = 100;
 /// The longest timeout, in milliseconds, which limits the delay that a full link adds to a request.
-const MAX_TIMEOUT: Millis = 300;
+const MAX_TIMEOUT_MS: Millis = 300;
 
 /// Smoothed round trips from this node to the other regions.
 #[derive(Clone, Debug, Default)]
@@ -51,15 +51,15 @@
     pub fn get_round_trip(&self, region: &str) -> Millis {
         self.by_region
             .get(region)
-            .map_or(INITIAL_ROUND_TRIP, |known| known.round_trip.ceil() as Millis)
+            .map_or(INITIAL_ROUND_TRIP_MS, |known| known.round_trip.ceil() as Millis)
     }
 
     /// Returns the timeout of a query to a node of another region, but at least `min`.
     pub fn get_timeout(&self, region: &str, min: Millis) -> Millis {
         let known = self.by_region.get(region);
-        let timeout = known.map_or(INITIAL_ROUND_TRIP as f64 * 1.5, |known| {
+        let timeout = known.map_or(INITIAL_ROUND_TRIP_MS as f64 * 1.5, |known| {
             known.round_trip + DEVIATION_FACTOR * known.deviation
         });
-        (timeout.ceil() as Millis).clamp(min, MAX_TIMEOUT.max(min))
+        (timeout.ceil() as Millis).clamp(min, MAX_TIMEOUT_MS.max(min))
     }
 }
--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -5,8 +5,8 @@
 //! request spills only if its own region is full or has no server, if it can still meet its
 //! objective after the round trips, and if the link's budget allows it.
 //!
-//! Each node has an equal share of its region's budget. The budget covers the requests and responses
-//! themselves, in both directions; messages between nodes use the rest of the link.
+//! Each node has an equal share of its region's budget. The budget covers the requests and
+//! responses themselves, in both directions; messages between nodes use the rest of the link.
 //!
 //! A deployment with a single region never gets past [`Offer::get_cause`].
 
@@ -23,12 +23,12 @@
 const REQUEST_ROUND_TRIPS: u64 = 2;
 /// Round trips of the query for the loads of remote servers.
 const QUERY_ROUND_TRIPS: u64 = 1;
-/// How long a region that did not response is not queried, in milliseconds. A request that waits for
-/// a missing response may miss its objective, and a partitioned region stays unreachable for seconds.
-const UNRESPONSIVE_PERIOD: Millis = 1_000;
-/// The `Retry-After` if there is no budget at all, in milliseconds. The budget does not recover, so
-/// callers come back for servers of their own region: a list of servers takes about this long to
-/// reach all nodes.
+/// How long a region that did not respond is not queried. A request that waits for a missing
+/// response may miss its objective, and a partitioned region stays unreachable for seconds.
+const UNRESPONSIVE_PERIOD_MS: Millis = 1_000;
+/// The `Retry-After` if there is no budget at all. The budget does not recover, so callers come
+/// back for servers of their own region: a list of servers takes about this long to reach all
+/// nodes.
 const NO_BUDGET_RETRY_AFTER_MS: Millis = 700;
 /// Bytes in a megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
@@ -135,8 +135,8 @@
     /// Returns `true` if an idle server of the other region serves the request in time.
     ///
     /// If the own region is full, this means within the objective, since a retry may find a free
-    /// server at home. If it has no server, this means before the caller gives up: a late response is
-    /// better than none.
+    /// server at home. If it has no server, this means before the caller gives up: a late response
+    /// is better than none.
     pub fn is_in_time(&self, criteria: &Criteria, cause: Cause) -> bool {
         let reading = criteria.estimate_idle().unwrap_or(0);
         let from_now = self.get_travel_time().saturating_add(reading);
@@ -221,8 +221,8 @@
 
     /// Charges bytes of a request or its response that were sent to or received from a region.
     ///
-    /// Responses are charged as they arrive: the budget may become negative, and must recover before
-    /// another request spills.
+    /// Responses are charged as they arrive: the budget may become negative, and must recover
+    /// before another request spills.
     pub fn count(&mut self, now: Millis, region: &str, bytes: usize) {
         self.get_or_insert_link(now, region).bytes.available -= bytes as f64;
     }
@@ -236,13 +236,13 @@
         (bytes as f64 / self.rate * 1_000.0) as Millis
     }
 
-    /// Records whether a region answered the query for the loads of its servers.
+    /// Records whether a region responded to the query for the loads of its servers.
     pub fn record_response(&mut self, now: Millis, region: &str, is_answered: bool) {
-        let unresponsive_until = if is_answered { 0 } else { now + UNRESPONSIVE_PERIOD };
+        let unresponsive_until = if is_answered { 0 } else { now + UNRESPONSIVE_PERIOD_MS };
         self.get_or_insert_link(now, region).unresponsive_until = unresponsive_until;
     }
 
-    /// Returns `true` if a region did not response its latest query, a short time ago.
+    /// Returns `true` if a region did not respond to its latest query, a short time ago.
     pub fn is_unresponsive(&self, now: Millis, region: &str) -> bool {
         self.by_region.get(region).is_some_and(|link| now < link.unresponsive_until)
     }
--- a/crates/core/src/serving/summary_pacer.rs
+++ b/crates/core/src/serving/summary_pacer.rs
@@ -6,13 +6,13 @@
 
 use crate::Millis;
 
-/// The longest time between two summaries, in milliseconds. A node that was not heard for 2 s
-/// counts as unreachable, so at this period three of four summaries may get lost. A budget that is
-/// too small for this period is exceeded.
-const MAX_PERIOD: Millis = 500;
+/// The longest time between two summaries. A node that was not heard for 2 s counts as unreachable,
+/// so at this period three of four summaries may get lost. A budget that is too small for this
+/// period is exceeded.
+const MAX_PERIOD_MS: Millis = 500;
 /// How long an unused part of the budget is kept, in milliseconds, so that a turn that comes some
 /// milliseconds early need not wait for the next one.
-const BURST_PERIOD: Millis = 200;
+const BURST_PERIOD_MS: Millis = 200;
 
 /// Paces what one aggregator sends to other regions.
 #[derive(Clone, Debug)]
@@ -50,17 +50,17 @@
         let share = self.bits_per_ms / senders.max(1) as f64;
         let filled = share * now.saturating_sub(self.filled_at) as f64;
         let spent = sent_bytes.saturating_sub(self.sent_bytes) as f64 * 8.0;
-        self.available = (self.available + filled - spent).min(share * BURST_PERIOD as f64);
+        self.available = (self.available + filled - spent).min(share * BURST_PERIOD_MS as f64);
         self.filled_at = now;
         self.sent_bytes = sent_bytes;
-        let is_overdue = self.sent_at.is_none_or(|at| now >= at + MAX_PERIOD);
+        let is_overdue = self.sent_at.is_none_or(|at| now >= at + MAX_PERIOD_MS);
         is_overdue || self.available >= 0.0
     }
 
     /// Records that a summary is sent now.
     pub fn record_sent(&mut self, now: Millis) {
         if let Some(sent_at) = self.sent_at.replace(now) {
-            self.period = now.saturating_sub(sent_at).min(MAX_PERIOD);
+            self.period = now.saturating_sub(sent_at).min(MAX_PERIOD_MS);
         }
     }
 
--- a/crates/core/src/serving/throughput.rs
+++ b/crates/core/src/serving/throughput.rs
@@ -22,7 +22,7 @@
 const SAMPLE_CAPACITY: usize = 200;
 /// Samples of long prompts that an estimate requires.
 const MIN_SAMPLES: usize = 10;
-const SAMPLE_TTL: Millis = 30_000;
+const SAMPLE_TTL_MS: Millis = 30_000;
 const RATE_QUANTILE: f64 = 0.7;
 const FIXED_COST_QUANTILE: f64 = 0.3;
 
@@ -113,7 +113,7 @@
     /// Updates the ratings of all servers.
     pub fn rate_servers(&mut self, now: Millis) {
         for samples in self.servers.values_mut() {
-            samples.retain(|(at, _)| at + SAMPLE_TTL >= now);
+            samples.retain(|(at, _)| at + SAMPLE_TTL_MS >= now);
         }
         self.servers.retain(|_, samples| !samples.is_empty());
         let fixed = self.get_fixed_ms();
@@ -175,7 +175,9 @@
 /// Adds a sample, and removes samples that are expired or above the capacity.
 fn push(samples: &mut VecDeque<(Millis, Sample)>, now: Millis, sample: Sample, capacity: usize) {
     samples.push_back((now, sample));
-    while samples.len() > capacity || samples.front().is_some_and(|(at, _)| at + SAMPLE_TTL < now) {
+    while samples.len() > capacity
+        || samples.front().is_some_and(|(at, _)| at + SAMPLE_TTL_MS < now)
+    {
         samples.pop_front();
     }
 }
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -37,16 +37,16 @@
     has_loss: bool,
 }
 
-const TICK: Millis = 10;
-const DURATION: Millis = 15_000;
+const TICK_MS: Millis = 10;
+const DURATION_MS: Millis = 15_000;
 const SERVICE: u64 = 7;
-/// How long a crashed server is down, in milliseconds.
-const RESTART_TIME: Millis = 2_500;
+/// How long a crashed server is down.
+const RESTART_TIME_MS: Millis = 2_500;
 /// The time that a report takes to the owner, and a verdict to all nodes: some tens of milliseconds
 /// until it is sent, three nodes on small VMs, and the transit from another region.
-const TRANSIT_TIME: Millis = 150;
-/// The time within which all nodes must know of a cause, in milliseconds.
-const MAX_DETECTION_TIME: Millis = 3_000;
+const TRANSIT_TIME_MS: Millis = 150;
+/// The time within which all nodes must know of a cause.
+const MAX_DETECTION_TIME_MS: Millis = 3_000;
 /// One in this many requests is the same popular one.
 const POPULAR_INTERVAL: u64 = 10;
 const POPULAR_REQUEST: u64 = 1_000;
@@ -114,13 +114,14 @@
             crashes: BTreeMap::new(),
             others_quarantined: BTreeSet::new(),
         };
-        while trial.now < DURATION {
-            trial.now += TICK;
+        while trial.now < DURATION_MS {
+            trial.now += TICK_MS;
             trial.step();
         }
         let all = trial.crashes.values();
         let late = all.clone().map(|crashes| {
-            let known_at = crashes.get(2).map_or(Millis::MAX, |third| third + MAX_DETECTION_TIME);
+            let known_at =
+                crashes.get(2).map_or(Millis::MAX, |third| third + MAX_DETECTION_TIME_MS);
             crashes.iter().filter(|at| **at > known_at).count()
         });
         Outcome {
@@ -204,7 +205,7 @@
     /// Crashes a server: its requests are reported, and the others are retried elsewhere up to
     /// twice.
     fn crash(&mut self, server: usize, cause: Option<u64>) {
-        self.servers[server].down_until = self.now + RESTART_TIME;
+        self.servers[server].down_until = self.now + RESTART_TIME_MS;
         let interrupted = std::mem::take(&mut self.servers[server].attempts);
         let mut by_node: BTreeMap<usize, Vec<InterruptedRequest>> = BTreeMap::new();
         for attempt in &interrupted {
@@ -225,7 +226,7 @@
             self.nodes[node].record_crash(self.now, crash);
             let owner = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
             for (_, crash) in self.nodes[node].take_due(self.now, |_| Some(owner)) {
-                self.to_owner.push_back((self.now + TRANSIT_TIME, crash));
+                self.to_owner.push_back((self.now + TRANSIT_TIME_MS, crash));
             }
         }
         for attempt in interrupted {
@@ -246,7 +247,7 @@
                 if completion.is_some()
                     && let Some(verdict) = self.owner.merge_completion(now, fingerprint)
                 {
-                    self.to_nodes.push_back((now + TRANSIT_TIME, verdict));
+                    self.to_nodes.push_back((now + TRANSIT_TIME_MS, verdict));
                 }
             }
         }
@@ -256,7 +257,7 @@
     fn deliver(&mut self) {
         while self.to_owner.front().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, crash)) = self.to_owner.pop_front() else { break };
-            self.owner.merge_report(self.now, &Crash { age: TRANSIT_TIME, ..crash });
+            self.owner.merge_report(self.now, &Crash { age: TRANSIT_TIME_MS, ..crash });
         }
         while self.to_nodes.front().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, verdict)) = self.to_nodes.pop_front() else { break };
@@ -269,7 +270,7 @@
         if self.now.is_multiple_of(200) {
             for verdict in self.owner.judge(self.now) {
                 assert!(verdict.standing != Standing::Quarantined || verdict.servers_crashed >= 3);
-                self.to_nodes.push_back((self.now + TRANSIT_TIME, verdict));
+                self.to_nodes.push_back((self.now + TRANSIT_TIME_MS, verdict));
             }
         }
     }
