--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -86,12 +86,12 @@
     /// Returns the rate limit of a server, or `None` if the server has none.
     pub fn get(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
-        Some(record.to_observation(now, key.server))
+        Some(record.get_observation(now, key.server))
     }
 
     /// Returns the latest observation of a server, including the end of a limit.
     pub fn get_latest(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
-        self.get_record(key).map(|record| record.to_observation(now, key.server))
+        self.get_record(key).map(|record| record.get_observation(now, key.server))
     }
 
     /// Returns `true` if nothing is known of any server.
@@ -122,7 +122,7 @@
         let count = limited().count();
         let first = (turn / GOSSIP_TURNS * GOSSIP_BATCH_SIZE).checked_rem(count).unwrap_or(0);
         let next = limited().cycle().skip(first).take(count.min(GOSSIP_BATCH_SIZE));
-        next.map(|(server, record)| record.to_observation(now, *server)).collect()
+        next.map(|(server, record)| record.get_observation(now, *server)).collect()
     }
 
     /// Returns the number of rate-limited servers.
@@ -146,7 +146,7 @@
 }
 
 impl Record {
-    fn to_observation(&self, now: Millis, server: u64) -> Observation {
+    fn get_observation(&self, now: Millis, server: u64) -> Observation {
         let key = InstanceKey { server, incarnation: self.incarnation };
         Observation { key, rate: self.rate, age: now.saturating_sub(self.seen_at) }
     }
