--- a/crates/core/src/serving/load.rs
+++ b/crates/core/src/serving/load.rs
@@ -40,17 +40,17 @@
     }
 
     /// Returns the load of a single request that waits for its first token.
-    fn of(work: &RequestCost) -> Self {
+    fn of(cost: &RequestCost) -> Self {
         let mut load = Self::default();
-        load.begin(work);
+        load.begin(cost);
         load
     }
 
-    fn begin(&mut self, work: &RequestCost) {
+    fn begin(&mut self, cost: &RequestCost) {
         self.requests += 1;
         self.waiting += 1;
-        self.waiting_tokens[work.priority.min(PRIORITIES - 1)] += work.prompt_tokens;
-        self.memory_tokens += work.memory_tokens;
+        self.waiting_tokens[cost.priority.min(PRIORITIES - 1)] += cost.prompt_tokens;
+        self.memory_tokens += cost.memory_tokens;
     }
 
     /// Adds the load of another node at the same server.
@@ -131,35 +131,35 @@
 #[derive(Clone, Copy, Debug)]
 struct StartedRequest {
     server: u64,
-    work: RequestCost,
+    cost: RequestCost,
     /// When its prompt is expected to have been read.
     until: Millis,
 }
 
 impl LoadTracker {
     /// Counts a request that is sent to a server.
-    pub fn begin(&mut self, id: &str, work: &RequestCost) {
-        self.own.entry(short_id(id)).or_default().begin(work);
+    pub fn begin(&mut self, id: &str, cost: &RequestCost) {
+        self.own.entry(short_id(id)).or_default().begin(cost);
     }
 
     /// Records the first token of a response.
-    pub fn record_first_token(&mut self, id: &str, work: &RequestCost) {
+    pub fn record_first_token(&mut self, id: &str, cost: &RequestCost) {
         if let Some(load) = self.own.get_mut(&short_id(id)) {
             load.waiting = load.waiting.saturating_sub(1);
-            let waiting = &mut load.waiting_tokens[work.priority.min(PRIORITIES - 1)];
-            *waiting = waiting.saturating_sub(work.prompt_tokens);
+            let waiting = &mut load.waiting_tokens[cost.priority.min(PRIORITIES - 1)];
+            *waiting = waiting.saturating_sub(cost.prompt_tokens);
         }
     }
 
     /// Counts the end of a request, with or without a first token.
-    pub fn end(&mut self, id: &str, work: &RequestCost, had_first_token: bool) {
+    pub fn end(&mut self, id: &str, cost: &RequestCost, had_first_token: bool) {
         if !had_first_token {
-            self.record_first_token(id, work);
+            self.record_first_token(id, cost);
         }
         let short_id = short_id(id);
         let Some(load) = self.own.get_mut(&short_id) else { return };
         load.requests = load.requests.saturating_sub(1);
-        load.memory_tokens = load.memory_tokens.saturating_sub(work.memory_tokens);
+        load.memory_tokens = load.memory_tokens.saturating_sub(cost.memory_tokens);
         if load.requests == 0 {
             self.own.remove(&short_id);
         }
@@ -191,11 +191,11 @@
 
     /// Adds a request that a peer has sent to a server. It counts until its prompt is expected to
     /// have been read, or until the peer reports all its counts again.
-    pub fn merge_started(&mut self, until: Millis, peer: &str, server: u64, work: &RequestCost) {
+    pub fn merge_started(&mut self, until: Millis, peer: &str, server: u64, cost: &RequestCost) {
         let Some(known) = self.peers.get_mut(peer) else { return };
         if known.started.len() < MAX_STARTED {
-            known.started.push(StartedRequest { server, work: *work, until });
-            self.sums.entry(server).or_default().add(&Load::of(work));
+            known.started.push(StartedRequest { server, cost: *cost, until });
+            self.sums.entry(server).or_default().add(&Load::of(cost));
         }
     }
 
@@ -214,7 +214,7 @@
             known.started.retain(|started| {
                 let is_unread = now < started.until && now < valid_until;
                 if !is_unread {
-                    subtract(sums, started.server, &Load::of(&started.work));
+                    subtract(sums, started.server, &Load::of(&started.cost));
                 }
                 is_unread
             });
@@ -229,7 +229,7 @@
             subtract(&mut self.sums, server, &reported.load);
         }
         for started in known.started {
-            subtract(&mut self.sums, started.server, &Load::of(&started.work));
+            subtract(&mut self.sums, started.server, &Load::of(&started.cost));
         }
     }
 
--- a/crates/core/src/serving/quarantine/crash_analyzer.rs
+++ b/crates/core/src/serving/quarantine/crash_analyzer.rs
@@ -71,7 +71,7 @@
     service: u64,
     /// Indexes of its crashes in [`CrashAnalyzer::crashes`].
     indexes: Vec<usize>,
-    /// Crashes in which the request had been sent after the crash before.
+    /// Crashes of which each interrupted an attempt that was sent after the previous one.
     consecutive_crashes: u32,
     last_crash: Option<Millis>,
 }
@@ -186,8 +186,8 @@
     fn find_suspected(&mut self, now: Millis) -> Vec<Verdict> {
         let suspects = self.collect_suspects(|crash| now >= crash.at);
         let mut verdicts = Vec::new();
-        for (fingerprint, find_suspected) in &suspects {
-            if find_suspected.consecutive_crashes >= SUSPICION_THRESHOLD
+        for (fingerprint, suspect) in &suspects {
+            if suspect.consecutive_crashes >= SUSPICION_THRESHOLD
                 && self.suspected.insert(*fingerprint)
             {
                 let (standing, left) = (Standing::Suspected, SUSPICION_TTL_MS);
@@ -213,14 +213,14 @@
         for index in indexes {
             let crash = &self.crashes[index];
             for (fingerprint, sent_at) in &crash.runs {
-                let find_suspected = suspects.entry(*fingerprint).or_default();
-                find_suspected.service = crash.service;
-                find_suspected.indexes.push(index);
+                let suspect = suspects.entry(*fingerprint).or_default();
+                suspect.service = crash.service;
+                suspect.indexes.push(index);
                 // Requests that were sent before the last crash may all have been cut off by one
                 // event, such as the loss of a data centre.
-                if find_suspected.last_crash.is_none_or(|last| *sent_at >= last) {
-                    find_suspected.consecutive_crashes += 1;
-                    find_suspected.last_crash = Some(crash.at);
+                if suspect.last_crash.is_none_or(|last| *sent_at >= last) {
+                    suspect.consecutive_crashes += 1;
+                    suspect.last_crash = Some(crash.at);
                 }
             }
         }
@@ -240,20 +240,19 @@
         fingerprint: Fingerprint,
         suspects: &BTreeMap<Fingerprint, Suspect>,
     ) -> bool {
-        let Some(find_suspected) = suspects.get(&fingerprint) else { return false };
+        let Some(suspect) = suspects.get(&fingerprint) else { return false };
         let was_quarantined = self.quarantined.contains_key(&fingerprint);
         let threshold =
             if was_quarantined { REPEATED_QUARANTINE_THRESHOLD } else { QUARANTINE_THRESHOLD };
-        if find_suspected.consecutive_crashes < threshold {
+        if suspect.consecutive_crashes < threshold {
             return false;
         }
-        let concurrent =
-            find_suspected.indexes.iter().flat_map(|index| self.crashes[*index].runs.keys());
+        let concurrent = suspect.indexes.iter().flat_map(|index| self.crashes[*index].runs.keys());
         let others = concurrent.filter(|other| **other != fingerprint);
         let mut rivals = others.filter_map(|other| suspects.get(other));
-        match was_quarantined || find_suspected.consecutive_crashes >= GROUP_QUARANTINE_THRESHOLD {
-            true => !rivals.any(|rival| rival.explains_more_than(find_suspected)),
-            false => !rivals.any(|rival| rival.indexes.len() >= find_suspected.indexes.len()),
+        match was_quarantined || suspect.consecutive_crashes >= GROUP_QUARANTINE_THRESHOLD {
+            true => !rivals.any(|rival| rival.explains_more_than(suspect)),
+            false => !rivals.any(|rival| rival.indexes.len() >= suspect.indexes.len()),
         }
     }
 }
@@ -272,13 +271,12 @@
     standing: Standing,
     left: Millis,
 ) -> Verdict {
-    let find_suspected = suspects.get(&fingerprint);
+    let suspect = suspects.get(&fingerprint);
     Verdict {
         fingerprint,
-        service: find_suspected.map_or(0, |find_suspected| find_suspected.service),
+        service: suspect.map_or(0, |suspect| suspect.service),
         standing,
         left,
-        servers_crashed: find_suspected
-            .map_or(0, |find_suspected| find_suspected.consecutive_crashes),
+        servers_crashed: suspect.map_or(0, |suspect| suspect.consecutive_crashes),
     }
 }
