--- a/crates/core/src/serving/rollout/judge.rs
+++ b/crates/core/src/serving/rollout/judge.rs
@@ -110,7 +110,7 @@
     let baseline_rate = baseline.failed as f64 / baseline.len().max(1) as f64;
     let expected =
         (baseline_rate * MAX_GOOD_FAILURE_FACTOR).clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE);
-    weigh(new.failed, new.good, expected, expected + BAD_FAILURE_RATE_STEP)
+    get_log_likelihood_ratio(new.failed, new.good, expected, expected + BAD_FAILURE_RATE_STEP)
 }
 
 fn weigh_latencies(phase: Phase, new: &Tally, comparison: &Comparison) -> f64 {
@@ -138,7 +138,7 @@
 
 /// Returns the log-likelihood ratio of bad and good responses, given the expected rates of bad
 /// responses of a good and of a bad version.
-fn weigh(bad: u64, good: u64, expected: f64, bad_rate: f64) -> f64 {
+fn get_log_likelihood_ratio(bad: u64, good: u64, expected: f64, bad_rate: f64) -> f64 {
     let bad_evidence = bad as f64 * (bad_rate / expected).ln();
     let good_evidence = good as f64 * ((1.0 - bad_rate) / (1.0 - expected)).ln();
     bad_evidence + good_evidence
