--- a/crates/gateway/src/port/control.rs
+++ b/crates/gateway/src/port/control.rs
@@ -1,48 +1,48 @@
-//! The platform's calls that one node at a time may make.
+//! Platform calls that only one node at a time may make.
 
 use std::future::Future;
 use std::pin::Pin;
 
 use keeljunction_core::serving::usage::{Counts, WindowNumber};
 
-/// A call in progress; it gives the HTTP status, or `None` where there was no answer.
+/// A pending call. It resolves to the HTTP status, or to `None` if there was no response.
 pub type ControlFuture = Pin<Box<dyn Future<Output = Option<u16>> + Send>>;
 
-/// The platform's control calls.
+/// Control calls of the platform.
 pub struct Control {
-    /// Reports how many requests of each client account began in a window.
+    /// Reports how many requests of each client account started in a window.
     pub report_usage: Box<dyn Fn(LeaseHolder, UsageReport) -> ControlFuture + Send + Sync>,
-    /// Sets how many servers a data centre should have.
+    /// Sets the number of servers that a data centre should have.
     pub set_capacity: Box<dyn Fn(LeaseHolder, CapacityOrder) -> ControlFuture + Send + Sync>,
 }
 
-/// The node that makes a call, with the fence of its lease.
+/// The node that makes a call, with the fencing token of its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseHolder {
-    /// The node's name.
+    /// The node name.
     pub name: String,
-    /// Rises with each new holder.
+    /// Fencing token of the lease, which increases with each new holder.
     pub fence: u64,
 }
 
-/// How many requests of each client account began in a window.
+/// Number of requests of each client account that started in a window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
     /// The window.
     pub window: WindowNumber,
-    /// Requests by client account.
+    /// Requests per client account.
     pub counts: Counts,
 }
 
-/// How many servers of one kind a data centre should have.
+/// Number of servers of one kind that a data centre should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityOrder {
     /// The service.
     pub service: String,
     /// The data centre.
     pub data_centre: String,
-    /// Whether the servers may be taken away.
+    /// Whether the servers are reclaimable.
     pub is_spot: bool,
-    /// The whole number of servers, not a change of it.
+    /// The total number of servers, not a difference.
     pub count: u32,
 }
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -1,7 +1,7 @@
-//! What an adapter to a platform provides, as plain structs of functions and closures.
+//! The interface of a platform adapter, as plain structs of functions and closures.
 
 mod control;
-mod dialect;
+mod header_codec;
 mod rollouts;
 mod table;
 
@@ -10,7 +10,7 @@
 use keeljunction_core::serving::directory::Server;
 
 pub use control::{CapacityOrder, Control, ControlFuture, LeaseHolder, UsageReport};
-pub use dialect::{
+pub use header_codec::{
     ForwardContext, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
 };
 pub use rollouts::{RolloutCodec, RolloutRow};
@@ -19,18 +19,18 @@
     with_timeout,
 };
 
-/// An adapter to a platform.
+/// A platform adapter.
 pub struct Platform {
-    /// Reads and writes the heads of requests and answers.
+    /// Decodes and encodes the heads of requests and responses.
     pub header_codec: HeaderCodec,
     /// The platform's table service.
     pub table: Table,
-    /// The calls that one node at a time may make.
+    /// Control calls, which only one node at a time may make.
     pub control: Control,
-    /// Reads a configuration as the operator wrote it.
+    /// Decodes the operator's configuration.
     pub decode_configuration: fn(&[u8]) -> Result<Configuration, Error>,
-    /// Reads a server's own entry, given its key.
+    /// Decodes a server's entry, given its key.
     pub decode_server: fn(&str, &[u8]) -> Result<Server, Error>,
-    /// Reads orders of roll-outs, and writes their status.
+    /// Decodes roll-out orders and encodes their status.
     pub rollout_codec: RolloutCodec,
 }
--- a/crates/gateway/src/port/rollouts.rs
+++ b/crates/gateway/src/port/rollouts.rs
@@ -1,24 +1,24 @@
-//! How orders of roll-outs are read, and how their status is written.
+//! Decodes roll-out orders and encodes their status.
 
 use keeljunction_core::Error;
 use keeljunction_core::serving::rollout::{Order, Status};
 use keeljunction_core::serving::table_version::TableVersion;
 
-/// The translation of roll-outs, whose orders stand in the table of the configuration.
+/// Codec of roll-outs, whose orders are stored in the configuration table.
 pub struct RolloutCodec {
-    /// Returns `true` if a row of that table, given its key, is an order.
+    /// Returns `true` if the key of a configuration row belongs to a roll-out order.
     pub is_order: fn(&str) -> bool,
-    /// Reads an order, given its key and the version of its row.
+    /// Decodes an order, given its key, value and row version.
     pub decode: fn(&str, &[u8], TableVersion) -> Result<Order, Error>,
-    /// Writes a status.
+    /// Encodes a status.
     pub encode_status: fn(&Status) -> RolloutRow,
 }
 
 /// A row of [`super::TableName::Status`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutRow {
-    /// Its key.
+    /// The row key.
     pub key: String,
-    /// Its content.
+    /// The encoded status.
     pub value: Vec<u8>,
 }
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -1,4 +1,4 @@
-//! The platform's table service, which keeps what must last.
+//! The platform's table service, which stores durable state.
 
 use std::fmt;
 use std::future::Future;
@@ -10,19 +10,19 @@
 
 use crate::runtime;
 
-/// Rows that are read with one call: the most that the table service gives.
-const PAGE: usize = 500;
+/// Number of rows to read with one call: the limit of the table service.
+const PAGE_ROWS: usize = 500;
 
-/// A call to the table service in progress.
+/// A pending call to the table service.
 pub type TableFuture<T> = Pin<Box<dyn Future<Output = Result<T, TableError>> + Send>>;
 
-/// The calls of a table service. All reads are linearizable.
+/// Calls of the table service. All reads are linearizable.
 pub struct Table {
-    /// Reads some rows of a table, or fewer where an answer does not hold them.
+    /// Reads a range of rows, or its first rows if not all of them fit into one response.
     pub read_range: Box<dyn Fn(RowRange) -> TableFuture<Rows> + Send + Sync>,
-    /// Waits for rows that changed after a version, for a time at most.
+    /// Waits for rows that changed after a version, for at most the given time.
     pub watch: Box<dyn Fn(TableName, TableVersion, Duration) -> TableFuture<Rows> + Send + Sync>,
-    /// Writes rows, all or none.
+    /// Writes all rows of a transaction, or none.
     pub commit: Box<dyn Fn(Transaction) -> TableFuture<Rows> + Send + Sync>,
 }
 
@@ -31,107 +31,112 @@
     ///
     /// # Errors
     ///
-    /// Returns the call's error.
-    pub async fn read_first(&self, table: TableName, within: Duration) -> Result<Rows, TableError> {
-        let selection = RowRange { table, from: String::new(), limit: PAGE };
-        with_timeout(within, (self.read_range)(selection)).await
+    /// Returns the error of the call.
+    pub async fn read_first(
+        &self,
+        table: TableName,
+        timeout: Duration,
+    ) -> Result<Rows, TableError> {
+        let selection = RowRange { table, from: String::new(), limit: PAGE_ROWS };
+        with_timeout(timeout, (self.read_range)(selection)).await
     }
 
     /// Reads the pages after the first one.
     ///
     /// # Errors
     ///
-    /// Returns the error of the first call that fails.
+    /// Returns the error of the first failed call, and [`TableError::HistoryGone`] if the era
+    /// changed between two pages.
     pub async fn read_rest(
         &self,
         table: TableName,
-        within: Duration,
+        timeout: Duration,
         first: Rows,
     ) -> Result<Rows, TableError> {
-        let mut whole = first;
-        while let Some(last) = whole.rows.last().filter(|_| whole.has_more) {
-            // The key that comes right after the last one.
+        let mut all = first;
+        while let Some(last) = all.rows.last().filter(|_| all.has_more) {
+            // The smallest key after the last one.
             let from = format!("{}\0", last.key);
-            let selection = RowRange { table, from, limit: PAGE };
-            let page = with_timeout(within, (self.read_range)(selection)).await?;
-            if page.version.era != whole.version.era {
+            let selection = RowRange { table, from, limit: PAGE_ROWS };
+            let page = with_timeout(timeout, (self.read_range)(selection)).await?;
+            if page.version.era != all.version.era {
                 return Err(TableError::HistoryGone);
             }
-            whole.has_more = page.has_more;
-            whole.rows.extend(page.rows);
+            all.has_more = page.has_more;
+            all.rows.extend(page.rows);
         }
-        Ok(whole)
+        Ok(all)
     }
 }
 
-/// Waits for the answer of a call, for a time at most.
+/// Waits for a call, for at most the given time.
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::Unanswered`] where the time is over.
-pub async fn with_timeout(time: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
-    let answer = runtime::within(time, call).await;
-    answer.unwrap_or_else(|| Err(TableError::Unanswered("no answer in time".to_owned())))
+/// Returns the error of the call, or [`TableError::Unanswered`] if it timed out.
+pub async fn with_timeout(timeout: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
+    let result = runtime::within(timeout, call).await;
+    result.unwrap_or_else(|| Err(TableError::Unanswered("the call timed out".to_owned())))
 }
 
-/// A table.
+/// Name of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableName {
     /// The operator's configuration.
     Configuration,
-    /// The servers' entries about themselves.
+    /// Entries that servers write about themselves.
     Servers,
-    /// The status of the operator's orders.
+    /// Status of the operator's orders.
     Status,
-    /// A table of the product's own.
+    /// A table that only the gateway nodes use.
     Internal(&'static str),
 }
 
-/// Some rows of a table that follow each other in the order of their keys.
+/// A range of rows in key order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowRange {
     /// The table.
     pub table: TableName,
-    /// The first key; empty for the table's first row.
+    /// First key of the range, or empty for the first row of the table.
     pub from: String,
-    /// How many rows, at the most.
+    /// Maximum number of rows.
     pub limit: usize,
 }
 
-/// A row.
+/// A row of a table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its key in the table.
+    /// The row key.
     pub key: String,
-    /// Its content; `None` where the row is gone.
+    /// The value, or `None` if the row was removed.
     pub value: Option<Vec<u8>>,
-    /// The version at which it was last written.
+    /// Version of the last write.
     pub version: TableVersion,
 }
 
-/// Rows, with the version and time of the table service.
+/// Rows, with the version and the time of the table service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
     /// The rows.
     pub rows: Vec<Row>,
-    /// The newest version.
+    /// The latest version.
     pub version: TableVersion,
-    /// The table service's steady clock.
+    /// Monotonic clock of the table service.
     pub table_time: Millis,
-    /// Whether further rows follow these in the table.
+    /// Whether the range continues after these rows.
     pub has_more: bool,
 }
 
-/// Writes under conditions, all or none.
+/// Conditional writes, of which all or none are applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must hold.
     pub conditions: Vec<Condition>,
-    /// What to write or remove.
+    /// Rows to write or remove.
     pub writes: Vec<Write>,
 }
 
-/// The version that a row must have; [`TableVersion::absent`] where it must not be there.
+/// The version that a row must have, or [`TableVersion::absent`] if the row must not exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     /// The table.
@@ -142,41 +147,41 @@
     pub version: TableVersion,
 }
 
-/// A row to write, or to remove where there is no value.
+/// A row to write, or to remove if it has no value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The table: one of the product's own, or that of the operator's orders.
+    /// The table: an internal one, or the one with the status of the operator's orders.
     pub table: TableName,
     /// The row's key.
     pub key: String,
-    /// The content.
+    /// The value.
     pub value: Option<Vec<u8>>,
 }
 
-/// Explains why a call of the table service failed.
+/// Reason why a call of the table service failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableError {
-    /// A condition did not hold; the rows as they are.
+    /// A condition did not hold; contains the current rows.
     Conflict(Rows),
-    /// The requested changes are no longer kept; read anew.
+    /// The requested changes are no longer available; read the table again.
     HistoryGone,
-    /// The table service has come back from an older copy since the rows were read that a condition names, or
-    /// an answer is of the time before its return. A write may have been done, and is gone.
+    /// The table service was restored from an older copy after a condition's row was read, or the
+    /// response is from before the restore. A write may have been applied and then lost.
     StaleEra,
-    /// The service refused; nothing was done.
+    /// The service rejected the call; nothing was written.
     Refused(u16),
-    /// There was no answer; a write may have been done or may still be.
+    /// There was no response; a write may have been applied or may still be.
     Unanswered(String),
 }
 
 impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict(_) => write!(f, "a condition did not hold"),
-            Self::HistoryGone => write!(f, "the history is gone"),
-            Self::StaleEra => write!(f, "the table service came back from an older copy"),
-            Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::Unanswered(why) => write!(f, "no answer: {why}"),
+            Self::Conflict(_) => write!(f, "a condition of the transaction does not hold"),
+            Self::HistoryGone => write!(f, "the requested history is no longer available"),
+            Self::StaleEra => write!(f, "the table service was restored from an older copy"),
+            Self::Refused(status) => write!(f, "the table service returned status {status}"),
+            Self::Unanswered(why) => write!(f, "no response: {why}"),
         }
     }
 }
