--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -51,17 +51,17 @@
     Recorded(Answer),
     /// Another attempt, of the named node, holds the claim and has no answer yet: nothing may be
     /// sent.
-    Taken(String),
+    HeldByOther(String),
     /// This instance was given up before it was sent: it must never be sent.
     Released,
     /// An earlier instance was given up: the claim may be taken over, by replacing the row.
-    Free,
+    Available,
     /// The key was used for another request.
     Mismatch,
 }
 
 /// Judges the row that stands after an insert, or after its answer was lost.
-pub fn judge(stands: &Row, mine: &Row) -> Verdict {
+pub fn evaluate(stands: &Row, mine: &Row) -> Verdict {
     if stands.digest != mine.digest {
         return Verdict::Mismatch;
     }
@@ -70,9 +70,9 @@
     }
     match (stands.released, stands.instance == mine.instance) {
         (true, true) => Verdict::Released,
-        (true, false) => Verdict::Free,
+        (true, false) => Verdict::Available,
         (false, _) if stands.attempt == mine.attempt => Verdict::Run,
-        (false, _) => Verdict::Taken(stands.node.clone()),
+        (false, _) => Verdict::HeldByOther(stands.node.clone()),
     }
 }
 
--- a/crates/core/src/serving/quarantine/list.rs
+++ b/crates/core/src/serving/quarantine/verdict_cache.rs
@@ -16,7 +16,7 @@
 
 /// The verdicts that a node knows, until they end.
 #[derive(Clone, Debug, Default)]
-pub struct List {
+pub struct VerdictCache {
     entries: BTreeMap<Fingerprint, Entry>,
 }
 
@@ -26,7 +26,7 @@
     until: Millis,
 }
 
-impl List {
+impl VerdictCache {
     /// Takes over a verdict; returns `true` if it is news.
     ///
     /// A standing takes the place of a lower one, and of the same one where it was decided anew.
@@ -63,25 +63,25 @@
     }
 
     /// Returns the milliseconds for which a request is still refused; `None` where it is served.
-    pub fn get_refused_for(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn get_quarantine_left(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
         let verdict = self.get(now, fingerprint)?;
         (verdict.standing == Standing::Quarantined).then_some(verdict.left)
     }
 
     /// Counts the requests that are refused.
-    pub fn count_refused(&self, now: Millis) -> usize {
-        self.iter_refused(now).count()
+    pub fn count_quarantined(&self, now: Millis) -> usize {
+        self.iter_quarantined(now).count()
     }
 
     /// Lists the requests that are refused.
-    pub fn iter_refused(&self, now: Millis) -> impl Iterator<Item = Verdict> {
+    pub fn iter_quarantined(&self, now: Millis) -> impl Iterator<Item = Verdict> {
         let valid = self.entries.values().filter(move |entry| now < entry.until);
         let valid = valid.map(move |entry| Verdict { left: entry.until - now, ..entry.verdict });
         valid.filter(|verdict| verdict.standing == Standing::Quarantined)
     }
 
     /// Lists some verdicts for other nodes; each turn gives the next ones.
-    pub fn list_some(&self, now: Millis, turn: usize) -> Vec<Verdict> {
+    pub fn get_gossip_batch(&self, now: Millis, turn: usize) -> Vec<Verdict> {
         let count = self.entries.len();
         let first = turn * MOST_PASSED_ON % count.max(1);
         let next = self.entries.values().cycle().skip(first).take(count.min(MOST_PASSED_ON));
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -27,12 +27,12 @@
 use std::collections::BTreeMap;
 
 pub use self::decision::Decision;
-pub use self::limit::{Limit, Reach, Tolerance};
-pub use self::report::{Report, Source, Units};
+pub use self::limit::{Limit, Reachability, Tolerance};
+pub use self::report::{AccountUsage, Report, Source};
 
 use self::report::{RATE_VALID_FOR, Rates};
 use crate::Millis;
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// What must be left for a request to be admitted, in units.
 const LEAST_LEFT: f64 = 1.0;
@@ -71,8 +71,8 @@
 pub struct Quotas {
     started_at: Millis,
     tolerance: Tolerance,
-    whole: BTreeMap<String, Bucket>,
-    local_share: BTreeMap<String, Bucket>,
+    whole: BTreeMap<String, TokenBucket>,
+    local_share: BTreeMap<String, TokenBucket>,
     /// Until when units are booked for refused callers, by client account.
     booked_until: BTreeMap<String, f64>,
     own: Report,
@@ -133,7 +133,7 @@
 
     /// Keeps the bucket of a client account also where none of its requests came to this node, so
     /// that its level can be reported to others.
-    pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reach) {
+    pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reachability) {
         if limit.rate_per_second > 0.0 && !self.whole.contains_key(account) {
             let limit = self.tolerance.raise(limit, get_raised_part(reach));
             self.refill_whole(now, account, limit, reach);
@@ -156,7 +156,7 @@
     }
 
     /// Adds what this node's group uses to its own report.
-    pub fn add_group(&mut self, now: Millis, own: &Report) -> Report {
+    pub fn add_group_usage(&mut self, now: Millis, own: &Report) -> Report {
         let group = std::mem::take(&mut self.group);
         let report = self.add_sums(now, own, Source::Member, &group);
         self.group = group;
@@ -164,7 +164,7 @@
     }
 
     /// Adds what all others use to the report of this node's group.
-    pub fn add_others(&mut self, now: Millis, group: &Report) -> Report {
+    pub fn add_other_usage(&mut self, now: Millis, group: &Report) -> Report {
         let others = std::mem::take(&mut self.others);
         let report = self.add_sums(now, group, Source::Peer, &others);
         self.others = others;
@@ -199,7 +199,7 @@
     }
 
     /// Stops to report units that have arrived where this node reported until now.
-    pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, Units>) {
+    pub fn hand_over(&mut self, now: Millis, arrived: &BTreeMap<String, AccountUsage>) {
         self.counted_since = now;
         // What the group used has been reported too; its nodes count anew.
         self.group.clear();
@@ -219,7 +219,7 @@
         now: Millis,
         from: (&str, u64),
         total: &Report,
-        arrived: &BTreeMap<String, Units>,
+        arrived: &BTreeMap<String, AccountUsage>,
     ) {
         let mut others = total.clone();
         for (account, units) in &mut others.accounts {
@@ -349,7 +349,13 @@
     }
 
     /// Refills the whole client account's bucket and returns what is left of it by now.
-    fn refill_whole(&mut self, now: Millis, account: &str, limit: Limit, reach: Reach) -> f64 {
+    fn refill_whole(
+        &mut self,
+        now: Millis,
+        account: &str,
+        limit: Limit,
+        reach: Reachability,
+    ) -> f64 {
         let fraction = reach.get_fraction();
         let rate = limit.rate_per_second * fraction;
         let capacity = limit.get_capacity();
@@ -372,7 +378,7 @@
         }
         let Some(bucket) = self.whole.get_mut(account) else { return 0.0 };
         bucket.release(reserved);
-        bucket.set(now, rate, capacity);
+        bucket.set_limits(now, rate, capacity);
         if charged > 0.0 {
             bucket.available -= charged;
             unreported -= charged;
@@ -388,9 +394,9 @@
     }
 
     /// Makes the bucket of a client account that was not requested of this node before.
-    fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> Bucket {
+    fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> TokenBucket {
         if now >= self.started_at + NEW_FOR {
-            return Bucket::new(now, limit.get_capacity());
+            return TokenBucket::new(now, limit.get_capacity());
         }
         let fresh = self.get_fresh(limit);
         let reports = |is_older: bool| {
@@ -401,15 +407,15 @@
             Some(level) => fresh.min(level as f64),
             None => fresh - reports(false).map(|last| last.admitted as f64).sum::<f64>(),
         };
-        Bucket::new(now, level - reserved).reserve(reserved)
+        TokenBucket::new(now, level - reserved).reserve(reserved)
     }
 
     /// Returns `true` if a report for many nodes did not come in time: what is left is then known too
     /// badly to admit more than a share of the rate.
     ///
     /// Reports that cross between regions may come less often.
-    fn is_any_overdue(&self, now: Millis, reach: Reach) -> bool {
-        let overdue = OVERDUE.start.max(reach.period * OVERDUE_SIXTHS / 6)..OVERDUE.end;
+    fn is_any_overdue(&self, now: Millis, reach: Reachability) -> bool {
+        let overdue = OVERDUE.start.max(reach.report_delay * OVERDUE_SIXTHS / 6)..OVERDUE.end;
         let groups = self.peers.iter().filter(|((source, _, _), _)| *source != Source::Member);
         let mut ages = groups.map(|(_, rates)| now.saturating_sub(rates.reported_at));
         now < self.region_overdue_until || ages.any(|age| overdue.contains(&age))
@@ -417,12 +423,12 @@
 
     /// Returns the level that counts as low: what the client account may use before peers report
     /// it.
-    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reach) -> f64 {
-        if reach.all == 1 {
+    fn get_low(&self, now: Millis, account: &str, capacity: f64, reach: Reachability) -> f64 {
+        if reach.known == 1 {
             return LEAST_LEFT;
         }
         let unreported =
-            self.get_all_requested(now, account) * reach.period as f64 * UNREPORTED_PERIODS;
+            self.get_all_requested(now, account) * reach.report_delay as f64 * UNREPORTED_PERIODS;
         unreported.clamp(LEAST_LEFT, (capacity * LOW_FRACTION).max(LEAST_LEFT))
     }
 
@@ -448,7 +454,7 @@
     }
 }
 
-fn get_raised_part(reach: Reach) -> f64 {
+fn get_raised_part(reach: Reachability) -> f64 {
     if reach.is_grouped { RAISED_PART_GROUPED } else { RAISED_PART }
 }
 
@@ -457,7 +463,7 @@
 /// Nodes that were out of reach used a part of the rate that did not refill this bucket meanwhile.
 /// What they report of a long time may be many times the burst. The debt is therefore bounded by the
 /// burst and the tolerated excess.
-fn charge(tolerance: Tolerance, bucket: &mut Bucket, admitted: i64) {
+fn charge(tolerance: Tolerance, bucket: &mut TokenBucket, admitted: i64) {
     let admitted = admitted as f64;
     let Some((rate, capacity)) = bucket.get_limits() else {
         bucket.available -= admitted;
@@ -468,7 +474,7 @@
     bucket.available = (bucket.available - admitted).max(least);
 }
 
-fn refund_all(buckets: &mut BTreeMap<String, Bucket>, units: BTreeMap<String, f64>) {
+fn refund_all(buckets: &mut BTreeMap<String, TokenBucket>, units: BTreeMap<String, f64>) {
     for (account, units) in units {
         if let Some(bucket) = buckets.get_mut(&account) {
             bucket.available += units;
--- a/crates/core/src/serving/rollout/book.rs
+++ b/crates/core/src/serving/rollout/registry.rs
@@ -9,7 +9,7 @@
 use super::tally::{Phase, Series, Tallies};
 use crate::serving::directory::Server;
 use crate::serving::table_version::TableVersion;
-use crate::{Millis, succession};
+use crate::{Millis, rendezvous};
 
 /// The share of the requests that a version gets in [`Stage::Ramp`]: with what the canary got, a
 /// version that turns bad there is found within one in ten of all requests (`rollout_trials`).
@@ -23,19 +23,19 @@
 
 /// Which servers a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum VersionFilter {
     /// All of them: there is no roll-out.
     Any,
-    /// A few of the new version, given by [`Book::list_canaries`].
+    /// A few of the new version, given by [`Registry::list_canaries`].
     Canary,
     /// Those of the new version.
     Target,
     /// Those of the new version, or all others where there are none of it.
-    TargetFirst,
+    PreferTarget,
     /// All others.
-    Rest,
+    Others,
     /// All others, or those of the new version where there are no others.
-    RestFirst,
+    PreferOthers,
 }
 
 /// What a node, or a group of nodes, counted of one roll-out.
@@ -89,7 +89,7 @@
 
 /// All roll-outs that a node knows of.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Registry {
     rollouts: BTreeMap<String, Rollout>,
     /// Orders that count once the era is settled, by service.
     deferred: BTreeMap<String, Order>,
@@ -128,9 +128,9 @@
 
     /// Decides which servers a request may go to once the roll-out has completed: the others stop
     /// at once, and are listed for some time after that.
-    fn pick_side_completed(&self, now: Millis) -> Side {
+    fn pick_side_completed(&self, now: Millis) -> VersionFilter {
         let is_recent = now < self.stage_since + OTHERS_LISTED_FOR;
-        if is_recent { Side::TargetFirst } else { Side::Any }
+        if is_recent { VersionFilter::PreferTarget } else { VersionFilter::Any }
     }
 
     /// Returns the stage to act on: one that was not confirmed lately may have changed.
@@ -154,7 +154,7 @@
     }
 }
 
-impl Book {
+impl Registry {
     /// Takes an order; returns `true` if it is newer than what is known.
     ///
     /// It ends an earlier one for the service: the version of that one is barred unless it was
@@ -162,8 +162,8 @@
     ///
     /// After a return of the table service from an older copy, the known order gets another number where
     /// its row is still there or is written again. A different one may be an earlier order that the copy
-    /// holds, and counts only once the era `is_settled`: see [`Self::take_deferred`].
-    pub fn take_order(&mut self, order: Order, is_settled: bool) -> bool {
+    /// holds, and counts only once the era `is_settled`: see [`Self::apply_deferred`].
+    pub fn apply_order(&mut self, order: Order, is_settled: bool) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             if known.order.number >= order.number {
                 return false;
@@ -188,9 +188,9 @@
 
     /// Takes the orders that were seen before the era was settled, and that no later one has replaced; returns those
     /// that are newer than what is known.
-    pub fn take_deferred(&mut self) -> Vec<Order> {
+    pub fn apply_deferred(&mut self) -> Vec<Order> {
         let deferred = std::mem::take(&mut self.deferred).into_values();
-        deferred.filter(|order| self.take_order(order.clone(), true)).collect()
+        deferred.filter(|order| self.apply_order(order.clone(), true)).collect()
     }
 
     /// Bars versions of earlier orders, in the roll-out of an order.
@@ -214,7 +214,7 @@
         announcement: &Announcement,
         is_settled: bool,
     ) -> Option<Stage> {
-        self.take_order(announcement.order.clone(), is_settled);
+        self.apply_order(announcement.order.clone(), is_settled);
         let rollout = self.rollouts.get_mut(&announcement.order.service)?;
         if rollout.order.number != announcement.order.number {
             return None;
@@ -302,15 +302,17 @@
     }
 
     /// Returns `true` if a request may go to a server, given the side that was picked for it.
-    pub fn is_allowed(&self, side: Side, server: &Server) -> bool {
+    pub fn is_allowed(&self, side: VersionFilter, server: &Server) -> bool {
         let rollout = self.rollouts.get(&server.service);
         if rollout.is_some_and(|rollout| rollout.barred.contains(&server.version)) {
             return false;
         }
         match side {
-            Side::Any => true,
-            Side::Canary | Side::Target | Side::TargetFirst => self.is_target(server),
-            Side::Rest | Side::RestFirst => !self.is_target(server),
+            VersionFilter::Any => true,
+            VersionFilter::Canary | VersionFilter::Target | VersionFilter::PreferTarget => {
+                self.is_target(server)
+            }
+            VersionFilter::Others | VersionFilter::PreferOthers => !self.is_target(server),
         }
     }
 
@@ -325,27 +327,27 @@
         let targets = servers.filter(|server| self.is_target(server));
         let targets: Vec<&str> = targets.map(|server| server.id.as_str()).collect();
         let count = (targets.len() as f64 * tolerance.share).ceil() as usize;
-        let mut ordered = succession::order(CANARIES_KEY, targets.into_iter());
+        let mut ordered = rendezvous::rank(CANARIES_KEY, targets.into_iter());
         ordered.truncate(count);
         ordered
     }
 
     /// Decides which servers of a service the first attempt of a request may go to.
     /// `random` is drawn evenly from 0 to 1.
-    pub fn pick_side(
+    pub fn pick_filter(
         &self,
         now: Millis,
         service: &str,
         tolerance: &Tolerance,
         random: f64,
-    ) -> Side {
-        let Some(rollout) = self.rollouts.get(service) else { return Side::Any };
+    ) -> VersionFilter {
+        let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
-            Stage::Pending => Side::RestFirst,
-            Stage::Canary if rollout.exposure.has_room(tolerance) => Side::Canary,
-            Stage::Ramp if random < RAMP_SHARE => Side::Target,
-            Stage::Canary | Stage::Ramp | Stage::RolledBack => Side::Rest,
-            Stage::Shifting => Side::Target,
+            Stage::Pending => VersionFilter::PreferOthers,
+            Stage::Canary if rollout.exposure.has_room(tolerance) => VersionFilter::Canary,
+            Stage::Ramp if random < RAMP_SHARE => VersionFilter::Target,
+            Stage::Canary | Stage::Ramp | Stage::RolledBack => VersionFilter::Others,
+            Stage::Shifting => VersionFilter::Target,
             Stage::Completed => rollout.pick_side_completed(now),
         }
     }
@@ -360,12 +362,14 @@
 
     /// Decides which servers of a service a further attempt of a request may go to: after a failure
     /// the version that is known to work is preferred.
-    pub fn pick_retry_side(&self, now: Millis, service: &str) -> Side {
-        let Some(rollout) = self.rollouts.get(service) else { return Side::Any };
+    pub fn pick_retry_filter(&self, now: Millis, service: &str) -> VersionFilter {
+        let Some(rollout) = self.rollouts.get(service) else { return VersionFilter::Any };
         match rollout.get_stage(now) {
             Stage::Completed => rollout.pick_side_completed(now),
-            Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => Side::Rest,
-            Stage::Shifting => Side::RestFirst,
+            Stage::Pending | Stage::Canary | Stage::Ramp | Stage::RolledBack => {
+                VersionFilter::Others
+            }
+            Stage::Shifting => VersionFilter::PreferOthers,
         }
     }
 
@@ -378,7 +382,7 @@
     }
 
     /// Counts a good answer of a server, or a phase of it.
-    pub fn succeed(
+    pub fn record_success(
         &mut self,
         now: Millis,
         server: &Server,
@@ -388,14 +392,14 @@
     ) {
         let is_warm = self.warm_at.get(&server.id).is_none_or(|at| now >= *at);
         if let Some(tally) = self.get_tally(server, route, phase) {
-            tally.succeed(is_warm.then_some(latency));
+            tally.record_success(is_warm.then_some(latency));
         }
     }
 
     /// Counts an answer of a server that failed in a phase.
-    pub fn fail(&mut self, server: &Server, route: &str, phase: Phase) {
+    pub fn record_failure(&mut self, server: &Server, route: &str, phase: Phase) {
         if let Some(tally) = self.get_tally(server, route, phase) {
-            tally.fail();
+            tally.record_failure();
         }
     }
 
@@ -415,7 +419,7 @@
     }
 
     /// Notes when a server that has just started is as fast as others.
-    pub fn note_joined(&mut self, now: Millis, server: &Server) {
+    pub fn record_joined(&mut self, now: Millis, server: &Server) {
         if let Some(left) = server.warm_within.filter(|left| *left > 0) {
             self.warm_at.insert(server.id.clone(), now + left);
         }
@@ -453,7 +457,7 @@
     }
 
     /// Begins to count anew, for another aggregator: the former one has what was counted.
-    pub fn hand_over(&mut self) {
+    pub fn reset_counts(&mut self) {
         for rollout in self.rollouts.values_mut() {
             rollout.own = Tallies::default();
             rollout.members.clear();
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -4,7 +4,7 @@
 
 /// What the record and the bundle say of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestFacts {
     /// Whether a model engine runs it, which can be attached to.
     pub is_model: bool,
     /// Whether it may run more than once, or its servers see to it that it does not.
@@ -15,11 +15,11 @@
 
 /// How to go on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum Strategy {
     /// Attach to the attempt that the record names.
     Attach,
     /// Run it, from the tokens that the record has.
-    Anew,
+    Rerun,
     /// Run it under the claim that was just got: it never ran before.
     Claimed,
     /// Give the answer that was recorded.
@@ -32,23 +32,25 @@
 
 /// Decides how to go on. `claim` is the verdict over a new claim of this node, for a request that
 /// needs one, or `None` where it could not be had.
-pub fn start(facts: Facts, needs_claim: bool, claim: Option<Verdict>) -> Start {
+pub fn choose_strategy(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Strategy {
     if needs_claim {
         return start_claimed(facts, claim);
     }
     match facts {
-        Facts { is_model: true, has_attempt: true, .. } => Start::Attach,
-        Facts { is_repeatable: true, .. } => Start::Anew,
-        _ => Start::Unknown,
+        RequestFacts { is_model: true, has_attempt: true, .. } => Strategy::Attach,
+        RequestFacts { is_repeatable: true, .. } => Strategy::Rerun,
+        _ => Strategy::Unknown,
     }
 }
 
-fn start_claimed(facts: Facts, claim: Option<Verdict>) -> Start {
+fn start_claimed(facts: RequestFacts, claim: Option<Verdict>) -> Strategy {
     match claim {
-        Some(Verdict::Run) => Start::Claimed,
-        Some(Verdict::Recorded(answer)) => Start::Recorded(answer),
-        Some(Verdict::Released) => Start::NotRun,
-        Some(Verdict::Taken(_)) if facts.is_model && facts.has_attempt => Start::Attach,
-        Some(Verdict::Taken(_) | Verdict::Free | Verdict::Mismatch) | None => Start::Unknown,
+        Some(Verdict::Run) => Strategy::Claimed,
+        Some(Verdict::Recorded(answer)) => Strategy::Recorded(answer),
+        Some(Verdict::Released) => Strategy::NotRun,
+        Some(Verdict::HeldByOther(_)) if facts.is_model && facts.has_attempt => Strategy::Attach,
+        Some(Verdict::HeldByOther(_) | Verdict::Available | Verdict::Mismatch) | None => {
+            Strategy::Unknown
+        }
     }
 }
--- a/crates/core/tests/core/claim.rs
+++ b/crates/core/tests/core/claim.rs
@@ -1,6 +1,6 @@
 //! Whether a request that must not be repeated may run.
 
-use keeljunction_core::claim::{Answer, Row, Verdict, judge, row_key};
+use keeljunction_core::claim::{Answer, Row, Verdict, evaluate, row_key};
 use proptest::prelude::*;
 
 fn row(attempt: &str, instance: &str) -> Row {
@@ -23,11 +23,11 @@
     let released = |attempt, instance| Row { released: true, ..row(attempt, instance) };
     let cases = [
         ("my own", row("a", "i"), Verdict::Run),
-        ("another attempt", row("b", "i"), Verdict::Taken("node of b".to_owned())),
-        ("another instance", row("b", "j"), Verdict::Taken("node of b".to_owned())),
+        ("another attempt", row("b", "i"), Verdict::HeldByOther("node of b".to_owned())),
+        ("another instance", row("b", "j"), Verdict::HeldByOther("node of b".to_owned())),
         ("released, this instance", released("b", "i"), Verdict::Released),
         ("released, my own attempt", released("a", "i"), Verdict::Released),
-        ("released, an earlier instance", released("b", "j"), Verdict::Free),
+        ("released, an earlier instance", released("b", "j"), Verdict::Available),
         (
             "answered",
             Row { answer: Some(answer.clone()), ..row("b", "j") },
@@ -36,7 +36,7 @@
         ("another request", Row { digest: "x".to_owned(), ..row("a", "i") }, Verdict::Mismatch),
     ];
     for (name, stands, verdict) in cases {
-        assert_eq!(judge(&stands, &mine), verdict, "{name}");
+        assert_eq!(evaluate(&stands, &mine), verdict, "{name}");
     }
 }
 
@@ -69,9 +69,9 @@
         for step in steps {
             match step {
                 Step::Claim(n) => {
-                    let verdict = stands.as_ref().map(|stands| judge(stands, &attempts[n]));
+                    let verdict = stands.as_ref().map(|stands| evaluate(stands, &attempts[n]));
                     match verdict {
-                        None | Some(Verdict::Free) => {
+                        None | Some(Verdict::Available) => {
                             stands = Some(attempts[n].clone());
                             may_run[n] = true;
                         }
--- a/crates/core/tests/serving/capacity.rs
+++ b/crates/core/tests/serving/capacity.rs
@@ -1,8 +1,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use keeljunction_core::serving::capacity::{
-    Demand, Found, Inventory, Needs, Order, PeakWindow, Plan, Policy, Snapshot, count_crossing,
-    needs, plan, plan_regions,
+    Demand, InitialCount, Inventory, Order, PeakNeeds, PeakWindow, Plan, Policy, Snapshot,
+    compute_needs, count_spillable, plan, plan_regions,
 };
 use keeljunction_core::serving::configuration::Scaling;
 use proptest::prelude::*;
@@ -18,12 +18,12 @@
 
 /// Where nothing is held as on-demand servers, and spot servers can be had.
 fn calm(inventory: &BTreeMap<String, Inventory>, need: u32) -> Snapshot<'_> {
-    Snapshot { inventory, need, is_spot_exhausted: false, on_demand_held: 0, crossing: 0 }
+    Snapshot { inventory, need, is_spot_exhausted: false, on_demand_held: 0, spillable: 0 }
 }
 
 /// Where all requests arrive in one region.
 fn need(policy: &Policy, demand: &Demand) -> u32 {
-    needs(policy, &BTreeMap::from([(String::new(), *demand)]))[""]
+    compute_needs(policy, &BTreeMap::from([(String::new(), *demand)]))[""]
 }
 
 fn scaling(spot_price: Option<f64>) -> Scaling {
@@ -91,7 +91,7 @@
     let by_region = |demands: &[(&str, f64)]| -> Vec<u32> {
         let demands =
             demands.iter().map(|(region, servers)| (region.to_string(), demand(*servers)));
-        needs(&policy, &demands.collect()).into_values().collect()
+        compute_needs(&policy, &demands.collect()).into_values().collect()
     };
     assert_eq!(by_region(&[("", 25.0)]), [55]);
     // 50 and 5 for bursts together; alone, they would hold 4.48 and 2.24 of them.
@@ -107,14 +107,14 @@
     [named(["east-a", "east-b"], east), named(["west-a", "west-b"], west)]
 }
 
-fn plan_two(inventory: &[BTreeMap<String, Inventory>; 2], needs: [u32; 2], crossing: u32) -> Plan {
+fn plan_two(inventory: &[BTreeMap<String, Inventory>; 2], needs: [u32; 2], spillable: u32) -> Plan {
     let names = ["east-a", "east-b", "west-a", "west-b"].map(str::to_owned);
     let prices = names.into_iter().zip([1.25, 1.0, 0.8, 0.9]).collect();
     let scaling = Scaling { max: 10, data_centre_prices: prices, ..scaling(Some(0.2)) };
     let [east, west] = inventory;
     let snapshots = [("east", east, needs[0]), ("west", west, needs[1])];
     let snapshots = snapshots.map(|(region, inventory, need)| {
-        (region.to_owned(), Snapshot { crossing, ..calm(inventory, need) })
+        (region.to_owned(), Snapshot { spillable, ..calm(inventory, need) })
     });
     plan_regions(&POLICY, &scaling, &snapshots.into())
 }
@@ -160,7 +160,7 @@
     let [west, _] = two_regions([held; 2], [held; 2]);
     let scaling = Scaling { max: 10, ..scaling(Some(0.2)) };
     let nowhere = BTreeMap::new();
-    let east = Snapshot { crossing: 10, ..calm(&nowhere, 4) };
+    let east = Snapshot { spillable: 10, ..calm(&nowhere, 4) };
     let snapshots = [("east".to_owned(), east), ("west".to_owned(), calm(&west, 4))].into();
     let plan = plan_regions(&POLICY, &scaling, &snapshots);
     assert_eq!(list(&plan.spot), [4, 4]);
@@ -184,10 +184,10 @@
 #[test]
 fn as_much_work_crosses_as_the_bandwidth_allows() {
     // 1,000,000 tokens a second are 32 Mbit/s.
-    assert_eq!(count_crossing(20, 1e6, 64.0), 20);
-    assert_eq!(count_crossing(20, 1e6, 8.0), 5);
-    assert_eq!(count_crossing(20, 1e6, 0.0), 0);
-    assert_eq!(count_crossing(20, 0.0, 0.0), 20);
+    assert_eq!(count_spillable(20, 1e6, 64.0), 20);
+    assert_eq!(count_spillable(20, 1e6, 8.0), 5);
+    assert_eq!(count_spillable(20, 1e6, 0.0), 0);
+    assert_eq!(count_spillable(20, 0.0, 0.0), 20);
 }
 
 #[test]
@@ -306,10 +306,10 @@
 #[test]
 fn a_need_rises_at_once_and_falls_slowly() {
     let mut slow = PeakWindow::default();
-    assert_eq!(slow.follow(1_000, 3, 5_000), 3);
-    assert_eq!(slow.follow(2_000, 7, 5_000), 7);
-    assert_eq!(slow.follow(7_000, 2, 5_000), 7);
-    assert_eq!(slow.follow(7_001, 2, 5_000), 2);
+    assert_eq!(slow.record(1_000, 3, 5_000), 3);
+    assert_eq!(slow.record(2_000, 7, 5_000), 7);
+    assert_eq!(slow.record(7_000, 2, 5_000), 7);
+    assert_eq!(slow.record(7_001, 2, 5_000), 2);
 }
 
 fn by_region<const N: usize>(needs: [(&str, u32); N]) -> BTreeMap<String, u32> {
@@ -318,74 +318,74 @@
 
 #[test]
 fn the_need_of_a_region_that_is_not_heard_stays() {
-    let mut needs = Needs::default();
+    let mut needs = PeakNeeds::default();
     let all = BTreeSet::new();
     let told = by_region([("a", 10), ("b", 12)]);
-    assert_eq!(needs.follow(1_000, &told, &all, 8_000), told);
+    assert_eq!(needs.record(1_000, &told, &all, 8_000), told);
     // Requests go on there, but no report of them comes.
     let silent = by_region([("a", 10), ("b", 1)]);
     let unheard = BTreeSet::from(["b"]);
     for second in 2..60 {
-        assert_eq!(needs.follow(second * 1_000, &silent, &unheard, 8_000), told);
+        assert_eq!(needs.record(second * 1_000, &silent, &unheard, 8_000), told);
     }
     // Heard again, its need falls as slowly as any.
-    assert_eq!(needs.follow(60_000, &silent, &all, 8_000), told);
-    assert_eq!(needs.follow(68_000, &silent, &all, 8_000), silent);
+    assert_eq!(needs.record(60_000, &silent, &all, 8_000), told);
+    assert_eq!(needs.record(68_000, &silent, &all, 8_000), silent);
 }
 
 #[test]
 fn a_region_of_which_nothing_was_ever_heard_has_no_known_need() {
-    let mut needs = Needs::default();
+    let mut needs = PeakNeeds::default();
     let told = by_region([("a", 10), ("b", 1)]);
-    let followed = needs.follow(1_000, &told, &BTreeSet::from(["b", "c"]), 8_000);
+    let followed = needs.record(1_000, &told, &BTreeSet::from(["b", "c"]), 8_000);
     assert_eq!(followed, by_region([("a", 10)]));
 }
 
 #[test]
 fn servers_that_were_ordered_boot_until_they_are_seen_or_late() {
     let mut order = Order::new(1_000, 34, 0);
-    assert_eq!(order.follow(2_000, 0, 4_000), 34);
-    assert_eq!(order.follow(5_000, 30, 4_000), 4);
+    assert_eq!(order.update(2_000, 0, 4_000), 34);
+    assert_eq!(order.update(5_000, 30, 4_000), 4);
     // Taken away since: they do not boot.
-    assert_eq!(order.follow(6_000, 0, 4_000), 4);
-    assert_eq!(order.follow(8_000, 0, 4_000), 0);
+    assert_eq!(order.update(6_000, 0, 4_000), 4);
+    assert_eq!(order.update(8_000, 0, 4_000), 0);
 }
 
 #[test]
 fn a_wave_right_after_an_order_for_one_more_shows_at_once() {
     let mut order = Order::new(1_000, 34, 33);
-    assert_eq!(order.follow(1_200, 0, 4_000), 1);
+    assert_eq!(order.update(1_200, 0, 4_000), 1);
 }
 
 #[test]
 fn a_list_is_complete_when_it_was_confirmed_a_while_after_its_last_server() {
-    let mut found = Found::default();
-    assert_eq!(found.follow(1_000, 10, true, Some(900)), 10);
+    let mut found = InitialCount::default();
+    assert_eq!(found.record(1_000, 10, true, Some(900)), 10);
     // Silent for long, but nobody confirmed that the list is the newest.
     assert!(!found.is_complete(Some(1_200)));
     assert!(!found.is_complete(None));
     assert!(!found.is_complete(Some(2_499)));
     assert!(found.is_complete(Some(2_500)));
-    assert_eq!(found.follow(4_000, 60, true, Some(1_200)), 60);
+    assert_eq!(found.record(4_000, 60, true, Some(1_200)), 60);
     assert!(!found.is_complete(Some(2_500)));
 }
 
 #[test]
 fn servers_that_list_themselves_late_count_until_the_first_request() {
-    let mut found = Found::default();
-    found.follow(1_000, 10, true, Some(1_000));
-    assert_eq!(found.follow(3_000, 12, true, Some(2_900)), 12);
+    let mut found = InitialCount::default();
+    found.record(1_000, 10, true, Some(1_000));
+    assert_eq!(found.record(3_000, 12, true, Some(2_900)), 12);
     assert!(!found.is_complete(Some(2_900)));
-    assert_eq!(found.follow(6_000, 40, false, Some(5_900)), 12);
-    assert_eq!(found.follow(6_200, 5, true, Some(5_900)), 12);
+    assert_eq!(found.record(6_000, 40, false, Some(5_900)), 12);
+    assert_eq!(found.record(6_200, 5, true, Some(5_900)), 12);
 }
 
 proptest! {
     /// One region is planned as all data centres together.
     #[test]
-    fn one_region_takes_nothing_over(held in 0u32..5, demand in 0u32..30, crossing in 0u32..30) {
+    fn one_region_takes_nothing_over(held in 0u32..5, demand in 0u32..30, spillable in 0u32..30) {
         let inventory = inventory(held);
-        let snapshot = Snapshot { crossing, ..calm(&inventory, demand) };
+        let snapshot = Snapshot { spillable, ..calm(&inventory, demand) };
         let snapshots = BTreeMap::from([(String::new(), snapshot)]);
         let scaling = scaling(Some(0.2));
         prop_assert_eq!(
@@ -457,7 +457,7 @@
     {
         let inventory = held(spot);
         let snapshot = calm(&inventory, need);
-        assert_eq!(snapshot.is_carried_by_spot(&scaling), is_carried, "{need} {spot}");
+        assert_eq!(snapshot.is_spot_sufficient(&scaling), is_carried, "{need} {spot}");
     }
     // What is then planned gives up as many as may leave at once, and keeps more spot servers than are needed.
     let inventory = held(900);
--- a/crates/core/tests/serving/era.rs
+++ b/crates/core/tests/serving/era.rs
@@ -1,17 +1,17 @@
-use keeljunction_core::serving::era::{Begun, Era, Eras, Origin};
+use keeljunction_core::serving::era::{Era, EraChange, Eras, Origin};
 
 const READ_FROM_ROW: Origin = Origin { age: 500, unix_ms: 1_000_000 };
 
 #[test]
 fn an_era_is_news_once_and_an_earlier_one_never() {
     let mut eras = Eras::default();
-    assert_eq!(eras.note(0, Era::named(2)), Some(Begun { era: Era::named(2), before: None }));
+    assert_eq!(eras.note(0, Era::named(2)), Some(EraChange { era: Era::named(2), before: None }));
     assert_eq!(eras.note(10, Era::named(2)), None);
     assert_eq!(eras.note(20, Era::named(1)), None);
     assert!(eras.is_superseded(Era::named(1)));
     assert_eq!(
         eras.note(30, Era::named(4)),
-        Some(Begun { era: Era::named(4), before: Some(Era::named(2)) })
+        Some(EraChange { era: Era::named(4), before: Some(Era::named(2)) })
     );
     assert_eq!(eras.get(), Era::named(4));
 }
@@ -22,7 +22,7 @@
     assert!(eras.is_settled(0));
     eras.note(0, Era::UNNAMED);
     assert!(eras.is_settled(0));
-    assert!(eras.is_surely_after_return(0));
+    assert!(eras.is_certainly_after_restore(0));
 }
 
 #[test]
@@ -59,11 +59,11 @@
     let mut eras = Eras::default();
     eras.note(0, Era::named(1));
     eras.note(10_000, Era::named(2));
-    eras.note_rewritten();
-    assert!(eras.is_operator_heard(10_100));
+    eras.note_configuration_rewritten();
+    assert!(eras.is_configuration_current(10_100));
     assert!(!eras.is_settled(10_100));
     eras.note(10_200, Era::named(3));
-    assert!(!eras.is_operator_heard(10_200));
+    assert!(!eras.is_configuration_current(10_200));
 }
 
 #[test]
@@ -71,10 +71,10 @@
     let mut eras = Eras::default();
     eras.note(0, Era::named(1));
     eras.note(10_000, Era::named(2));
-    assert!(!eras.is_surely_after_return(9_000_000));
+    assert!(!eras.is_certainly_after_restore(9_000_000));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
-    assert!(!eras.is_surely_after_return(1_003_999));
-    assert!(eras.is_surely_after_return(1_004_000));
+    assert!(!eras.is_certainly_after_restore(1_003_999));
+    assert!(eras.is_certainly_after_restore(1_004_000));
 }
 
 // Guards against a node that takes an era for the deployment's first one, in which nothing was lost: a copy from before
@@ -86,7 +86,7 @@
     eras.set_origin(10, Era::named(1), Origin { age: 0, ..READ_FROM_ROW });
     assert!(!eras.is_settled(2_009));
     assert!(eras.is_settled(2_010));
-    assert!(!eras.is_surely_after_return(0));
+    assert!(!eras.is_certainly_after_restore(0));
 }
 
 #[test]
@@ -96,5 +96,5 @@
     eras.note(10_000, Era::named(2));
     eras.set_origin(10_100, Era::named(2), READ_FROM_ROW);
     assert!(!eras.is_settled(10_100));
-    assert!(!eras.is_surely_after_return(0));
+    assert!(!eras.is_certainly_after_restore(0));
 }
--- a/crates/core/tests/serving/groups.rs
+++ b/crates/core/tests/serving/groups.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::quota::{
-    Decision, Limit, Quotas, Reach, Report, Source, Tolerance,
+    Decision, Limit, Quotas, Reachability, Report, Source, Tolerance,
 };
+use keeljunction_core::serving::report_log::{ReportLog, Snapshot};
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
 
@@ -42,7 +42,7 @@
 struct Node {
     number: usize,
     quotas: Quotas,
-    handover: Handover,
+    handover: ReportLog,
     ledger: Ledger,
     aggregator: usize,
     heard_at: u64,
@@ -60,7 +60,7 @@
         Self {
             number,
             quotas: Quotas::new(now, TOLERANCE),
-            handover: Handover::new(incarnation),
+            handover: ReportLog::new(incarnation),
             ledger: Ledger::default(),
             aggregator: number % GROUPS,
             heard_at: now,
@@ -71,7 +71,7 @@
     }
 
     /// Returns which nodes are in reach: of an aggregator those that it hears, with their groups.
-    fn get_reach(&self, now: u64) -> Reach {
+    fn get_reachability(&self, now: u64) -> Reachability {
         let is_heard = |at: &u64| now < at + HEARD_WITHIN;
         let weight = |number: &usize| if *number < GROUPS { MEMBERS + 1 } else { 1 };
         let heard = match self.is_aggregator() {
@@ -82,7 +82,12 @@
             false if is_heard(&self.heard_at) => self.heard_elsewhere,
             false => 1,
         };
-        Reach { heard: heard.min(NODES), all: NODES, period: PERIOD * 3, is_grouped: true }
+        Reachability {
+            heard: heard.min(NODES),
+            known: NODES,
+            report_delay: PERIOD * 3,
+            is_grouped: true,
+        }
     }
 
     fn is_aggregator(&self) -> bool {
@@ -95,7 +100,7 @@
 
     fn report(&mut self, now: u64) -> (Report, Counts) {
         let report = self.quotas.report(now);
-        let usage = self.ledger.of_incarnation(self.handover.get_incarnation());
+        let usage = self.ledger.list_incarnation_counts(self.handover.get_incarnation());
         let usage: BTreeMap<u64, Counts> = usage.into_iter().collect();
         let counts = usage.get(&WINDOW).cloned().unwrap_or_default();
         self.handover.record(now, Snapshot { quota: report.accounts.clone(), usage });
@@ -105,7 +110,7 @@
     /// Turns to another aggregator, or begins anew with one that has started again.
     fn turn(&mut self, now: u64, to: usize, number: u64) {
         let former = self.handover.get_incarnation().clone();
-        let arrived = self.handover.begin(number);
+        let arrived = self.handover.begin_incarnation(number);
         let next = self.handover.get_incarnation().clone();
         self.quotas.hand_over(now, &arrived.quota);
         self.ledger.hand_over(&former, &next, &arrived.usage, false);
@@ -179,11 +184,11 @@
         random: &mut fastrand::Rng,
     ) -> bool {
         let node = &mut nodes[number];
-        let reach = node.get_reach(now);
+        let reach = node.get_reachability(now);
         if !self.is_owner_asked {
             return node.quotas.consume(now, "acme", size, self.limit, reach).is_ok();
         }
-        if node.quotas.consume_if_filled(now, "acme", size, self.limit, reach) {
+        if node.quotas.consume_above_low_water(now, "acme", size, self.limit, reach) {
             return true;
         }
         let owner = self.get_owner(number, now);
@@ -191,7 +196,7 @@
         let is_answered_in_vain = owner != number && random.f64() < self.lost;
         let mut decision = Decision::Undecided;
         if !is_lost && !self.is_away(owner, now) && self.get_owner(owner, now) == owner {
-            let reach = nodes[owner].get_reach(now);
+            let reach = nodes[owner].get_reachability(now);
             decision = nodes[owner].quotas.decide(now, "acme", size, self.limit, reach);
         }
         if is_answered_in_vain {
@@ -281,7 +286,7 @@
             }
             node.heard_at = now;
             node.heard_elsewhere = heard;
-            let arrived = answers.and_then(|at| node.handover.confirm(at).cloned());
+            let arrived = answers.and_then(|at| node.handover.acknowledge(at).cloned());
             if let Some(arrived) = arrived {
                 node.quotas.merge_total(now, (&run.0, run.1), &total, &arrived.quota);
             }
@@ -306,10 +311,10 @@
         return vec![(node.aggregator, report)];
     }
     let (own, _) = node.report(now);
-    let reach = node.get_reach(now);
+    let reach = node.get_reachability(now);
     node.quotas.track(now, "acme", LIMIT, reach);
-    let group = node.quotas.add_group(now, &own);
-    let total = node.quotas.add_others(now, &group);
+    let group = node.quotas.add_group_usage(now, &own);
+    let total = node.quotas.add_other_usage(now, &group);
     let run = node.get_from();
     let usage = node.ledger.sum_group(node.handover.get_incarnation(), 1);
     let counts = usage.first().map(|(_, counts)| counts.clone()).unwrap_or_default();
@@ -476,7 +481,7 @@
 /// did not, and how many were requested, after the start.
 fn count_lost(scenario: &Scenario) -> (f64, f64) {
     let mut alone = Quotas::new(0, Tolerance::default());
-    let reach = Reach { heard: 1, all: 1, period: PERIOD, is_grouped: true };
+    let reach = Reachability { heard: 1, known: 1, report_delay: PERIOD, is_grouped: true };
     let mut lost = 0.0;
     let mut requested = 0.0;
     for (at, size, is_admitted) in scenario.play().requested {
@@ -534,17 +539,17 @@
         usage: BTreeMap::from([(WINDOW, Counts::from([("acme".to_owned(), count)]))]),
         ..Snapshot::default()
     };
-    let mut handover = Handover::new(incarnation(1));
+    let mut handover = ReportLog::new(incarnation(1));
     handover.record(400, snapshot(3));
     handover.record(800, snapshot(5));
     handover.record(1_200, snapshot(9));
-    assert_eq!(handover.confirm(800), Some(&snapshot(5)));
+    assert_eq!(handover.acknowledge(800), Some(&snapshot(5)));
     // An older confirmation that was late changes nothing.
-    assert_eq!(handover.confirm(400), None);
-    assert_eq!(handover.get_arrived(), Some(&snapshot(5)));
-    assert_eq!(handover.begin(2), snapshot(5));
+    assert_eq!(handover.acknowledge(400), None);
+    assert_eq!(handover.get_acknowledged(), Some(&snapshot(5)));
+    assert_eq!(handover.begin_incarnation(2), snapshot(5));
     assert_eq!(handover.get_incarnation(), &incarnation(2));
     // Reports of the former incarnation are confirmed no more.
-    assert_eq!(handover.confirm(1_200), None);
-    assert_eq!(handover.begin(3), Snapshot::default());
+    assert_eq!(handover.acknowledge(1_200), None);
+    assert_eq!(handover.begin_incarnation(3), Snapshot::default());
 }
--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -11,13 +11,13 @@
 use keeljunction_core::serving::choice::Criteria;
 use keeljunction_core::serving::configuration::{Account, Configuration, QuotaUnit, Route};
 use keeljunction_core::serving::demand::DemandTotals;
-use keeljunction_core::serving::load::{PRIORITIES, Work};
+use keeljunction_core::serving::load::{PRIORITIES, RequestCost};
 use keeljunction_core::serving::quarantine::{Content, Fingerprint};
 use keeljunction_core::serving::refusal::Refusal;
 
 use super::respond::{RefusalResponse, RequestRecord};
 use super::upload::{BodyLimits, IncomingBody, Upload};
-use crate::node::cut_runs::CutRun;
+use crate::node::interrupted_attempts::InterruptedAttempt;
 use crate::node::{self, Node};
 use crate::port::{Prompt, RequestHead};
 use crate::runtime::lock;
@@ -54,7 +54,7 @@
     /// Time at which the final response is due.
     pub deadline: Millis,
     /// Estimated work of the request for a server.
-    pub work: Work,
+    pub work: RequestCost,
     /// Criteria for the choice of a server.
     pub criteria: Criteria,
     /// Fingerprint of the request's content.
@@ -89,7 +89,7 @@
             configuration.ok_or(refuse(Refusal::NotConfigured, STALE_RETRY_AFTER_MS))?;
         record.configuration_version = Some(configuration.version);
         record.configuration_age = age;
-        let is_fresh = node.is_fresh();
+        let is_fresh = node.is_configuration_fresh();
         if head.id.is_none() {
             return Err(refuse(Refusal::BadRequest, 0));
         }
@@ -115,7 +115,7 @@
         let urgency = priority * ACCOUNT_PRIORITY_FACTOR + route.priority;
         let limits = BodyLimits {
             max_bytes: configuration.limits.body_bytes as u64,
-            rate_window: configuration.limits.head_within,
+            rate_window: configuration.limits.head_timeout,
             timeout: deadline_ms.min(route.timeout),
         };
         let id = record.id.clone();
@@ -132,7 +132,7 @@
             .map_err(|rejection| rejection.with_time_left(deadline_ms))?;
         let fingerprint = compute_fingerprint(&parts, name, &body);
         record.fingerprint = Some(fingerprint);
-        if let Some(quarantined_for) = node.get_quarantine(fingerprint) {
+        if let Some(quarantined_for) = node.get_quarantine_remaining(fingerprint) {
             return Err(refuse(Refusal::Quarantined, quarantined_for));
         }
         let prompt = head.prompt.as_ref();
@@ -178,11 +178,16 @@
     /// started.
     pub fn cut_run(
         &self,
-        cut_at: Millis,
-        began_at: Millis,
-        answering_since: Option<Millis>,
-    ) -> CutRun {
-        CutRun { fingerprint: self.fingerprint, began_at, cut_at, answering_since }
+        interrupted_at: Millis,
+        sent_at: Millis,
+        response_started_at: Option<Millis>,
+    ) -> InterruptedAttempt {
+        InterruptedAttempt {
+            fingerprint: self.fingerprint,
+            sent_at,
+            interrupted_at,
+            response_started_at,
+        }
     }
 
     /// Refunds the quota units of the client account if the request did not run.
@@ -328,8 +333,8 @@
     "content-length",
 ];
 
-fn estimate_work(prompt: Option<&Prompt>, urgency: u32) -> Work {
-    prompt.map_or(Work::default(), |prompt| Work {
+fn estimate_work(prompt: Option<&Prompt>, urgency: u32) -> RequestCost {
+    prompt.map_or(RequestCost::default(), |prompt| RequestCost {
         prompt_tokens: get_unshared_tokens(prompt),
         priority: (urgency as usize).min(PRIORITIES - 1),
         memory_tokens: prompt.input_tokens + prompt.output_tokens,
@@ -343,7 +348,7 @@
 }
 
 /// Counts the request in the demand of the service.
-fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &Work) {
+fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &RequestCost) {
     let request = DemandTotals {
         requests: 1,
         prompt_tokens: work.prompt_tokens,
@@ -352,7 +357,7 @@
     node.with(|state| state.demand.count(service, &request));
 }
 
-fn make_criteria(prompt: Option<&Prompt>, work: &Work, route: &Route) -> Criteria {
+fn make_criteria(prompt: Option<&Prompt>, work: &RequestCost, route: &Route) -> Criteria {
     let shared = prompt.and_then(|prompt| prompt.parts.split_last()?.1.last());
     Criteria {
         shared_prefix: shared.map(|part| part.id),
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -9,7 +9,7 @@
 use hyper::{HeaderMap, Request};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::load::{Work, short_id};
+use keeljunction_core::serving::load::{RequestCost, short_id};
 use keeljunction_core::serving::memory::Kind;
 use keeljunction_core::serving::throughput::Sample;
 
@@ -111,7 +111,7 @@
     node: Arc<Node>,
     service: String,
     server: String,
-    work: Work,
+    work: RequestCost,
     body_bytes: u64,
     started_at: Millis,
     had_first_token: bool,
@@ -121,9 +121,9 @@
     fn begin(node: &Arc<Node>, server: &Server, exchange: &Exchange) -> Self {
         let (work, body_bytes) = (exchange.work, exchange.body_bytes as u64);
         node.with(|state| {
-            state.held.begin(&server.id, body_bytes);
+            state.server_held_bytes.begin(&server.id, body_bytes);
             state.loads.begin(&server.id, &work);
-            state.demand.begin(&server.service);
+            state.demand.begin_request(&server.service);
         });
         note_load_change(node, &server.id, true);
         let (service, server) = (server.service.clone(), server.id.clone());
@@ -141,7 +141,7 @@
     pub fn note_first_token(&mut self) {
         if !self.had_first_token {
             self.had_first_token = true;
-            self.node.with(|state| state.loads.note_first_token(&self.server, &self.work));
+            self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
             note_load_change(&self.node, &self.server, false);
         }
     }
@@ -151,9 +151,9 @@
     fn drop(&mut self) {
         let had_first_token = self.had_first_token;
         self.node.with(|state| {
-            state.held.end(&self.server, self.body_bytes);
+            state.server_held_bytes.end(&self.server, self.body_bytes);
             state.loads.end(&self.server, &self.work, had_first_token);
-            state.demand.end(&self.service);
+            state.demand.end_request(&self.service);
         });
         note_load_change(&self.node, &self.server, false);
     }
@@ -177,7 +177,7 @@
     params: &AttemptParams<'_>,
 ) -> Result<ServerResponse, FailedAttempt> {
     let timeout = Duration::from_millis(params.timeout);
-    let result = runtime::within(timeout, send_to_server(node, exchange, params)).await;
+    let result = runtime::timeout(timeout, send_to_server(node, exchange, params)).await;
     let result = result.unwrap_or(Err((AttemptError::Timeout, None)));
     let has_started = match &result {
         Ok(_) => true,
@@ -200,20 +200,26 @@
         node.with(|state| state.loads.total(&params.server.id).get_waiting_tokens() == 0);
     let mut load = LoadGuard::begin(node, params.server, exchange);
     let sent_at = node.now();
-    let sending = node.servers.send(params.server.address, request);
+    let sending = node.http_client.send(params.server.address, request);
     let data_centre = &params.server.data_centre;
     let response = sending.await.map_err(|failure| match failure.is_not_sent() {
         true => (AttemptError::NotConnected, None),
         false => {
             if note_disconnect(node, params.server) {
                 // Losing the connection fails the server's other requests too, so eject it at once.
-                node.with(|state| state.health.fail_to_connect(node.now(), &params.server.id));
+                node.with(|state| {
+                    state.health.record_connect_failure(node.now(), &params.server.id)
+                });
             }
-            crashes::note_cut(node, params.server, exchange.cut_run(node.now(), sent_at, None));
+            crashes::note_interrupted_attempt(
+                node,
+                params.server,
+                exchange.cut_run(node.now(), sent_at, None),
+            );
             (AttemptError::Ended, None)
         }
     })?;
-    node.count_crossing(data_centre, exchange.body_bytes, 0);
+    node.count_cross_region_bytes(data_centre, exchange.body_bytes, 0);
     let (parts, reply) = response.into_parts();
     let fault = check_head(node, exchange, params.server, sent_at, &parts);
     if let Some(fault) = fault.filter(|fault| *fault != AttemptError::ServerError) {
@@ -222,14 +228,18 @@
     let mut reservation = Reservation::new(node, Kind::ReadAhead);
     let Some(body) = read_start(exchange, reply, &mut reservation).await else {
         note_disconnect(node, params.server);
-        crashes::note_cut(node, params.server, exchange.cut_run(node.now(), sent_at, None));
+        crashes::note_interrupted_attempt(
+            node,
+            params.server,
+            exchange.cut_run(node.now(), sent_at, None),
+        );
         return Err((AttemptError::Cut, None));
     };
-    node.count_crossing(data_centre, 0, body.count_bytes());
+    node.count_cross_region_bytes(data_centre, 0, body.count_bytes());
     load.note_first_token();
     // The sample measures how fast a server processes prompts. A round trip to another region
     // would distort it.
-    let is_sample = !node.is_crossing(data_centre);
+    let is_sample = !node.is_cross_region(data_centre);
     if is_sample && exchange.is_model_service && params.last_event_id.is_none() {
         let sample = Sample {
             server: short_id(&params.server.id),
@@ -259,11 +269,11 @@
 pub(super) fn note_disconnect(node: &Node, server: &Server) -> bool {
     let (now, id) = (node.now(), &server.id);
     let (held_bytes, bound) = node.with(|state| {
-        let held_bytes = state.held.get(id);
+        let held_bytes = state.server_held_bytes.get(id);
         if state.directory.get(id).is_none_or(|known| known.is_leaving) {
             return (held_bytes, None);
         }
-        (held_bytes, state.held.note_end(now, &server.service, id))
+        (held_bytes, state.server_held_bytes.record_disconnect(now, &server.service, id))
     });
     let Some(bound_bytes) = bound else { return false };
     let service = &server.service;
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, RESTING_AFTER, pick_resting};
+use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_stalled};
 
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
 use crate::metrics::ReasonLabels;
 use crate::node::Node;
 use crate::runtime;
@@ -23,7 +23,7 @@
 /// Checks all callers periodically while the node runs.
 pub fn watch(node: &Arc<Node>) {
     let node = node.clone();
-    runtime::every(CHECK_INTERVAL, move || {
+    runtime::spawn_periodic(CHECK_INTERVAL, move || {
         check_all(&node);
         std::future::ready(())
     });
@@ -32,9 +32,9 @@
 /// Disconnects all stalled callers shortly before the node stops.
 pub fn disconnect_stalled(node: &Node) {
     let now = node.now();
-    for feed in node.feeds.list() {
-        let Some(look) = (feed.look)(now) else { continue };
-        if look.caller.resting >= RESTING_AFTER {
+    for feed in node.active_responses.list() {
+        let Some(look) = (feed.check_status)(now) else { continue };
+        if look.caller.stalled >= STALL_TIMEOUT {
             disconnect(node, &feed, &look, "stopping");
         }
     }
@@ -42,10 +42,10 @@
 
 fn check_all(node: &Node) {
     let now = node.now();
-    let feeds = node.feeds.list();
-    let checked = feeds.iter().filter_map(|feed| Some((feed, (feed.look)(now)?)));
-    let checked: Vec<(&Arc<Handle>, Look)> = checked.collect();
-    for (feed, look) in checked.iter().filter(|(_, look)| look.is_over) {
+    let feeds = node.active_responses.list();
+    let checked = feeds.iter().filter_map(|feed| Some((feed, (feed.check_status)(now)?)));
+    let checked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = checked.collect();
+    for (feed, look) in checked.iter().filter(|(_, look)| look.is_too_slow) {
         disconnect(node, feed, look, "no_progress");
     }
     let is_short = checked.iter().any(|(_, look)| look.is_short);
@@ -54,8 +54,8 @@
         return;
     }
     let callers: Vec<Caller> =
-        checked.iter().filter(|(_, look)| !look.is_over).map(|(_, look)| look.caller).collect();
-    let picked = pick_resting(&callers, bytes_to_free);
+        checked.iter().filter(|(_, look)| !look.is_too_slow).map(|(_, look)| look.caller).collect();
+    let picked = pick_stalled(&callers, bytes_to_free);
     for (feed, look) in checked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
         disconnect(node, feed, look, "memory");
     }
@@ -71,12 +71,12 @@
     (total - capacity * LOW_WATERMARK_RATIO) as usize
 }
 
-fn disconnect(node: &Node, feed: &Handle, look: &Look, reason: &'static str) {
+fn disconnect(node: &Node, feed: &ResponseHandle, look: &ResponseStatus, reason: &'static str) {
     event::emit(&Event::CallerDisconnected {
         request: &feed.request,
         reason,
         held_bytes: look.caller.bytes,
-        resting_ms: look.caller.resting,
+        resting_ms: look.caller.stalled,
     });
     let labels = ReasonLabels { reason: reason.to_owned() };
     node.metrics.callers_disconnected.get_or_create(&labels).inc();
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -32,7 +32,7 @@
     exchange: &Arc<Exchange>,
     record: &mut RequestRecord,
 ) -> Result<ServerResponse, RefusalResponse> {
-    node.with(|state| state.budget.count_request(node.now(), &exchange.service));
+    node.with(|state| state.retry_budget.count_request(node.now(), &exchange.service));
     let mut progress = AttemptProgress::new(record.get_arrival());
     let mut fallback: Option<Box<ServerResponse>> = None;
     loop {
@@ -70,7 +70,7 @@
         Ok(response) => {
             node.with(|state| {
                 if !state.directory.is_superseded(server) {
-                    state.health.succeed(&server.id);
+                    state.health.record_success(&server.id);
                 }
             });
             let round_trip = node.get_round_trip(&server.data_centre);
@@ -81,7 +81,7 @@
         }
         Err((error, response)) => {
             if error == AttemptError::NotConnected {
-                permits::return_unsent(node, server, pick.permit).await;
+                permits::release_unused(node, server, pick.permit).await;
             }
             note_failure(node, exchange, record, server, error);
             if error.may_have_run() {
@@ -142,13 +142,13 @@
         let retry_after = pick::get_retry_after(node, exchange, FULL_RETRY_AFTER_MS);
         return Err(progress.reject(Refusal::NotAccepted, retry_after));
     }
-    if let Some(quarantined_for) = node.get_quarantine(exchange.fingerprint) {
+    if let Some(quarantined_for) = node.get_quarantine_remaining(exchange.fingerprint) {
         return Err(progress.reject_quarantined(quarantined_for));
     }
     if has_crashed_servers(node, exchange, progress) {
         return Err(progress.reject(Refusal::BrokenAnswer, 0));
     }
-    if !node.is_fresh() {
+    if !node.is_configuration_fresh() {
         return Err(progress.reject(Refusal::Stale, FULL_RETRY_AFTER_MS));
     }
     let attempts = Attempts {
@@ -161,7 +161,7 @@
         .await
         .map_err(|rejection| progress.reject(rejection.reason, rejection.retry_after))?;
     if let Err(rejection) = check_before_send(node, exchange, progress, now) {
-        permits::return_unsent(node, &pick.server, pick.permit).await;
+        permits::release_unused(node, &pick.server, pick.permit).await;
         return Err(rejection);
     }
     Ok(pick)
@@ -193,8 +193,8 @@
     now: Millis,
 ) -> Result<(), Rejection> {
     let is_allowed = node.with(|state| {
-        let nodes = state.members.get_reach(now).all;
-        state.budget.take(now, &exchange.service, nodes)
+        let nodes = state.members.get_reachability(now).known;
+        state.retry_budget.take(now, &exchange.service, nodes)
     });
     if !is_allowed {
         return Err(progress.reject(Refusal::NotAccepted, FULL_RETRY_AFTER_MS));
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -17,13 +17,14 @@
 use futures_lite::{Stream, future};
 use keeljunction_core::Millis;
 use keeljunction_core::serving::memory::Kind;
-use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_bound};
+use keeljunction_core::serving::read_ahead::{Buffer, Caller, get_limit};
 
 use super::flow::Flow;
 use super::respond::{Delivery, RequestRecord};
 use super::source::{BodyEvent, Source};
+use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
-use crate::feeds::{Handle, Look};
+
 use crate::http::{Body, ConnectionHandle};
 use crate::node::{Node, Reservation};
 use crate::runtime::{self, lock};
@@ -100,21 +101,21 @@
     ) -> Arc<Self> {
         let Recipient { request, delivery, connection } = recipient;
         delivery.open();
-        let bound = get_bound(node.with(|state| state.memory.get_capacity()));
+        let bound = get_limit(node.with(|state| state.memory.get_capacity()));
         let flow = Flow::new(Buffer::new(bound), reservation, connection, node.now());
         let flow = Mutex::new(flow);
-        let id = node.feeds.make_id();
+        let id = node.active_responses.make_id();
         let feed = Arc::new(Self { node: node.clone(), id, request, delivery, deadline, flow });
-        node.feeds.add(id, feed.make_handle());
+        node.active_responses.add(id, feed.make_handle());
         feed
     }
 
     /// Creates the node's handle of the feed, which does not keep the feed alive.
-    fn make_handle(self: &Arc<Self>) -> Handle {
+    fn make_handle(self: &Arc<Self>) -> ResponseHandle {
         let (looking, disconnecting) = (Arc::downgrade(self), Arc::downgrade(self));
-        Handle {
+        ResponseHandle {
             request: self.request.clone(),
-            look: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
+            check_status: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
             disconnect: Box::new(move |reason| {
                 if let Some(feed) = disconnecting.upgrade() {
                     feed.disconnect(reason);
@@ -131,7 +132,7 @@
             match flow.poll_source(self.node.now(), context) {
                 Poll::Pending => {
                     flow.is_caller_waiting = true;
-                    flow.progress.note_waiting();
+                    flow.progress.reset();
                     // The server now wakes the caller's connection instead of the read-ahead task.
                     flow.read_ahead_task = None;
                     flow.is_reading_ahead = false;
@@ -168,26 +169,26 @@
                 held_bytes: flow.buffer.get_bytes(),
                 is_held_full: !flow.buffer.is_reading(),
                 unread_ms: self.node.now().saturating_sub(flow.last_read_at),
-                resting_ms: flow.progress.get_resting(),
+                resting_ms: flow.progress.get_stalled(),
             });
         }
         flow.push(event);
     }
 
     fn deliver(&self, flow: &mut Flow, chunk: Bytes) -> Bytes {
-        flow.progress.note_taken(chunk.len());
+        flow.progress.record_read(chunk.len());
         self.delivery.note_chunk(self.node.now());
         chunk
     }
 
     /// Checks whether the caller reads the available data, and starts to read ahead if it does not.
-    fn look(self: &Arc<Self>, now: Millis) -> Look {
+    fn look(self: &Arc<Self>, now: Millis) -> ResponseStatus {
         let mut flow = lock(&self.flow);
         let since = now.saturating_sub(flow.checked_at);
         flow.checked_at = now;
         match flow.is_caller_waiting {
-            true => flow.progress.note_waiting(),
-            false => flow.progress.note_look(since),
+            true => flow.progress.reset(),
+            false => flow.progress.record_check(since),
         }
         let is_short = !flow.adjust_reservation();
         // After the deadline the source only ends, which needs no memory.
@@ -196,11 +197,11 @@
             flow.is_reading_ahead = true;
             let feed = self.clone();
             let reading = future::poll_fn(move |context| feed.poll_ahead(context));
-            flow.read_ahead_task = Some(runtime::task(reading));
+            flow.read_ahead_task = Some(runtime::spawn_with_handle(reading));
         }
-        let (bytes, resting) = (flow.buffer.get_bytes(), flow.progress.get_resting());
-        let caller = Caller { id: self.id, bytes, resting };
-        Look { caller, is_over: flow.progress.is_too_slow(), is_short }
+        let (bytes, stalled) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
+        let caller = Caller { id: self.id, bytes, stalled };
+        ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short }
     }
 
     /// Reads from the server until the caller's connection polls, the buffer is full, or the
@@ -251,7 +252,7 @@
 
 impl Drop for FeedBody {
     fn drop(&mut self) {
-        self.0.node.feeds.remove(self.0.id);
+        self.0.node.active_responses.remove(self.0.id);
         let deferred_drop = lock(&self.0.flow).close();
         drop(deferred_drop);
     }
--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -17,7 +17,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::rollout::Side;
+use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{Cause, Offer};
 
 use super::admission::Exchange;
@@ -94,15 +94,17 @@
 ///
 /// The servers of other versions stop without a drain as soon as the roll-out is completed. A
 /// region that used them until then would lose the requests sent before it learns of that.
-fn is_version_elsewhere(node: &Node, exchange: &Exchange, side: Side) -> bool {
-    if !node.topology.is_multi_region() || !matches!(side, Side::Target | Side::TargetFirst) {
+fn is_version_elsewhere(node: &Node, exchange: &Exchange, side: VersionFilter) -> bool {
+    if !node.topology.is_multi_region()
+        || !matches!(side, VersionFilter::Target | VersionFilter::PreferTarget)
+    {
         return false;
     }
     let now = node.now();
     node.with(|state| {
         let ready = state.directory.iter_ready(&exchange.service);
         let mut of_version = ready.filter(|server| state.rollouts.is_allowed(side, server));
-        let is_local = |server: &Server| !node.is_crossing(&server.data_centre);
+        let is_local = |server: &Server| !node.is_cross_region(&server.data_centre);
         state.rollouts.is_accepted(now, &exchange.service) && !of_version.any(is_local)
     })
 }
--- a/crates/gateway/src/exchange/pick/permitted.rs
+++ b/crates/gateway/src/exchange/pick/permitted.rs
@@ -1,7 +1,7 @@
 //! Picks a server that accepts requests, according to its rate limit and backoff.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::refusal::{Refusal, get_longest_wait};
+use keeljunction_core::serving::refusal::{Refusal, get_max_wait};
 
 use super::{Attempts, Pick, pick};
 use crate::exchange::admission::Exchange;
@@ -32,7 +32,7 @@
             denied == MAX_DENIED_PERMITS || node.now() >= started_at + MAX_PERMIT_WAIT_MS;
         let picked = pick(node, exchange, Attempts { skips_limited, ..attempts }).await;
         let picked = picked.map_err(|rejection| convert_throttled(node, exchange, rejection))?;
-        if let Some(permit) = permits::take(node, &picked.server).await {
+        if let Some(permit) = permits::acquire(node, &picked.server).await {
             return Ok(Pick { permit, ..picked });
         }
         if skips_limited {
@@ -63,7 +63,7 @@
     default: Millis,
 ) -> Millis {
     let now = node.now();
-    let is_throttled = node.with(|state| state.is_all_barred(now, &exchange.service));
+    let is_throttled = node.with(|state| state.is_service_in_backoff(now, &exchange.service));
     let throttled_retry_after =
         if is_throttled { get_throttled_retry_after(node, exchange) } else { None };
     throttled_retry_after.unwrap_or(default)
@@ -73,8 +73,8 @@
 /// at their rate limit, or `None` if there are no such servers.
 fn get_throttled_retry_after(node: &Node, exchange: &Exchange) -> Option<Millis> {
     let now = node.now();
-    let wait = node.with(|state| state.get_shortest_wait(now, &exchange.service))?;
-    Some(add_jitter(wait, get_longest_wait(exchange.get_time_left(now)), fastrand::f64()))
+    let wait = node.with(|state| state.get_min_backoff(now, &exchange.service))?;
+    Some(add_jitter(wait, get_max_wait(exchange.get_time_left(now)), fastrand::f64()))
 }
 
 /// Spreads callers with the same wait by a random `draw` from 0 to 1: after the wait if that is
--- a/crates/gateway/src/exchange/pick/remote.rs
+++ b/crates/gateway/src/exchange/pick/remote.rs
@@ -3,8 +3,10 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::rollout::Side;
-use keeljunction_core::serving::spill::{Cause, Offer, Settled, Way, get_region, list_far, settle};
+use keeljunction_core::serving::rollout::VersionFilter;
+use keeljunction_core::serving::spill::{
+    Cause, Destination, Offer, RemotePath, get_region, list_remote_regions, pick_destination,
+};
 
 use super::region::{RegionPick, RegionScope, pick_in_region};
 use super::{Attempts, Pick, into_result};
@@ -22,7 +24,7 @@
     /// The attempts so far.
     pub attempts: Attempts<'a>,
     /// The versions that the request may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// Reason for sending the request to another region.
     pub cause: Cause,
     /// How the servers of the node's own region are considered.
@@ -31,7 +33,7 @@
 
 /// Whether a request may go to another region.
 enum Gate {
-    Open(Way),
+    Open(RemotePath),
     Closed,
     /// The bandwidth budget of the link is used up; holds the time until it recovers, in
     /// milliseconds.
@@ -43,7 +45,7 @@
     pub async fn run(self, found: RegionPick) -> Result<Pick, Rejection> {
         let node = self.node;
         let regions = node.with(|state| {
-            list_far(&node.topology, |region| state.distances.get_round_trip(region))
+            list_remote_regions(&node.topology, |region| state.round_trips.get_round_trip(region))
         });
         let mut offer = found.offer;
         let mut link_wait: Option<Millis> = None;
@@ -57,11 +59,11 @@
                 }
             };
             let picked = self.pick_remote(region, &way).await;
-            match (settle(offer, picked.offer), picked.server) {
-                (Settled::Far, Some(server)) => {
+            match (pick_destination(offer, picked.offer), picked.server) {
+                (Destination::Remote, Some(server)) => {
                     return Ok(Pick::new(server, Some(self.cause)));
                 }
-                (Settled::Busy(wait), _) => offer = Offer::Busy(wait),
+                (Destination::Busy(wait), _) => offer = Offer::Busy(wait),
                 _ => {}
             }
         }
@@ -79,10 +81,10 @@
 
     /// Picks a server in another region, within the part of the latency objective that remains
     /// after the round trip.
-    async fn pick_remote(&self, region: &str, way: &Way) -> RegionPick {
+    async fn pick_remote(&self, region: &str, way: &RemotePath) -> RegionPick {
         let scope = RegionScope {
             remote: Some((region, self.cause)),
-            criteria: way.shorten(&self.local_scope.criteria),
+            criteria: way.adjust_criteria(&self.local_scope.criteria),
             is_load_requested: way.is_load_requested,
             is_version_fixed: self.local_scope.is_version_fixed,
         };
@@ -98,18 +100,18 @@
             let is_candidate = |server: &Server| {
                 let is_tried = self.attempts.tried.contains(&server.id);
                 !is_tried
-                    && !state.is_barred(now, server)
+                    && !state.is_in_backoff(now, server)
                     && get_region(&node.topology, &server.data_centre) == region
             };
             if !ready.any(is_candidate) {
                 return Gate::Closed;
             }
-            let is_silent = state.links.is_silent(now, region);
-            let way = Way {
+            let is_silent = state.region_links.is_unresponsive(now, region);
+            let way = RemotePath {
                 waited: now - self.attempts.waiting_since,
                 left: self.exchange.get_time_left(now),
-                round_trip: state.distances.get_round_trip(region),
-                transfer: state.links.get_transfer(self.exchange.body_bytes),
+                round_trip: state.round_trips.get_round_trip(region),
+                transfer: state.region_links.get_transfer_time(self.exchange.body_bytes),
                 is_load_requested: self.local_scope.is_load_requested && !is_silent,
             };
             let is_lost = is_silent && self.cause == Cause::Full;
@@ -117,13 +119,13 @@
                 return Gate::Closed;
             }
             let nodes = state.members.count_own_region();
-            match state.links.check(now, region, nodes) {
+            match state.region_links.check(now, region, nodes) {
                 Ok(()) => Gate::Open(way),
                 Err(wait) => Gate::LinkFull(wait),
             }
         });
         if matches!(gate, Gate::LinkFull(_)) {
-            let labels = RegionLabels::of(region);
+            let labels = RegionLabels::new(region);
             node.metrics.link_full.get_or_create(&labels).inc();
         }
         gate
--- a/crates/gateway/src/exchange/relay.rs
+++ b/crates/gateway/src/exchange/relay.rs
@@ -48,7 +48,7 @@
 /// status does not show that, because a server may return it before it starts the request.
 pub(super) fn note_success(node: &Arc<Node>, exchange: &Exchange, status: u16) {
     if (200..300).contains(&status) {
-        node::note_answered(node, exchange.fingerprint);
+        node::note_request_completed(node, exchange.fingerprint);
     }
 }
 
--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -12,7 +12,7 @@
 use crate::http::{Body, ConnectionHandle};
 use crate::metrics::{RequestLabels, ServiceLabels};
 use crate::node::Node;
-use crate::node::state::InFlight;
+use crate::node::state::InFlightGuard;
 use crate::port::RequestHead;
 use crate::runtime::lock;
 
@@ -101,7 +101,7 @@
 /// Record of a request. Dropping it logs and counts the end of the request.
 pub(super) struct RequestRecord {
     node: Arc<Node>,
-    _guard: InFlight,
+    _guard: InFlightGuard,
     arrived_at: Millis,
     /// The request id.
     pub id: String,
@@ -133,7 +133,7 @@
 impl RequestRecord {
     /// Creates the record of a request that has just arrived.
     pub fn begin(node: Arc<Node>, head: &RequestHead) -> Self {
-        let guard = node.enter();
+        let guard = node.track_request();
         let arrived_at = node.now();
         Self {
             node,
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -5,7 +5,7 @@
 use keeljunction_core::serving::directory::{Departure, Server};
 
 use crate::event::{self, Event};
-use crate::node::{News, Node, watch};
+use crate::node::{Node, Notification, watch};
 use crate::port::{ResponseHead, UnreadableHeader};
 
 /// A response that carries a signal.
@@ -39,14 +39,14 @@
     node.metrics.count_signal(signal);
     let now = node.now();
     let noted = node.with(|state| {
-        let noted = state.backpressure.note(now, sent_at, server, signal);
+        let noted = state.backpressure.record(now, sent_at, server, signal);
         if let Some(until) = noted.back_off_until {
-            state.health.note_back_off(&server.id, until);
+            state.health.record_back_off(&server.id, until);
         }
         noted
     });
     let departure = Departure { server: server.id.clone(), incarnation: server.incarnation };
-    let departs = signal.is_leaving && watch::take_departure(node, &departure);
+    let departs = signal.is_leaving && watch::apply_departure(node, &departure);
     if noted.limit.is_some() || noted.back_off_until.is_some() || departs {
         event::emit(&Event::ServerSignal {
             server: &server.id,
@@ -58,16 +58,16 @@
         });
     }
     if let Some(sighting) = noted.limit {
-        node.push(News::LimitSeen(sighting));
+        node.notify_peers(Notification::LimitSeen(sighting));
     }
     if departs {
-        node.push(News::ServerDeparts(departure));
+        node.notify_peers(Notification::ServerLeaving(departure));
     }
 }
 
 /// Logs headers that cannot be parsed, once per server.
 fn log_unreadable_headers(node: &Node, server: &Server, unreadable: &[UnreadableHeader]) {
-    if unreadable.is_empty() || !node.with(|state| state.backpressure.note_unreadable(server)) {
+    if unreadable.is_empty() || !node.with(|state| state.backpressure.record_unreadable(server)) {
         return;
     }
     for UnreadableHeader { name, value } in unreadable {
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -16,7 +16,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::configuration::RouteKind;
 use keeljunction_core::serving::directory::Server;
-use keeljunction_core::serving::event_stream::{Sequence, Splitter, Verdict};
+use keeljunction_core::serving::event_stream::{Sequence, SequenceCheck, Splitter};
 use keeljunction_core::serving::rollout::Phase;
 
 use super::admission::Exchange;
@@ -170,7 +170,11 @@
             }
             match self.receive().await {
                 ServerEvent::Data(data) => {
-                    self.node.count_crossing(&self.timing.server.data_centre, 0, data.len());
+                    self.node.count_cross_region_bytes(
+                        &self.timing.server.data_centre,
+                        0,
+                        data.len(),
+                    );
                     self.timing.note(self.node.now());
                     self.push_data(data);
                 }
@@ -235,11 +239,11 @@
         };
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
-            let verdict = event.id.map_or(Verdict::Next, |id| self.sequence.judge(id));
+            let verdict = event.id.map_or(SequenceCheck::Next, |id| self.sequence.check(id));
             match verdict {
-                Verdict::Next => self.pending.push_back(event.bytes),
-                Verdict::Repeated => {}
-                Verdict::Gap => {
+                SequenceCheck::Next => self.pending.push_back(event.bytes),
+                SequenceCheck::Duplicate => {}
+                SequenceCheck::Gap => {
                     self.stop(StreamEnd::Broken("the server skipped an event"));
                     return;
                 }
@@ -277,7 +281,7 @@
         if let Some(load) = &self.load {
             let since = Some(self.timing.started_at);
             let run = self.exchange.cut_run(self.node.now(), load.get_start(), since);
-            crashes::note_cut(&self.node, &self.timing.server, run);
+            crashes::note_interrupted_attempt(&self.node, &self.timing.server, run);
         }
         self.reply = None;
         self.load = None;
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -15,9 +15,9 @@
 use hyper::body::{Body as HttpBody, Incoming};
 use hyper::header::EXPECT;
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, Kind};
+use keeljunction_core::serving::memory::{Kind, Requester};
 use keeljunction_core::serving::refusal::Refusal;
-use keeljunction_core::serving::upload::Pace;
+use keeljunction_core::serving::upload::RateMonitor;
 
 use super::rejection::Rejection;
 use crate::event::{self, Event};
@@ -86,7 +86,7 @@
             Some(0) => None,
             Some(length) if length > limits.max_bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
-                let claim = Claim { kind: Kind::RequestBody, account, urgency };
+                let claim = Requester { kind: Kind::RequestBody, account, urgency };
                 let mut reservation = Reservation::for_claim(node, &claim);
                 grow(&mut reservation, length.unwrap_or(MIN_STEP_BYTES.min(limits.max_bytes)))
                     .await?;
@@ -135,16 +135,16 @@
                 ReadEvent::Evicted => return Err(self.evict(received, NO_MEMORY)),
             }
         }
-        reservation.note_whole();
+        reservation.note_complete();
         Ok(Bytes::from_owner(ReservedBytes { content, _reservation: reservation }))
     }
 
     fn start_wait(&self, reservation: &mut Reservation) -> Wait {
-        let pace = Pace::new(self.limits.rate_window, self.length);
+        let pace = RateMonitor::new(self.limits.rate_window, self.length);
         let timeout = Duration::from_millis(self.limits.timeout);
         Wait {
-            eviction: reservation.watch(),
-            tick: Timer::after(Duration::from_millis(pace.get_tick())),
+            eviction: reservation.watch_eviction(),
+            tick: Timer::after(Duration::from_millis(pace.get_tick_interval())),
             deadline: Box::pin(runtime::sleep(timeout)),
             pace,
         }
@@ -194,14 +194,14 @@
     /// Only wakes the wait. A tick that fires late, for example after a suspension, counts once.
     tick: Timer,
     deadline: Pin<Box<dyn Future<Output = ()> + Send>>,
-    pace: Pace,
+    pace: RateMonitor,
 }
 
 impl Wait {
     /// Records a tick, and returns `true` if the body is below the minimum rate.
     fn note_tick(&mut self, received: u64) -> bool {
-        self.tick.set_after(Duration::from_millis(self.pace.get_tick()));
-        self.pace.note_tick(received)
+        self.tick.set_after(Duration::from_millis(self.pace.get_tick_interval()));
+        self.pace.record_tick(received)
     }
 
     async fn wait(&mut self) -> ReadEvent {
@@ -316,7 +316,7 @@
         runtime::spawn(async move {
             let drained = async { while let Some(Ok(_)) = body.frame().await {} };
             // Dropping the body afterwards closes the connection.
-            let _ = runtime::within(DRAIN_TIMEOUT, drained).await;
+            let _ = runtime::timeout(DRAIN_TIMEOUT, drained).await;
         });
     }
 }
--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -171,14 +171,14 @@
     /// closed again.
     pub async fn is_listening(&self, address: SocketAddr) -> bool {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        let connecting = runtime::within(self.connect_timeout, TcpStream::connect(address)).await;
+        let connecting = runtime::timeout(self.connect_timeout, TcpStream::connect(address)).await;
         matches!(connecting, Some(Ok(_)))
     }
 
     fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = runtime::lock(&self.idle);
         let connections = idle.get_mut(&to)?;
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         connections.retain(|connection| connection.is_usable(now, self.idle_timeout));
         // Take the most recently used connection, so that surplus ones stay idle until the server
         // closes them.
@@ -186,7 +186,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<Connection, SendError> {
-        let connecting = runtime::within(self.connect_timeout, TcpStream::connect(to)).await;
+        let connecting = runtime::timeout(self.connect_timeout, TcpStream::connect(to)).await;
         let stream = match connecting {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(SendError::NotSent(error.to_string())),
@@ -202,10 +202,10 @@
         let handshake = http1::handshake(socket).await;
         let (sender, connection) =
             handshake.map_err(|error| SendError::NotSent(error.to_string()))?;
-        let driver = runtime::task(async move {
+        let driver = runtime::spawn_with_handle(async move {
             let _ = drive(pin!(connection), &write_state).await;
         });
-        let now = runtime::boot_time();
+        let now = runtime::boottime_now();
         Ok(Connection {
             sender,
             usable_until: now + DEFAULT_KEEP_ALIVE,
@@ -220,7 +220,7 @@
         mut connection: Connection,
         response: Response<Incoming>,
     ) -> Response<ResponseBody> {
-        connection.usable_until = runtime::boot_time() + parse_keep_alive(response.headers());
+        connection.usable_until = runtime::boottime_now() + parse_keep_alive(response.headers());
         let idle = self.idle.clone();
         let max_idle_per_address = self.max_idle_per_address.clone();
         response.map(|body| ResponseBody {
@@ -307,7 +307,7 @@
             if kept.connection.sender.ready().await.is_ok() {
                 let mut idle = runtime::lock(&kept.idle);
                 let connections = idle.entry(kept.to).or_default();
-                kept.connection.idle_since = runtime::boot_time();
+                kept.connection.idle_since = runtime::boottime_now();
                 if connections.len() < kept.max_idle_per_address.load(Ordering::Relaxed) {
                     connections.push(kept.connection);
                 }
--- a/crates/gateway/src/node/peers/message.rs
+++ b/crates/gateway/src/node/peers/message.rs
@@ -1,11 +1,11 @@
 //! The datagrams between nodes.
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::backpressure::{self, Key, Sighting};
+use keeljunction_core::serving::backpressure::{self, InstanceKey, Observation};
 use keeljunction_core::serving::directory::{Batch, Departure};
 use keeljunction_core::serving::freshness::Versions;
-use keeljunction_core::serving::load::{Load, Work};
-use keeljunction_core::serving::members::{Entry, Overview as Reach, Roster};
+use keeljunction_core::serving::load::{Load, RequestCost};
+use keeljunction_core::serving::members::{Entry, Overview as Reach, RosterSummary};
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Verdict};
 use keeljunction_core::serving::quota::Decision;
 use keeljunction_core::serving::rollout::{self, Announcement};
@@ -43,7 +43,7 @@
     /// Answers that.
     Versions(Versions),
     /// Something that must not wait for the next report.
-    News(News),
+    Notification(Notification),
     /// Asks the node that keeps the load of some servers for it.
     AskLoads {
         /// Names the question at the one who asks.
@@ -85,7 +85,7 @@
         /// Names the question at the one who asks.
         question: u32,
         /// What the one who asks knows of the server's limit.
-        sighting: Sighting,
+        sighting: Observation,
         /// The server's data centre; empty where there is one region only.
         data_centre: String,
     },
@@ -94,12 +94,12 @@
         /// The question.
         question: u32,
         /// The server.
-        key: Key,
+        key: InstanceKey,
         /// What the owner decided.
         decision: backpressure::Decision,
     },
     /// Returns the permit of a request that was not sent.
-    ReturnPermit(Key),
+    ReturnPermit(InstanceKey),
     /// A summary of an aggregator of another region, as it came there.
     Carried {
         /// The run of the aggregator's process.
@@ -177,13 +177,13 @@
     /// Regions from which nothing arrives at it.
     pub unheard_regions: Vec<String>,
     /// Its list of nodes.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Nodes that are new to it.
     pub joined: Vec<Entry>,
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that said lately that they leave.
     pub departures: Vec<Departure>,
     /// Which versions of the platform's tables it knows.
@@ -214,11 +214,11 @@
     /// The aggregators that it ranks, by short name.
     pub aggregators: Vec<u64>,
     /// Its list of nodes.
-    pub roster: Roster,
+    pub roster: RosterSummary,
     /// Some of the requests that it knows to crash servers, or not to.
     pub verdicts: Vec<Verdict>,
     /// Some of the limits of servers that it knows.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Some of the servers that said lately that they leave.
     pub departures: Vec<Departure>,
     /// Which versions of the platform's tables it knows.
@@ -227,7 +227,7 @@
 
 /// Something that must not wait for the next report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum Notification {
     /// The list of servers has changed.
     ServersChanged(Batch),
     /// The sender has adopted a configuration.
@@ -238,21 +238,21 @@
     /// It was decided whether a request crashes servers.
     RequestJudged(Verdict),
     /// A server names a limit, or none any more.
-    LimitSeen(Sighting),
+    LimitSeen(Observation),
     /// A server said in an answer that it leaves.
-    ServerDeparts(Departure),
+    ServerLeaving(Departure),
     /// A window of usage was frozen, and is about to be reported.
     UsageFrozen(WindowNumber, Counts),
     /// A roll-out was ordered, or its stage has advanced.
     RolloutChanged(Announcement),
     /// The sender has sent a request to a server whose prompt takes long to read.
-    RequestBegun {
+    RequestStarted {
         /// The sender's name.
         node: String,
         /// The server's short name.
         server: u64,
         /// The size of the request.
-        work: Work,
+        work: RequestCost,
         /// How long its prompt is expected to be read.
         reading_ms: Millis,
     },
--- a/crates/gateway/src/node/peers/quarantine.rs
+++ b/crates/gateway/src/node/peers/quarantine.rs
@@ -9,7 +9,7 @@
 
 use keeljunction_core::serving::quarantine::{Crash, Fingerprint, Standing, Verdict};
 
-use super::message::{Message, News};
+use super::message::{Message, Notification};
 use crate::event::{self, Event};
 use crate::node::Node;
 use crate::node::state::State;
@@ -39,13 +39,13 @@
 /// Takes the report of a server that crashed, as the keeper.
 pub(super) fn take_report(node: &Node, crash: &Crash) {
     let now = node.now();
-    node.with(|state| state.quarantine.take_report(now, crash));
+    node.with(|state| state.quarantine.merge_report(now, crash));
 }
 
 /// Notes that a server answered a request whole, and notifies the keeper where the request is suspected.
-pub(crate) fn note_answered(node: &Arc<Node>, fingerprint: Fingerprint) {
+pub(crate) fn note_request_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     let now = node.now();
-    let service = node.with(|state| state.quarantine.note_answered(now, fingerprint));
+    let service = node.with(|state| state.quarantine.record_completion(now, fingerprint));
     if let Some(service) = service {
         runtime::spawn(tell_answered(node.clone(), service, fingerprint));
     }
@@ -64,7 +64,7 @@
 /// Takes the word of a node that a request was answered whole, as the keeper.
 pub(super) fn take_answered(node: &Node, fingerprint: Fingerprint) {
     let now = node.now();
-    let cleared = node.with(|state| state.quarantine.take_answered(now, fingerprint));
+    let cleared = node.with(|state| state.quarantine.merge_completion(now, fingerprint));
     if let Some(verdict) = cleared {
         announce(node, verdict);
     }
@@ -73,7 +73,7 @@
 /// Sends all nodes what this one decided as the keeper.
 fn announce(node: &Node, verdict: Verdict) {
     log(&verdict, true);
-    node.push(News::RequestJudged(verdict));
+    node.notify_peers(Notification::RequestJudged(verdict));
 }
 
 /// Takes what another node knows of a request; returns `true` if it is news.
@@ -99,7 +99,7 @@
 /// Takes a verdict from the platform's table, and sends it to all nodes where it is news.
 pub(in crate::node) fn take_kept(node: &Arc<Node>, verdict: Verdict) {
     if take_verdict(node, verdict) {
-        node.push(News::RequestJudged(verdict));
+        node.notify_peers(Notification::RequestJudged(verdict));
     }
 }
 
--- a/crates/gateway/src/node/peers/register.rs
+++ b/crates/gateway/src/node/peers/register.rs
@@ -66,7 +66,7 @@
             continue;
         }
         look_at = node.now() + jitter(LOOK_AGAIN).as_millis() as Millis;
-        if node.with(|state| state.members.is_reader(node.now())) || is_alone(&node) {
+        if node.with(|state| state.members.is_table_reader(node.now())) || is_alone(&node) {
             read_until_done(&node, Part::Whole).await;
         }
     }
@@ -121,7 +121,7 @@
 /// Returns `true` if this node hears no other.
 fn is_alone(node: &Node) -> bool {
     let now = node.now();
-    node.with(|state| state.members.get_reach(now).heard <= 1)
+    node.with(|state| state.members.get_reachability(now).heard <= 1)
 }
 
 /// Lists this node, again after each failure and ever more seldom, until it is listed.
@@ -155,7 +155,7 @@
     let entries: Vec<Entry> = rows.iter().filter_map(decode).collect();
     let is_listed = entries.contains(&node.get_entry());
     let now = node.now();
-    node.with(|state| state.members.take_list(now, entries, true));
+    node.with(|state| state.members.merge_list(now, entries, true));
     Ok(is_listed)
 }
 
@@ -177,7 +177,7 @@
     let now = node.now();
     // A node that is listed already has run before, and so have the others.
     let is_whole = is_settled || is_listed;
-    node.with(|state| state.members.take_sample(now, entries, count, is_whole));
+    node.with(|state| state.members.merge_sample(now, entries, count, is_whole));
     Ok(is_listed)
 }
 
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_duty.rs
@@ -16,12 +16,12 @@
 use keeljunction_core::serving::duty_lease::TableClock;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::rollout::{
-    Announcement, Next, Order, Progress, Report, Side, Snapshot, Stage,
+    Action, Announcement, Order, Progress, Report, Snapshot, Stage, VersionFilter,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 use serde::{Deserialize, Serialize};
 
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::rollout_status::Statuses;
 use super::{Node, table};
 use crate::event::{self, Event};
@@ -262,21 +262,23 @@
 }
 
 /// Returns the stage that follows, and why; `None` where it stays.
-fn get_stage(next: Next) -> Option<(Stage, Reason)> {
+fn get_stage(next: Action) -> Option<(Stage, Reason)> {
     let reason = |why| Reason { why, route: None, in_flight: 0 };
     match next {
-        Next::Wait => None,
-        Next::Begin => Some((Stage::Canary, reason("ordered"))),
-        Next::Ramp => Some((Stage::Ramp, reason("as good as the others"))),
-        Next::Shift => Some((Stage::Shifting, reason("as good as the others under load"))),
-        Next::Complete { cut } => {
+        Action::Wait => None,
+        Action::Begin => Some((Stage::Canary, reason("ordered"))),
+        Action::Ramp => Some((Stage::Ramp, reason("as good as the others"))),
+        Action::Shift => Some((Stage::Shifting, reason("as good as the others under load"))),
+        Action::Complete { cut } => {
             Some((Stage::Completed, Reason { in_flight: cut, ..reason("carries the load") }))
         }
-        Next::RollBack(fault) => {
+        Action::RollBack(fault) => {
             let route = fault.series.map(|series| series.route);
             Some((Stage::RolledBack, Reason { route, ..reason(fault.symptom.as_str()) }))
         }
-        Next::GiveUp => Some((Stage::RolledBack, reason("too few answers or servers to judge by"))),
+        Action::GiveUp => {
+            Some((Stage::RolledBack, reason("too few answers or servers to judge by")))
+        }
     }
 }
 
@@ -286,7 +288,7 @@
     node.with(|state| state.rollouts.confirm_stage(now, &order.service, order.number, stage));
     let barred = node.with(|state| state.rollouts.list_barred(&order.service));
     let announcement = Announcement { order: order.clone(), stage, age: Some(0), barred };
-    node.push(News::RolloutChanged(announcement));
+    node.notify_peers(Notification::RolloutChanged(announcement));
 }
 
 /// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
@@ -312,7 +314,7 @@
         let ready = state.directory.iter_ready(&order.service);
         let (target, others): (Vec<_>, Vec<_>) =
             ready.partition(|server| state.rollouts.is_target(server));
-        let is_usable = |server: &&&_| state.rollouts.is_allowed(Side::Rest, server);
+        let is_usable = |server: &&&_| state.rollouts.is_allowed(VersionFilter::Others, server);
         (target.len(), others.iter().filter(is_usable).count())
     })
 }
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -75,7 +75,7 @@
 ///
 /// Returns the error of the call, or [`TableError::Unanswered`] if it timed out.
 pub async fn with_timeout(timeout: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
-    let result = runtime::within(timeout, call).await;
+    let result = runtime::timeout(timeout, call).await;
     result.unwrap_or_else(|| Err(TableError::Unanswered("the call timed out".to_owned())))
 }
 
--- a/crates/keeljunction/src/node/lease.rs
+++ b/crates/keeljunction/src/node/lease.rs
@@ -1,7 +1,7 @@
 //! Leases in the table service, by which one node at a time acts for a service.
 
 use keeljunction_core::Millis;
-use keeljunction_core::lease::{Lease, Row, Watch};
+use keeljunction_core::lease::{Lease, Row, Watcher};
 
 use super::Node;
 use crate::platform::{self, Commit, Fault, Transaction};
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct Tenure {
     held: Option<Lease>,
-    watch: Watch,
+    watch: Watcher,
     renewal: u64,
 }
 
@@ -40,7 +40,7 @@
     /// Returns the platform's [`Fault`]. After a lost answer the lease counts as not renewed; the
     /// next look at the row shows.
     pub async fn keep(&mut self, node: &Node, key: &str) -> Result<(), Fault> {
-        if self.held.as_ref().is_some_and(|lease| !lease.is_due(node.now())) {
+        if self.held.as_ref().is_some_and(|lease| !lease.is_renewal_due(node.now())) {
             return Ok(());
         }
         let row = node.platform.read(key).await?;
