--- a/crates/gateway/src/node/capacity_duty.rs
+++ b/crates/gateway/src/node/capacity_duty.rs
@@ -14,7 +14,7 @@
 use super::Node;
 use crate::event::{self, Event};
 use crate::metrics::CapacityLabels;
-use crate::port::{CapacityOrder, LeaseHolder};
+use crate::port::{CapacityOrder, DutyHolder};
 use crate::runtime;
 
 /// How long the answer of the platform's control service is waited for.
@@ -316,7 +316,7 @@
         let now = node.now();
         let Some(fence) = node.with(|state| state.lease.get_fence(now)) else { return };
         let place = (order.service.clone(), order.data_centre.clone(), order.is_spot);
-        let holder = LeaseHolder { name: node.incarnation.node.clone(), fence };
+        let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
         let calling = (node.platform.control.set_capacity)(holder, order.clone());
         let status = runtime::timeout(CALL_WITHIN, calling).await.flatten();
         event::emit(&Event::CapacityOrdered {
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -25,7 +25,7 @@
 use super::{Node, era_origin, peers, table};
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, LeaseHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
+    Condition, DutyHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
 };
 use crate::runtime;
 
@@ -239,7 +239,7 @@
         let Some(fence) = node.with(|state| state.lease.get_fence(node.now())) else {
             return false;
         };
-        let holder = LeaseHolder { name: node.incarnation.node.clone(), fence };
+        let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
         let total: u64 = counts.values().sum();
         let calling = (node.platform.control.report_usage)(holder, UsageReport { window, counts });
         let status = runtime::timeout(CALL_WITHIN, calling).await.flatten();
--- a/crates/gateway/src/port/control.rs
+++ b/crates/gateway/src/port/control.rs
@@ -11,14 +11,14 @@
 /// Control calls of the platform.
 pub struct Control {
     /// Reports how many requests of each client account started in a window.
-    pub report_usage: Box<dyn Fn(LeaseHolder, UsageReport) -> ControlFuture + Send + Sync>,
+    pub report_usage: Box<dyn Fn(DutyHolder, UsageReport) -> ControlFuture + Send + Sync>,
     /// Sets the number of servers that a data centre should have.
-    pub set_capacity: Box<dyn Fn(LeaseHolder, CapacityOrder) -> ControlFuture + Send + Sync>,
+    pub set_capacity: Box<dyn Fn(DutyHolder, CapacityOrder) -> ControlFuture + Send + Sync>,
 }
 
 /// The node that makes a call, with the fencing token of its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeaseHolder {
+pub struct DutyHolder {
     /// The node name.
     pub name: String,
     /// Fencing token of the lease, which increases with each new holder.
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -9,7 +9,7 @@
 use keeljunction_core::serving::configuration::Configuration;
 use keeljunction_core::serving::directory::Server;
 
-pub use control::{CapacityOrder, Control, ControlFuture, LeaseHolder, UsageReport};
+pub use control::{CapacityOrder, Control, ControlFuture, DutyHolder, UsageReport};
 pub use header_codec::{
     ForwardContext, HeaderCodec, Prompt, PromptPart, RequestHead, ResponseHead, UnreadableHeader,
 };
