--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -81,8 +81,11 @@
     ) -> Result<Self, RefusalResponse> {
         let now = record.get_arrival();
         let deadline_ms = head.deadline.unwrap_or(DEFAULT_DEADLINE_MS);
-        let refuse =
-            |reason, retry_after| RefusalResponse { reason, retry_after, time_left: deadline_ms };
+        let refuse = |reason, retry_after| RefusalResponse {
+            reason,
+            retry_after,
+            time_remaining: deadline_ms,
+        };
         let (configuration, age) =
             node.with(|state| (state.configuration.clone(), state.freshness.get_age(now)));
         let configuration =
@@ -122,14 +125,14 @@
         let name = record.account.as_deref().unwrap_or("");
         let upload = Upload::reserve(node, &id, name, urgency, incoming_body, limits)
             .await
-            .map_err(|rejection| rejection.with_time_left(deadline_ms))?;
+            .map_err(|rejection| rejection.with_time_remaining(deadline_ms))?;
         let charge = consume_quota(node, account.as_ref(), head.prompt.as_ref())
             .await
             .map_err(|wait| refuse(Refusal::OverQuota, wait.max(MIN_QUOTA_RETRY_AFTER_MS)))?;
         let body = upload
             .read(incoming_body)
             .await
-            .map_err(|rejection| rejection.with_time_left(deadline_ms))?;
+            .map_err(|rejection| rejection.with_time_remaining(deadline_ms))?;
         let fingerprint = compute_fingerprint(&parts, name, &body);
         record.fingerprint = Some(fingerprint);
         if let Some(quarantined_for) = node.get_quarantine_remaining(fingerprint) {
@@ -161,7 +164,7 @@
     }
 
     /// Returns the time left until the final response is due.
-    pub fn get_time_left(&self, now: Millis) -> Millis {
+    pub fn get_time_remaining(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -315,7 +315,7 @@
 ) -> Option<Request<Body>> {
     let mut headers: HeaderMap = exchange.headers.clone();
     let dispatch = ForwardContext {
-        time_left: exchange.get_time_left(node.now()),
+        time_remaining: exchange.get_time_remaining(node.now()),
         server_id: &params.server.id,
         account: exchange.account.as_deref(),
         urgency: exchange.is_model_service.then_some(exchange.urgency),
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -65,7 +65,8 @@
     progress.tried.all.push(server.id.clone());
     node.with(|state| state.rollouts.count_sent(server));
     let sent_at = node.now();
-    let params = AttemptParams { server, last_event_id, timeout: exchange.get_time_left(sent_at) };
+    let params =
+        AttemptParams { server, last_event_id, timeout: exchange.get_time_remaining(sent_at) };
     match attempt::send(node, exchange, &params).await {
         Ok(response) => {
             node.with(|state| {
@@ -129,7 +130,7 @@
     progress: &AttemptProgress,
 ) -> Result<Pick, Rejection> {
     let now = node.now();
-    if exchange.get_time_left(now) == 0 {
+    if exchange.get_time_remaining(now) == 0 {
         let reason = if progress.sent_attempts > 0 { Refusal::Timeout } else { Refusal::TooLate };
         return Err(reason.into());
     }
@@ -176,7 +177,7 @@
 ) -> Result<(), Rejection> {
     // Selecting a server may have waited for load reports. A request whose deadline has passed
     // is not sent.
-    if exchange.get_time_left(node.now()) == 0 {
+    if exchange.get_time_remaining(node.now()) == 0 {
         return Err(progress.reject(Refusal::TooLate, 0));
     }
     match progress.sent_attempts {
@@ -239,5 +240,5 @@
     if let Some(response) = fallback {
         return Ok(*response);
     }
-    Err(rejection.with_time_left(exchange.get_time_left(node.now())))
+    Err(rejection.with_time_remaining(exchange.get_time_remaining(node.now())))
 }
--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -48,7 +48,7 @@
         waiting_tokens: chosen.load.get_waiting_tokens(),
         slowness: chosen.slowness,
         expected_ms,
-        left_ms: exchange.get_time_left(now),
+        left_ms: exchange.get_time_remaining(now),
         version: record.configuration_version.unwrap_or(0),
         age_ms: record.configuration_age,
         region,
--- a/crates/gateway/src/exchange/pick/permitted.rs
+++ b/crates/gateway/src/exchange/pick/permitted.rs
@@ -74,7 +74,7 @@
 fn get_throttled_retry_after(node: &Node, exchange: &Exchange) -> Option<Millis> {
     let now = node.now();
     let wait = node.with(|state| state.get_min_backoff(now, &exchange.service))?;
-    Some(add_jitter(wait, get_max_wait(exchange.get_time_left(now)), fastrand::f64()))
+    Some(add_jitter(wait, get_max_wait(exchange.get_time_remaining(now)), fastrand::f64()))
 }
 
 /// Spreads callers with the same wait by a random `draw` from 0 to 1: after the wait if that is
--- a/crates/gateway/src/exchange/pick/remote.rs
+++ b/crates/gateway/src/exchange/pick/remote.rs
@@ -109,7 +109,7 @@
             let is_silent = state.region_links.is_unresponsive(now, region);
             let way = RemotePath {
                 waited: now - self.attempts.waiting_since,
-                left: self.exchange.get_time_left(now),
+                left: self.exchange.get_time_remaining(now),
                 round_trip: state.round_trips.get_round_trip(region),
                 transfer: state.region_links.get_transfer_time(self.exchange.body_bytes),
                 is_load_requested: self.local_scope.is_load_requested && !is_silent,
--- a/crates/gateway/src/exchange/rejection.rs
+++ b/crates/gateway/src/exchange/rejection.rs
@@ -16,9 +16,9 @@
 
 impl Rejection {
     /// Returns the rejection with the time left until the caller's deadline.
-    pub fn with_time_left(self, time_left: Millis) -> RefusalResponse {
+    pub fn with_time_remaining(self, time_remaining: Millis) -> RefusalResponse {
         let Self { reason, retry_after } = self;
-        RefusalResponse { reason, retry_after, time_left }
+        RefusalResponse { reason, retry_after, time_remaining }
     }
 }
 
--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -24,7 +24,7 @@
     /// Time after which capacity is expected, in milliseconds.
     pub retry_after: Millis,
     /// Time left until the caller's deadline, in milliseconds.
-    pub time_left: Millis,
+    pub time_remaining: Millis,
 }
 
 /// Delivery of a response body to the caller.
@@ -183,7 +183,7 @@
         let mut response = Response::new(Body::from(format!("{}\n", refused.reason.as_str())));
         *response.status_mut() =
             StatusCode::from_u16(self.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-        let after = refused.reason.get_retry_after(refused.retry_after, refused.time_left);
+        let after = refused.reason.get_retry_after(refused.retry_after, refused.time_remaining);
         if let Some(after) = after {
             self.retry_after = Some(after.as_millis() as u64);
             let seconds = format!("{:.3}", after.as_secs_f64());
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -63,7 +63,7 @@
     partial: PartialResponse,
 ) -> Source {
     let PartialResponse { status, server, received, rest, load } = partial;
-    let time_left = Duration::from_millis(exchange.get_time_left(node.now()));
+    let time_remaining = Duration::from_millis(exchange.get_time_remaining(node.now()));
     let reader = StreamReader {
         status,
         splitter: is_resumable(&exchange).then(Splitter::default),
@@ -72,7 +72,7 @@
         reply: Some(rest),
         tried: Tried { all: vec![server.id.clone()], disconnected: Vec::new() },
         timing: StreamTiming::new(node.now(), server),
-        deadline: Box::pin(runtime::sleep(time_left)),
+        deadline: Box::pin(runtime::sleep(time_remaining)),
         load: Some(load),
         node,
         exchange,
@@ -194,7 +194,7 @@
     async fn receive(&mut self) -> ServerEvent {
         // Without this check, a server that always has data ready would keep the timer from
         // being polled.
-        if self.exchange.get_time_left(self.node.now()) == 0 {
+        if self.exchange.get_time_remaining(self.node.now()) == 0 {
             return ServerEvent::TimedOut;
         }
         let Some(reply) = self.reply.as_mut() else { return ServerEvent::Broken };
--- a/crates/gateway/src/port/header_codec.rs
+++ b/crates/gateway/src/port/header_codec.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardContext<'a> {
     /// Time left until the deadline, in milliseconds.
-    pub time_left: Millis,
+    pub time_remaining: Millis,
     /// Id of the target server, so that another server at its address rejects the request.
     pub server_id: &'a str,
     /// The client account of the caller.
