--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records the first token of the response.
-    pub fn note_first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         if !self.had_first_token {
             self.had_first_token = true;
             self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
@@ -205,7 +205,7 @@
     let response = sending.await.map_err(|failure| match failure.is_not_sent() {
         true => (AttemptError::NotConnected, None),
         false => {
-            if note_disconnect(node, params.server) {
+            if record_disconnect(node, params.server) {
                 // Losing the connection fails the server's other requests too, so eject it at once.
                 node.with(|state| {
                     state.health.record_connect_failure(node.now(), &params.server.id)
@@ -227,7 +227,7 @@
     }
     let mut reservation = Reservation::new(node, Kind::ReadAhead);
     let Some(body) = read_start(exchange, reply, &mut reservation).await else {
-        note_disconnect(node, params.server);
+        record_disconnect(node, params.server);
         crashes::note_interrupted_attempt(
             node,
             params.server,
@@ -236,7 +236,7 @@
         return Err((AttemptError::Cut, None));
     };
     node.count_cross_region_bytes(data_centre, 0, body.count_bytes());
-    load.note_first_token();
+    load.record_first_token();
     // The sample measures how fast a server processes prompts. A round trip to another region
     // would distort it.
     let is_sample = !node.is_cross_region(data_centre);
@@ -247,7 +247,7 @@
             tokens: exchange.work.prompt_tokens,
             first_token_ms: node.now() - sent_at,
         };
-        note_throughput(node, &exchange.service, sample);
+        record_throughput(node, &exchange.service, sample);
     }
     let response = ServerResponse { server: params.server.clone(), parts, body, load, reservation };
     match fault {
@@ -258,7 +258,7 @@
 }
 
 /// Adds a sample of how fast the service's servers process prompts.
-fn note_throughput(node: &Node, service: &str, sample: Sample) {
+fn record_throughput(node: &Node, service: &str, sample: Sample) {
     let now = node.now();
     node.with(|state| state.throughputs.entry(service.to_owned()).or_default().add(now, sample));
 }
@@ -266,7 +266,7 @@
 /// Records that a server closed a connection before its response was complete. Returns `true` if
 /// that lowered the bound on the bytes that the server may hold. A server that is leaving or gone
 /// closes connections for other reasons and is ignored.
-pub(super) fn note_disconnect(node: &Node, server: &Server) -> bool {
+pub(super) fn record_disconnect(node: &Node, server: &Server) -> bool {
     let (now, id) = (node.now(), &server.id);
     let (held_bytes, bound) = node.with(|state| {
         let held_bytes = state.server_held_bytes.get(id);
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -8,7 +8,7 @@
 
 use super::admission::Exchange;
 use super::attempt::{self, AttemptError, AttemptParams, ServerResponse};
-use super::notes::{note_choice, note_failure};
+use super::notes::{record_choice, record_failure};
 use super::pick::{self, Attempts, Pick};
 use super::progress::{AttemptProgress, Tried};
 use super::rejection::Rejection;
@@ -40,7 +40,7 @@
             Ok(pick) => pick,
             Err(rejection) => return give_up(node, exchange, rejection, fallback),
         };
-        note_choice(node, exchange, record, &pick);
+        record_choice(node, exchange, record, &pick);
         match try_server(node, exchange, record, &mut progress, &pick, None).await {
             Ok(response) => return Ok(response),
             Err(response) => fallback = response.or(fallback),
@@ -84,12 +84,12 @@
             if error == AttemptError::NotConnected {
                 permits::release_unused(node, server, pick.permit).await;
             }
-            note_failure(node, exchange, record, server, error);
+            record_failure(node, exchange, record, server, error);
             if error.may_have_run() {
                 let route = &exchange.route.name;
                 rollouts::note_failure(node, server, route, Phase::FirstToken);
             }
-            progress.note_failure(error);
+            progress.record_failure(error);
             Err(response)
         }
     }
@@ -113,7 +113,7 @@
     };
     loop {
         let pick = next_attempt(node, exchange, &progress).await.ok()?;
-        note_choice(node, exchange, record, &pick);
+        record_choice(node, exchange, record, &pick);
         let tried_server =
             try_server(node, exchange, record, &mut progress, &pick, last_event_id).await;
         tried.clone_from(&progress.tried);
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -177,7 +177,7 @@
 
     fn deliver(&self, flow: &mut Flow, chunk: Bytes) -> Bytes {
         flow.progress.record_read(chunk.len());
-        self.delivery.note_chunk(self.node.now());
+        self.delivery.record_chunk(self.node.now());
         chunk
     }
 
--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -12,7 +12,7 @@
 use crate::node::{Node, notify_request_started};
 
 /// Logs and counts the choice of a server, and reports a long prompt to the other nodes.
-pub(super) fn note_choice(
+pub(super) fn record_choice(
     node: &Node,
     exchange: &Exchange,
     record: &mut RequestRecord,
@@ -57,7 +57,7 @@
 }
 
 /// Logs and counts a failed attempt, and ejects the server if its attempts fail too often.
-pub(super) fn note_failure(
+pub(super) fn record_failure(
     node: &Node,
     exchange: &Exchange,
     record: &RequestRecord,
--- a/crates/gateway/src/exchange/progress.rs
+++ b/crates/gateway/src/exchange/progress.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records that the attempt at the most recently tried server failed.
-    pub fn note_failure(&mut self, error: AttemptError) {
+    pub fn record_failure(&mut self, error: AttemptError) {
         if error != AttemptError::NotConnected {
             self.sent_attempts += 1;
         }
--- a/crates/gateway/src/exchange/relay.rs
+++ b/crates/gateway/src/exchange/relay.rs
@@ -25,9 +25,9 @@
     let mut response = response_head(&parts);
     *response.body_mut() = match body {
         ServerBody::Complete(bytes) => {
-            note_success(&node, &exchange, status);
-            record.note_chunk();
-            record.note_response_end();
+            record_success(&node, &exchange, status);
+            record.record_chunk();
+            record.record_response_end();
             record.set_outcome(status, ANSWERED);
             feed::complete_body(&node, bytes, reservation, record)
         }
@@ -46,7 +46,7 @@
 
 /// Records that a server completed the request, so the request does not crash servers. An error
 /// status does not show that, because a server may return it before it starts the request.
-pub(super) fn note_success(node: &Arc<Node>, exchange: &Exchange, status: u16) {
+pub(super) fn record_success(node: &Arc<Node>, exchange: &Exchange, status: u16) {
     if (200..300).contains(&status) {
         node::note_request_completed(node, exchange.fingerprint);
     }
--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -77,7 +77,7 @@
     }
 
     /// Records a delivered chunk and the gap before it.
-    pub fn note_chunk(&self, now: Millis) {
+    pub fn record_chunk(&self, now: Millis) {
         let mut state = lock(&self.state);
         state.first_token.get_or_insert(now - self.arrived_at);
         if let Some(before) = state.last_chunk_at.replace(now) {
@@ -162,8 +162,8 @@
     }
 
     /// Records a delivered chunk.
-    pub fn note_chunk(&self) {
-        self.delivery.note_chunk(self.node.now());
+    pub fn record_chunk(&self) {
+        self.delivery.record_chunk(self.node.now());
     }
 
     /// Sets the status and the outcome of the request.
@@ -173,7 +173,7 @@
     }
 
     /// Records that the server's response has ended. The caller may read the rest of it later.
-    pub fn note_response_end(&mut self) {
+    pub fn record_response_end(&mut self) {
         self.response_time = Some(self.node.now().saturating_sub(self.arrived_at));
     }
 
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -116,7 +116,7 @@
         Self { server, started_at: now, last_chunk_at: now, chunk_count: 0 }
     }
 
-    fn note(&mut self, now: Millis) {
+    fn record_chunk(&mut self, now: Millis) {
         self.chunk_count += 1;
         self.last_chunk_at = now;
     }
@@ -175,7 +175,7 @@
                         0,
                         data.len(),
                     );
-                    self.timing.note(self.node.now());
+                    self.timing.record_chunk(self.node.now());
                     self.push_data(data);
                 }
                 ServerEvent::Complete => {
@@ -257,7 +257,7 @@
         match is_cut {
             true => self.stop(StreamEnd::Broken("the response ended within an event")),
             false => {
-                relay::note_success(&self.node, &self.exchange, self.status);
+                relay::record_success(&self.node, &self.exchange, self.status);
                 self.record.set_outcome(self.status, ANSWERED);
                 self.stop(StreamEnd::Complete);
             }
@@ -265,7 +265,7 @@
     }
 
     fn stop(&mut self, end: StreamEnd) {
-        self.record.note_response_end();
+        self.record.record_response_end();
         if let StreamEnd::Broken(why) = end {
             self.record
                 .set_outcome(self.status, if why == "timeout" { "cut_by_timeout" } else { "cut" });
@@ -277,7 +277,7 @@
 
     /// Resumes the stream on another server after the last complete event, if the route allows it.
     async fn resume_on_other_server(&mut self) {
-        attempt::note_disconnect(&self.node, &self.timing.server);
+        attempt::record_disconnect(&self.node, &self.timing.server);
         if let Some(load) = &self.load {
             let since = Some(self.timing.started_at);
             let run = self.exchange.cut_run(self.node.now(), load.get_start(), since);
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -129,7 +129,8 @@
                 }
                 ReadEvent::End if self.length.is_none() => break,
                 ReadEvent::End | ReadEvent::Failed => return Err(Refusal::BadRequest.into()),
-                ReadEvent::Tick if wait.as_mut().is_none_or(|wait| !wait.note_tick(received)) => {}
+                ReadEvent::Tick if wait.as_mut().is_none_or(|wait| !wait.record_tick(received)) => {
+                }
                 ReadEvent::Tick => return Err(self.evict(received, TOO_SLOW)),
                 ReadEvent::TimedOut => return Err(self.evict(received, DEADLINE)),
                 ReadEvent::Evicted => return Err(self.evict(received, NO_MEMORY)),
@@ -199,7 +200,7 @@
 
 impl Wait {
     /// Records a tick, and returns `true` if the body is below the minimum rate.
-    fn note_tick(&mut self, received: u64) -> bool {
+    fn record_tick(&mut self, received: u64) -> bool {
         self.tick.set_after(Duration::from_millis(self.pace.get_tick_interval()));
         self.pace.record_tick(received)
     }
