--- a/crates/gateway/src/exchange/admission.rs
+++ b/crates/gateway/src/exchange/admission.rs
@@ -53,8 +53,8 @@
     pub urgency: u32,
     /// Time at which the final response is due.
     pub deadline: Millis,
-    /// Estimated work of the request for a server.
-    pub work: RequestCost,
+    /// Estimated cost of the request for a server.
+    pub cost: RequestCost,
     /// Criteria for the choice of a server.
     pub criteria: Criteria,
     /// Fingerprint of the request's content.
@@ -81,7 +81,7 @@
     ) -> Result<Self, RefusalResponse> {
         let now = record.get_arrival();
         let deadline_ms = head.deadline.unwrap_or(DEFAULT_DEADLINE_MS);
-        let refuse = |reason, retry_after| RefusalResponse {
+        let reject = |reason, retry_after| RefusalResponse {
             reason,
             retry_after,
             time_remaining: deadline_ms,
@@ -89,29 +89,29 @@
         let (configuration, age) =
             node.with(|state| (state.configuration.clone(), state.freshness.get_age(now)));
         let configuration =
-            configuration.ok_or(refuse(Refusal::NotConfigured, STALE_RETRY_AFTER_MS))?;
+            configuration.ok_or(reject(Refusal::NotConfigured, STALE_RETRY_AFTER_MS))?;
         record.configuration_version = Some(configuration.version);
         record.configuration_age = age;
         let is_fresh = node.is_configuration_fresh();
         if head.id.is_none() {
-            return Err(refuse(Refusal::BadRequest, 0));
+            return Err(reject(Refusal::BadRequest, 0));
         }
         if get_head_bytes(&parts) > configuration.limits.head_bytes {
-            return Err(refuse(Refusal::HeadTooLong, 0));
+            return Err(reject(Refusal::HeadTooLong, 0));
         }
         // A node with a stale configuration reports that. It does not deny what a newer
         // configuration may allow.
         if !is_fresh {
-            return Err(refuse(Refusal::Stale, STALE_RETRY_AFTER_MS));
+            return Err(reject(Refusal::Stale, STALE_RETRY_AFTER_MS));
         }
-        let route = find_route(&configuration, &parts).ok_or(refuse(Refusal::NoRoute, 0))?;
+        let route = find_route(&configuration, &parts).ok_or(reject(Refusal::NoRoute, 0))?;
         record.route = Some(route.name.clone());
         let account = authenticate(&configuration, &route, &head)
-            .map_err(|reason| refuse(reason, 0))?
+            .map_err(|reason| reject(reason, 0))?
             .cloned();
         record.account = account.as_ref().map(|account| account.name.clone());
         let service =
-            route.pick_service(fastrand::f64()).ok_or(refuse(Refusal::NoServer, 1_000))?;
+            route.pick_service(fastrand::f64()).ok_or(reject(Refusal::NoServer, 1_000))?;
         let service = service.to_owned();
         record.service = Some(service.clone());
         let priority = account.as_ref().map_or(0, |account| account.priority);
@@ -128,7 +128,7 @@
             .map_err(|rejection| rejection.with_time_remaining(deadline_ms))?;
         let charge = consume_quota(node, account.as_ref(), head.prompt.as_ref())
             .await
-            .map_err(|wait| refuse(Refusal::OverQuota, wait.max(MIN_QUOTA_RETRY_AFTER_MS)))?;
+            .map_err(|wait| reject(Refusal::OverQuota, wait.max(MIN_QUOTA_RETRY_AFTER_MS)))?;
         let body = upload
             .read(incoming_body)
             .await
@@ -136,11 +136,11 @@
         let fingerprint = compute_fingerprint(&parts, name, &body);
         record.fingerprint = Some(fingerprint);
         if let Some(quarantined_for) = node.get_quarantine_remaining(fingerprint) {
-            return Err(refuse(Refusal::Quarantined, quarantined_for));
+            return Err(reject(Refusal::Quarantined, quarantined_for));
         }
         let prompt = head.prompt.as_ref();
-        let work = estimate_work(prompt, urgency);
-        count_demand(node, &service, prompt, &work);
+        let cost = estimate_cost(prompt, urgency);
+        count_demand(node, &service, prompt, &cost);
         let engine = configuration.services.get(&service).and_then(|known| known.engine.as_ref());
         Ok(Self {
             method: parts.method,
@@ -153,8 +153,8 @@
             account: account.map(|account| account.name),
             urgency,
             deadline: now + deadline_ms.min(route.timeout),
-            work,
-            criteria: make_criteria(head.prompt.as_ref(), &work, &route),
+            cost,
+            criteria: make_criteria(head.prompt.as_ref(), &cost, &route),
             fingerprint,
             route,
             head,
@@ -179,7 +179,7 @@
 
     /// Describes an attempt that was interrupted now, given when it was sent and when its response
     /// started.
-    pub fn cut_run(
+    pub fn get_interrupted_attempt(
         &self,
         interrupted_at: Millis,
         sent_at: Millis,
@@ -336,7 +336,7 @@
     "content-length",
 ];
 
-fn estimate_work(prompt: Option<&Prompt>, urgency: u32) -> RequestCost {
+fn estimate_cost(prompt: Option<&Prompt>, urgency: u32) -> RequestCost {
     prompt.map_or(RequestCost::default(), |prompt| RequestCost {
         prompt_tokens: get_unshared_tokens(prompt),
         priority: (urgency as usize).min(PRIORITIES - 1),
@@ -351,21 +351,21 @@
 }
 
 /// Counts the request in the demand of the service.
-fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, work: &RequestCost) {
+fn count_demand(node: &Node, service: &str, prompt: Option<&Prompt>, cost: &RequestCost) {
     let request = DemandTotals {
         requests: 1,
-        prompt_tokens: work.prompt_tokens,
+        prompt_tokens: cost.prompt_tokens,
         output_tokens: prompt.map_or(0, |prompt| prompt.output_tokens),
     };
     node.with(|state| state.demand.count(service, &request));
 }
 
-fn make_criteria(prompt: Option<&Prompt>, work: &RequestCost, route: &Route) -> Criteria {
+fn make_criteria(prompt: Option<&Prompt>, cost: &RequestCost, route: &Route) -> Criteria {
     let shared = prompt.and_then(|prompt| prompt.parts.split_last()?.1.last());
     Criteria {
         shared_prefix: shared.map(|part| part.id),
-        prompt_tokens: work.prompt_tokens,
-        priority: work.priority,
+        prompt_tokens: cost.prompt_tokens,
+        priority: cost.priority,
         ttft_objective: route.ttft_objective,
         gap_objective: route.gap_objective,
         ..Criteria::default()
--- a/crates/gateway/src/exchange/attempt.rs
+++ b/crates/gateway/src/exchange/attempt.rs
@@ -111,7 +111,7 @@
     node: Arc<Node>,
     service: String,
     server: String,
-    work: RequestCost,
+    cost: RequestCost,
     body_bytes: u64,
     started_at: Millis,
     had_first_token: bool,
@@ -119,17 +119,17 @@
 
 impl LoadGuard {
     fn begin(node: &Arc<Node>, server: &Server, exchange: &Exchange) -> Self {
-        let (work, body_bytes) = (exchange.work, exchange.body_bytes as u64);
+        let (cost, body_bytes) = (exchange.cost, exchange.body_bytes as u64);
         node.with(|state| {
             state.server_held_bytes.begin(&server.id, body_bytes);
-            state.loads.begin(&server.id, &work);
+            state.loads.begin(&server.id, &cost);
             state.demand.begin_request(&server.service);
         });
         note_load_change(node, &server.id, true);
         let (service, server) = (server.service.clone(), server.id.clone());
         let started_at = node.now();
         let node = node.clone();
-        Self { node, service, server, work, body_bytes, started_at, had_first_token: false }
+        Self { node, service, server, cost, body_bytes, started_at, had_first_token: false }
     }
 
     /// Returns the time when the request was sent.
@@ -141,7 +141,7 @@
     pub fn record_first_token(&mut self) {
         if !self.had_first_token {
             self.had_first_token = true;
-            self.node.with(|state| state.loads.record_first_token(&self.server, &self.work));
+            self.node.with(|state| state.loads.record_first_token(&self.server, &self.cost));
             note_load_change(&self.node, &self.server, false);
         }
     }
@@ -152,7 +152,7 @@
         let had_first_token = self.had_first_token;
         self.node.with(|state| {
             state.server_held_bytes.end(&self.server, self.body_bytes);
-            state.loads.end(&self.server, &self.work, had_first_token);
+            state.loads.end(&self.server, &self.cost, had_first_token);
             state.demand.end_request(&self.service);
         });
         note_load_change(&self.node, &self.server, false);
@@ -202,7 +202,7 @@
     let sent_at = node.now();
     let sending = node.http_client.send(params.server.address, request);
     let data_centre = &params.server.data_centre;
-    let response = sending.await.map_err(|failure| match failure.is_not_sent() {
+    let response = sending.await.map_err(|error| match error.is_not_sent() {
         true => (AttemptError::NotConnected, None),
         false => {
             if record_disconnect(node, params.server) {
@@ -214,24 +214,24 @@
             crashes::note_interrupted_attempt(
                 node,
                 params.server,
-                exchange.cut_run(node.now(), sent_at, None),
+                exchange.get_interrupted_attempt(node.now(), sent_at, None),
             );
             (AttemptError::Ended, None)
         }
     })?;
     node.count_cross_region_bytes(data_centre, exchange.body_bytes, 0);
-    let (parts, reply) = response.into_parts();
+    let (parts, response_body) = response.into_parts();
     let fault = check_head(node, exchange, params.server, sent_at, &parts);
     if let Some(fault) = fault.filter(|fault| *fault != AttemptError::ServerError) {
         return Err((fault, None));
     }
     let mut reservation = Reservation::new(node, Kind::ReadAhead);
-    let Some(body) = read_start(exchange, reply, &mut reservation).await else {
+    let Some(body) = read_start(exchange, response_body, &mut reservation).await else {
         record_disconnect(node, params.server);
         crashes::note_interrupted_attempt(
             node,
             params.server,
-            exchange.cut_run(node.now(), sent_at, None),
+            exchange.get_interrupted_attempt(node.now(), sent_at, None),
         );
         return Err((AttemptError::Cut, None));
     };
@@ -244,7 +244,7 @@
         let sample = Sample {
             server: short_id(&params.server.id),
             is_alone,
-            tokens: exchange.work.prompt_tokens,
+            tokens: exchange.cost.prompt_tokens,
             first_token_ms: node.now() - sent_at,
         };
         record_throughput(node, &exchange.service, sample);
@@ -287,23 +287,23 @@
 /// Buffered bytes are reserved. A response that does not fit into the memory budget is streamed.
 async fn read_start(
     exchange: &Exchange,
-    mut reply: ResponseBody,
+    mut body: ResponseBody,
     reservation: &mut Reservation,
 ) -> Option<ServerBody> {
     let is_streaming = exchange.route.kind.is_streaming();
     let mut content = BytesMut::new();
     loop {
-        let Some(frame) = reply.frame().await else {
+        let Some(frame) = body.frame().await else {
             return Some(ServerBody::Complete(content.freeze()));
         };
         let Ok(data) = frame.ok()?.into_data() else { continue };
         content.extend_from_slice(&data);
         if is_streaming {
-            return Some(ServerBody::Partial { received: content.freeze(), rest: reply });
+            return Some(ServerBody::Partial { received: content.freeze(), rest: body });
         }
-        let is_held = reservation.grow(data.len() as u64);
-        if !is_held || content.len() > MAX_BUFFERED_BYTES {
-            return Some(ServerBody::Partial { received: content.freeze(), rest: reply });
+        let is_reserved = reservation.grow(data.len() as u64);
+        if !is_reserved || content.len() > MAX_BUFFERED_BYTES {
+            return Some(ServerBody::Partial { received: content.freeze(), rest: body });
         }
     }
 }
@@ -314,14 +314,14 @@
     params: &AttemptParams<'_>,
 ) -> Option<Request<Body>> {
     let mut headers: HeaderMap = exchange.headers.clone();
-    let dispatch = ForwardContext {
+    let context = ForwardContext {
         time_remaining: exchange.get_time_remaining(node.now()),
         server_id: &params.server.id,
         account: exchange.account.as_deref(),
         urgency: exchange.is_model_service.then_some(exchange.urgency),
         last_event_id: params.last_event_id,
     };
-    (node.platform.header_codec.encode_request)(&mut headers, &dispatch);
+    (node.platform.header_codec.encode_request)(&mut headers, &context);
     let path = exchange.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = exchange.get_body();
     let body = match content.is_empty() {
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -33,9 +33,9 @@
 pub fn disconnect_stalled(node: &Node) {
     let now = node.now();
     for feed in node.active_responses.list() {
-        let Some(look) = (feed.check_status)(now) else { continue };
-        if look.caller.stalled >= STALL_TIMEOUT {
-            disconnect(node, &feed, &look, "stopping");
+        let Some(status) = (feed.check_status)(now) else { continue };
+        if status.caller.stalled >= STALL_TIMEOUT {
+            disconnect(node, &feed, &status, "stopping");
         }
     }
 }
@@ -45,19 +45,22 @@
     let feeds = node.active_responses.list();
     let checked = feeds.iter().filter_map(|feed| Some((feed, (feed.check_status)(now)?)));
     let checked: Vec<(&Arc<ResponseHandle>, ResponseStatus)> = checked.collect();
-    for (feed, look) in checked.iter().filter(|(_, look)| look.is_too_slow) {
-        disconnect(node, feed, look, "no_progress");
+    for (feed, status) in checked.iter().filter(|(_, status)| status.is_too_slow) {
+        disconnect(node, feed, status, "no_progress");
     }
-    let is_short = checked.iter().any(|(_, look)| look.is_short);
+    let is_short = checked.iter().any(|(_, status)| status.is_short);
     let bytes_to_free = get_bytes_to_free(node, is_short);
     if bytes_to_free == 0 {
         return;
     }
-    let callers: Vec<Caller> =
-        checked.iter().filter(|(_, look)| !look.is_too_slow).map(|(_, look)| look.caller).collect();
+    let callers: Vec<Caller> = checked
+        .iter()
+        .filter(|(_, status)| !status.is_too_slow)
+        .map(|(_, status)| status.caller)
+        .collect();
     let picked = pick_stalled(&callers, bytes_to_free);
-    for (feed, look) in checked.iter().filter(|(_, look)| picked.contains(&look.caller.id)) {
-        disconnect(node, feed, look, "memory");
+    for (feed, status) in checked.iter().filter(|(_, status)| picked.contains(&status.caller.id)) {
+        disconnect(node, feed, status, "memory");
     }
 }
 
@@ -71,12 +74,12 @@
     (total - capacity * LOW_WATERMARK_RATIO) as usize
 }
 
-fn disconnect(node: &Node, feed: &ResponseHandle, look: &ResponseStatus, reason: &'static str) {
+fn disconnect(node: &Node, feed: &ResponseHandle, status: &ResponseStatus, reason: &'static str) {
     event::emit(&Event::CallerDisconnected {
         request: &feed.request,
         reason,
-        held_bytes: look.caller.bytes,
-        resting_ms: look.caller.stalled,
+        held_bytes: status.caller.bytes,
+        resting_ms: status.caller.stalled,
     });
     let labels = ReasonLabels { reason: reason.to_owned() };
     node.metrics.callers_disconnected.get_or_create(&labels).inc();
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -112,12 +112,12 @@
 
     /// Creates the node's handle of the feed, which does not keep the feed alive.
     fn make_handle(self: &Arc<Self>) -> ResponseHandle {
-        let (looking, disconnecting) = (Arc::downgrade(self), Arc::downgrade(self));
+        let (checked, disconnected) = (Arc::downgrade(self), Arc::downgrade(self));
         ResponseHandle {
             request: self.request.clone(),
-            check_status: Box::new(move |now| looking.upgrade().map(|feed| feed.look(now))),
+            check_status: Box::new(move |now| checked.upgrade().map(|feed| feed.check_status(now))),
             disconnect: Box::new(move |reason| {
-                if let Some(feed) = disconnecting.upgrade() {
+                if let Some(feed) = disconnected.upgrade() {
                     feed.disconnect(reason);
                 }
             }),
@@ -182,7 +182,7 @@
     }
 
     /// Checks whether the caller reads the available data, and starts to read ahead if it does not.
-    fn look(self: &Arc<Self>, now: Millis) -> ResponseStatus {
+    fn check_status(self: &Arc<Self>, now: Millis) -> ResponseStatus {
         let mut flow = lock(&self.flow);
         let since = now.saturating_sub(flow.checked_at);
         flow.checked_at = now;
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -61,8 +61,8 @@
     let admitted = Exchange::admit(&node, parts, head, &mut incoming_body, &mut record).await;
     let exchange = match admitted {
         Ok(exchange) => Arc::new(exchange),
-        Err(refused) => {
-            let mut response = record.refuse(refused);
+        Err(refusal) => {
+            let mut response = record.reject(refusal);
             if incoming_body.has_read_started() {
                 announce_close(&mut response);
             }
@@ -77,9 +77,9 @@
             }
             relay::relay(node.clone(), exchange, response, record)
         }
-        Err(refused) => {
-            exchange.refund_quota(refused.reason);
-            record.refuse(refused)
+        Err(refusal) => {
+            exchange.refund_quota(refusal.reason);
+            record.reject(refusal)
         }
     };
     if node.is_short_of_memory() {
--- a/crates/gateway/src/exchange/notes.rs
+++ b/crates/gateway/src/exchange/notes.rs
@@ -29,7 +29,7 @@
     });
     let expected_ms = criteria.estimate(&chosen);
     if let Some(reading_ms) = expected_ms.filter(|_| exchange.is_model_service) {
-        notify_request_started(node, &server.id, &exchange.work, reading_ms);
+        notify_request_started(node, &server.id, &exchange.cost, reading_ms);
     }
     let is_multi_region = node.topology.is_multi_region();
     let region = is_multi_region.then(|| get_region(&node.topology, &server.data_centre));
--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -67,23 +67,25 @@
 
 /// Picks the server for the next attempt, or returns why there is none.
 async fn pick(node: &Node, exchange: &Exchange, attempts: Attempts<'_>) -> Result<Pick, Rejection> {
-    let side = rollouts::pick_side(node, &exchange.service, attempts.tried.is_empty());
+    let version_filter = rollouts::pick_side(node, &exchange.service, attempts.tried.is_empty());
     let (is_load_requested, criteria) =
         node.with(|state| (state.members.is_grouped(), get_criteria(state, exchange)));
     let local_scope =
         RegionScope { remote: None, criteria, is_load_requested, is_version_fixed: false };
-    if is_version_elsewhere(node, exchange, side) {
+    if is_version_elsewhere(node, exchange, version_filter) {
         let local_scope = RegionScope { is_version_fixed: true, ..local_scope };
         let cause = Cause::NoServer;
-        let remote_pick = RemotePick { node, exchange, attempts, side, cause, local_scope };
+        let remote_pick =
+            RemotePick { node, exchange, attempts, version_filter, cause, local_scope };
         if let Ok(pick) = remote_pick.run(RegionPick::NONE).await {
             return Ok(pick);
         }
     }
-    let found = pick_in_region(node, exchange, attempts, side, &local_scope).await;
+    let found = pick_in_region(node, exchange, attempts, version_filter, &local_scope).await;
     match found.offer.get_cause() {
         Some(cause) if node.topology.is_multi_region() => {
-            let remote_pick = RemotePick { node, exchange, attempts, side, cause, local_scope };
+            let remote_pick =
+                RemotePick { node, exchange, attempts, version_filter, cause, local_scope };
             remote_pick.run(found).await
         }
         _ => into_result(found),
@@ -94,16 +96,17 @@
 ///
 /// The servers of other versions stop without a drain as soon as the roll-out is completed. A
 /// region that used them until then would lose the requests sent before it learns of that.
-fn is_version_elsewhere(node: &Node, exchange: &Exchange, side: VersionFilter) -> bool {
+fn is_version_elsewhere(node: &Node, exchange: &Exchange, version_filter: VersionFilter) -> bool {
     if !node.topology.is_multi_region()
-        || !matches!(side, VersionFilter::Target | VersionFilter::PreferTarget)
+        || !matches!(version_filter, VersionFilter::Target | VersionFilter::PreferTarget)
     {
         return false;
     }
     let now = node.now();
     node.with(|state| {
         let ready = state.directory.iter_ready(&exchange.service);
-        let mut of_version = ready.filter(|server| state.rollouts.is_allowed(side, server));
+        let mut of_version =
+            ready.filter(|server| state.rollouts.is_allowed(version_filter, server));
         let is_local = |server: &Server| !node.is_cross_region(&server.data_centre);
         state.rollouts.is_accepted(now, &exchange.service) && !of_version.any(is_local)
     })
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -62,15 +62,15 @@
     node: &Node,
     exchange: &Exchange,
     attempts: Attempts<'_>,
-    side: VersionFilter,
+    version_filter: VersionFilter,
     scope: &RegionScope<'_>,
 ) -> RegionPick {
-    let filter = ServerFilter::new(node, exchange, attempts, side);
+    let filter = ServerFilter::new(node, exchange, attempts, version_filter);
     let found = pick_filtered(node, exchange, &filter, scope).await;
     if scope.is_version_fixed {
         return found;
     }
-    let other = match (side, found.offer) {
+    let other = match (version_filter, found.offer) {
         (VersionFilter::Canary | VersionFilter::Target, Offer::Busy(_) | Offer::None) => {
             VersionFilter::Others
         }
@@ -86,31 +86,37 @@
 
 /// Selects the servers that a request may go to.
 struct ServerFilter<'a> {
-    side: VersionFilter,
-    /// The only allowed servers if the side is [`VersionFilter::Canary`].
+    version_filter: VersionFilter,
+    /// The only allowed servers if the filter is [`VersionFilter::Canary`].
     canaries: Vec<String>,
     attempts: Attempts<'a>,
     now: Millis,
 }
 
 impl<'a> ServerFilter<'a> {
-    fn new(node: &Node, exchange: &Exchange, attempts: Attempts<'a>, side: VersionFilter) -> Self {
-        let canaries = match side {
+    fn new(
+        node: &Node,
+        exchange: &Exchange,
+        attempts: Attempts<'a>,
+        version_filter: VersionFilter,
+    ) -> Self {
+        let canaries = match version_filter {
             VersionFilter::Canary => rollouts::list_canaries(node, &exchange.service),
             _ => Vec::new(),
         };
-        Self { side, canaries, attempts, now: node.now() }
+        Self { version_filter, canaries, attempts, now: node.now() }
     }
 
     fn is_allowed(&self, state: &State, server: &Server) -> bool {
-        let is_chosen = self.side != VersionFilter::Canary || self.canaries.contains(&server.id);
-        let is_of_side = state.rollouts.is_allowed(self.side, server);
+        let is_chosen =
+            self.version_filter != VersionFilter::Canary || self.canaries.contains(&server.id);
+        let passes_version_filter = state.rollouts.is_allowed(self.version_filter, server);
         let is_tried = self.attempts.tried.contains(&server.id);
-        is_chosen && is_of_side && !is_tried && !self.is_barred(state, server)
+        is_chosen && passes_version_filter && !is_tried && !self.is_unavailable(state, server)
     }
 
     /// Returns `true` if the server is in backoff, or is skipped because of its rate limit.
-    fn is_barred(&self, state: &State, server: &Server) -> bool {
+    fn is_unavailable(&self, state: &State, server: &Server) -> bool {
         let is_limited = || state.backpressure.get_limit(self.now, server).is_some();
         state.is_in_backoff(self.now, server) || (self.attempts.skips_limited && is_limited())
     }
@@ -174,11 +180,11 @@
     node.with(|state| {
         let ready = || state.directory.iter_ready(&exchange.service);
         let is_untried = |server: &Server| is_allowed(state, server);
-        let is_sound = |server: &Server| {
-            is_untried(server) && !is_avoided(state, exchange, ramp_draw, now, server)
+        let is_preferred = |server: &Server| {
+            is_untried(server) && !is_last_resort(state, exchange, ramp_draw, now, server)
         };
         let draw = fastrand::u64(..);
-        let mut listed = shortlist(ready(), &exchange.criteria, draw, is_wide, is_sound);
+        let mut listed = shortlist(ready(), &exchange.criteria, draw, is_wide, is_preferred);
         if listed.is_empty() {
             listed = shortlist(ready(), &exchange.criteria, draw, is_wide, is_untried);
         }
@@ -230,7 +236,7 @@
     let throughput = state.throughputs.get(&exchange.service);
     let candidates: Vec<Candidate<'_>> = servers
         .map(|server| Candidate {
-            is_ejected: is_avoided(state, exchange, ramp_draw, now, server),
+            is_ejected: is_last_resort(state, exchange, ramp_draw, now, server),
             ..make_candidate(state, throughput, now, server)
         })
         .collect();
@@ -245,7 +251,7 @@
 
 /// Returns `true` if the server is used only as a last resort: it is ejected, ramping up after an
 /// ejection, or holds as many bytes as it may.
-fn is_avoided(
+fn is_last_resort(
     state: &State,
     exchange: &Exchange,
     ramp_draw: f64,
--- a/crates/gateway/src/exchange/pick/remote.rs
+++ b/crates/gateway/src/exchange/pick/remote.rs
@@ -24,7 +24,7 @@
     /// The attempts so far.
     pub attempts: Attempts<'a>,
     /// The versions that the request may go to.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// Reason for sending the request to another region.
     pub cause: Cause,
     /// How the servers of the node's own region are considered.
@@ -32,9 +32,9 @@
 }
 
 /// Whether a request may go to another region.
-enum Gate {
-    Open(RemotePath),
-    Closed,
+enum RemoteAccess {
+    Allowed(RemotePath),
+    Denied,
     /// The bandwidth budget of the link is used up; holds the time until it recovers, in
     /// milliseconds.
     LinkFull(Millis),
@@ -50,15 +50,15 @@
         let mut offer = found.offer;
         let mut link_wait: Option<Millis> = None;
         for region in regions {
-            let way = match self.check(region) {
-                Gate::Open(way) => way,
-                Gate::Closed => continue,
-                Gate::LinkFull(wait) => {
+            let path = match self.check(region) {
+                RemoteAccess::Allowed(path) => path,
+                RemoteAccess::Denied => continue,
+                RemoteAccess::LinkFull(wait) => {
                     link_wait = Some(link_wait.map_or(wait, |known| known.min(wait)));
                     continue;
                 }
             };
-            let picked = self.pick_remote(region, &way).await;
+            let picked = self.pick_remote(region, &path).await;
             match (pick_destination(offer, picked.offer), picked.server) {
                 (Destination::Remote, Some(server)) => {
                     return Ok(Pick::new(server, Some(self.cause)));
@@ -81,21 +81,21 @@
 
     /// Picks a server in another region, within the part of the latency objective that remains
     /// after the round trip.
-    async fn pick_remote(&self, region: &str, way: &RemotePath) -> RegionPick {
+    async fn pick_remote(&self, region: &str, path: &RemotePath) -> RegionPick {
         let scope = RegionScope {
             remote: Some((region, self.cause)),
-            criteria: way.adjust_criteria(&self.local_scope.criteria),
-            is_load_requested: way.is_load_requested,
+            criteria: path.adjust_criteria(&self.local_scope.criteria),
+            is_load_requested: path.is_load_requested,
             is_version_fixed: self.local_scope.is_version_fixed,
         };
-        pick_in_region(self.node, self.exchange, self.attempts, self.side, &scope).await
+        pick_in_region(self.node, self.exchange, self.attempts, self.version_filter, &scope).await
     }
 
     /// Checks whether the region has a server, can respond in time, and is within the link budget.
-    fn check(&self, region: &str) -> Gate {
+    fn check(&self, region: &str) -> RemoteAccess {
         let node = self.node;
         let now = node.now();
-        let gate = node.with(|state| {
+        let access = node.with(|state| {
             let mut ready = state.directory.iter_ready(&self.exchange.service);
             let is_candidate = |server: &Server| {
                 let is_tried = self.attempts.tried.contains(&server.id);
@@ -104,30 +104,30 @@
                     && get_region(&node.topology, &server.data_centre) == region
             };
             if !ready.any(is_candidate) {
-                return Gate::Closed;
+                return RemoteAccess::Denied;
             }
-            let is_silent = state.region_links.is_unresponsive(now, region);
-            let way = RemotePath {
+            let is_unresponsive = state.region_links.is_unresponsive(now, region);
+            let path = RemotePath {
                 waited: now - self.attempts.waiting_since,
                 left: self.exchange.get_time_remaining(now),
                 round_trip: state.round_trips.get_round_trip(region),
                 transfer: state.region_links.get_transfer_time(self.exchange.body_bytes),
-                is_load_requested: self.local_scope.is_load_requested && !is_silent,
+                is_load_requested: self.local_scope.is_load_requested && !is_unresponsive,
             };
-            let is_lost = is_silent && self.cause == Cause::Full;
-            if is_lost || !way.is_in_time(&self.local_scope.criteria, self.cause) {
-                return Gate::Closed;
+            let is_unreachable = is_unresponsive && self.cause == Cause::Full;
+            if is_unreachable || !path.is_in_time(&self.local_scope.criteria, self.cause) {
+                return RemoteAccess::Denied;
             }
             let nodes = state.members.count_own_region();
             match state.region_links.check(now, region, nodes) {
-                Ok(()) => Gate::Open(way),
-                Err(wait) => Gate::LinkFull(wait),
+                Ok(()) => RemoteAccess::Allowed(path),
+                Err(wait) => RemoteAccess::LinkFull(wait),
             }
         });
-        if matches!(gate, Gate::LinkFull(_)) {
+        if matches!(access, RemoteAccess::LinkFull(_)) {
             let labels = RegionLabels::new(region);
             node.metrics.link_full.get_or_create(&labels).inc();
         }
-        gate
+        access
     }
 }
--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -178,12 +178,12 @@
     }
 
     /// Builds the response for a rejection.
-    pub fn refuse(mut self, refused: RefusalResponse) -> Response<Body> {
-        self.set_outcome(refused.reason.get_status(), refused.reason.as_str());
-        let mut response = Response::new(Body::from(format!("{}\n", refused.reason.as_str())));
+    pub fn reject(mut self, refusal: RefusalResponse) -> Response<Body> {
+        self.set_outcome(refusal.reason.get_status(), refusal.reason.as_str());
+        let mut response = Response::new(Body::from(format!("{}\n", refusal.reason.as_str())));
         *response.status_mut() =
             StatusCode::from_u16(self.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-        let after = refused.reason.get_retry_after(refused.retry_after, refused.time_remaining);
+        let after = refusal.reason.get_retry_after(refusal.retry_after, refusal.time_remaining);
         if let Some(after) = after {
             self.retry_after = Some(after.as_millis() as u64);
             let seconds = format!("{:.3}", after.as_secs_f64());
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -38,16 +38,16 @@
     }
     node.metrics.count_signal(signal);
     let now = node.now();
-    let noted = node.with(|state| {
-        let noted = state.backpressure.record(now, sent_at, server, signal);
-        if let Some(until) = noted.back_off_until {
+    let update = node.with(|state| {
+        let update = state.backpressure.record(now, sent_at, server, signal);
+        if let Some(until) = update.back_off_until {
             state.health.record_back_off(&server.id, until);
         }
-        noted
+        update
     });
     let departure = Departure { server: server.id.clone(), incarnation: server.incarnation };
-    let departs = signal.is_leaving && watch::apply_departure(node, &departure);
-    if noted.limit.is_some() || noted.back_off_until.is_some() || departs {
+    let is_new_departure = signal.is_leaving && watch::apply_departure(node, &departure);
+    if update.limit.is_some() || update.back_off_until.is_some() || is_new_departure {
         event::emit(&Event::ServerSignal {
             server: &server.id,
             service: &server.service,
@@ -57,10 +57,10 @@
             is_leaving: signal.is_leaving,
         });
     }
-    if let Some(sighting) = noted.limit {
-        node.notify_peers(Notification::LimitSeen(sighting));
+    if let Some(observation) = update.limit {
+        node.notify_peers(Notification::LimitSeen(observation));
     }
-    if departs {
+    if is_new_departure {
         node.notify_peers(Notification::ServerLeaving(departure));
     }
 }
--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -69,7 +69,7 @@
         splitter: is_resumable(&exchange).then(Splitter::default),
         sequence: Sequence::after(exchange.head.last_event_id),
         pending: VecDeque::new(),
-        reply: Some(rest),
+        body: Some(rest),
         tried: Tried { all: vec![server.id.clone()], disconnected: Vec::new() },
         timing: StreamTiming::new(node.now(), server),
         deadline: Box::pin(runtime::sleep(time_remaining)),
@@ -95,7 +95,7 @@
     splitter: Option<Splitter>,
     sequence: Sequence,
     pending: VecDeque<Bytes>,
-    reply: Option<ResponseBody>,
+    body: Option<ResponseBody>,
     tried: Tried,
     timing: StreamTiming,
     deadline: Pin<Box<dyn Future<Output = ()> + Send>>,
@@ -197,11 +197,11 @@
         if self.exchange.get_time_remaining(self.node.now()) == 0 {
             return ServerEvent::TimedOut;
         }
-        let Some(reply) = self.reply.as_mut() else { return ServerEvent::Broken };
+        let Some(body) = self.body.as_mut() else { return ServerEvent::Broken };
         let deadline = &mut self.deadline;
         let received = async {
             loop {
-                match reply.frame().await {
+                match body.frame().await {
                     None => return ServerEvent::Complete,
                     Some(Err(_)) => return ServerEvent::Broken,
                     Some(Ok(frame)) => {
@@ -220,9 +220,9 @@
     }
 
     /// Records how the server's part of the stream ended.
-    fn record_stream_end(&self, is_whole: bool) {
+    fn record_stream_end(&self, is_complete: bool) {
         let (server, route) = (&self.timing.server, &self.exchange.route.name);
-        match is_whole {
+        match is_complete {
             true => {
                 let Some(mean) = self.timing.get_mean() else { return };
                 rollouts::note_success(&self.node, server, route, Phase::Stream, mean);
@@ -253,8 +253,8 @@
 
     /// Ends the body. A partial event at its end is an error.
     fn finish(&mut self) {
-        let is_cut = self.splitter.as_ref().is_some_and(|s| !s.get_rest().is_empty());
-        match is_cut {
+        let is_truncated = self.splitter.as_ref().is_some_and(|s| !s.get_rest().is_empty());
+        match is_truncated {
             true => self.stop(StreamEnd::Broken("the response ended within an event")),
             false => {
                 relay::record_success(&self.node, &self.exchange, self.status);
@@ -270,7 +270,7 @@
             self.record
                 .set_outcome(self.status, if why == "timeout" { "cut_by_timeout" } else { "cut" });
         }
-        self.reply = None;
+        self.body = None;
         self.load = None;
         self.end = Some(end);
     }
@@ -279,11 +279,15 @@
     async fn resume_on_other_server(&mut self) {
         attempt::record_disconnect(&self.node, &self.timing.server);
         if let Some(load) = &self.load {
-            let since = Some(self.timing.started_at);
-            let run = self.exchange.cut_run(self.node.now(), load.get_start(), since);
-            crashes::note_interrupted_attempt(&self.node, &self.timing.server, run);
+            let response_started_at = Some(self.timing.started_at);
+            let interrupted = self.exchange.get_interrupted_attempt(
+                self.node.now(),
+                load.get_start(),
+                response_started_at,
+            );
+            crashes::note_interrupted_attempt(&self.node, &self.timing.server, interrupted);
         }
-        self.reply = None;
+        self.body = None;
         self.load = None;
         event::emit(&Event::AttemptFailed {
             request: &self.record.id,
@@ -314,7 +318,7 @@
             }) => {
                 self.timing = StreamTiming::new(self.node.now(), server);
                 self.node.metrics.resumed.inc();
-                self.reply = Some(rest);
+                self.body = Some(rest);
                 self.load = Some(load);
                 self.push_data(received);
             }
--- a/crates/gateway/src/exchange/upload.rs
+++ b/crates/gateway/src/exchange/upload.rs
@@ -86,8 +86,8 @@
             Some(0) => None,
             Some(length) if length > limits.max_bytes => return Err(Refusal::BodyTooLong.into()),
             _ => {
-                let claim = Requester { kind: Kind::RequestBody, account, urgency };
-                let mut reservation = Reservation::for_claim(node, &claim);
+                let requester = Requester { kind: Kind::RequestBody, account, urgency };
+                let mut reservation = Reservation::for_claim(node, &requester);
                 grow(&mut reservation, length.unwrap_or(MIN_STEP_BYTES.min(limits.max_bytes)))
                     .await?;
                 Some(reservation)
@@ -141,13 +141,13 @@
     }
 
     fn start_wait(&self, reservation: &mut Reservation) -> Wait {
-        let pace = RateMonitor::new(self.limits.rate_window, self.length);
+        let rate_monitor = RateMonitor::new(self.limits.rate_window, self.length);
         let timeout = Duration::from_millis(self.limits.timeout);
         Wait {
             eviction: reservation.watch_eviction(),
-            tick: Timer::after(Duration::from_millis(pace.get_tick_interval())),
+            tick: Timer::after(Duration::from_millis(rate_monitor.get_tick_interval())),
             deadline: Box::pin(runtime::sleep(timeout)),
-            pace,
+            rate_monitor,
         }
     }
 
@@ -195,14 +195,14 @@
     /// Only wakes the wait. A tick that fires late, for example after a suspension, counts once.
     tick: Timer,
     deadline: Pin<Box<dyn Future<Output = ()> + Send>>,
-    pace: RateMonitor,
+    rate_monitor: RateMonitor,
 }
 
 impl Wait {
     /// Records a tick, and returns `true` if the body is below the minimum rate.
     fn record_tick(&mut self, received: u64) -> bool {
-        self.tick.set_after(Duration::from_millis(self.pace.get_tick_interval()));
-        self.pace.record_tick(received)
+        self.tick.set_after(Duration::from_millis(self.rate_monitor.get_tick_interval()));
+        self.rate_monitor.record_tick(received)
     }
 
     async fn wait(&mut self) -> ReadEvent {
@@ -273,13 +273,13 @@
     needed: u64,
     max_bytes: u64,
 ) -> Result<(), Rejection> {
-    let held = reservation.get_bytes();
-    if needed <= held {
+    let reserved = reservation.get_bytes();
+    if needed <= reserved {
         return Ok(());
     }
-    let step = (held / STEP_DIVISOR).max(MIN_STEP_BYTES);
-    let target = (held + step).max(needed).min(max_bytes);
-    grow(reservation, target - held).await?;
+    let step = (reserved / STEP_DIVISOR).max(MIN_STEP_BYTES);
+    let target = (reserved + step).max(needed).min(max_bytes);
+    grow(reservation, target - reserved).await?;
     content.reserve_exact(target as usize - content.len());
     Ok(())
 }
