--- a/crates/gateway/src/exchange/progress.rs
+++ b/crates/gateway/src/exchange/progress.rs
@@ -60,10 +60,10 @@
 
     /// Returns the rejection of a quarantined request. The caller learns of the quarantine only if
     /// the request has not run since it arrived.
-    pub fn reject_quarantined(&self, retry_after: Millis) -> Rejection {
+    pub fn reject_quarantined(&self, quarantined_for: Millis) -> Rejection {
         match self.may_have_run {
             true => Refusal::BrokenAnswer.into(),
-            false => Rejection { reason: Refusal::Quarantined, retry_after: retry_after },
+            false => Rejection { reason: Refusal::Quarantined, retry_after: quarantined_for },
         }
     }
 
