--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -64,7 +64,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::MaybeSent(why) => write!(f, "no answer: {why}"),
+            Self::MaybeSent(why) => write!(f, "no response: {why}"),
         }
     }
 }
@@ -190,7 +190,7 @@
         let stream = match connecting {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(SendError::NotSent(error.to_string())),
-            None => return Err(SendError::NotSent("no connection in time".to_owned())),
+            None => return Err(SendError::NotSent("connecting timed out".to_owned())),
         };
         self.opened.fetch_add(1, Ordering::Relaxed);
         let _ = stream.set_nodelay(true);
--- a/crates/gateway/src/port/table.rs
+++ b/crates/gateway/src/port/table.rs
@@ -76,7 +76,7 @@
 /// Returns the error of the call, or [`TableError::Unanswered`] if it timed out.
 pub async fn with_timeout(timeout: Duration, call: TableFuture<Rows>) -> Result<Rows, TableError> {
     let result = runtime::timeout(timeout, call).await;
-    result.unwrap_or_else(|| Err(TableError::Unanswered("no answer in time".to_owned())))
+    result.unwrap_or_else(|| Err(TableError::Unanswered("the call timed out".to_owned())))
 }
 
 /// Name of a table.
@@ -177,11 +177,11 @@
 impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict(_) => write!(f, "a condition did not hold"),
-            Self::HistoryGone => write!(f, "the history is gone"),
-            Self::StaleEra => write!(f, "the table service came back from an older copy"),
-            Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::Unanswered(why) => write!(f, "no answer: {why}"),
+            Self::Conflict(_) => write!(f, "a condition of the transaction does not hold"),
+            Self::HistoryGone => write!(f, "the requested history is no longer available"),
+            Self::StaleEra => write!(f, "the table service was restored from an older copy"),
+            Self::Refused(status) => write!(f, "the table service returned status {status}"),
+            Self::Unanswered(why) => write!(f, "no response: {why}"),
         }
     }
 }
