--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,79 +1,82 @@
-//! Whether a holder may still act.
+//! Leases with fencing tokens.
 //!
-//! A lease is a row of the table service; the row's version is its fence. The holder counts from
-//! the moment *before* its request, on its own monotonic clock, less a margin, and checks that just
-//! before every order: a holder that slept past its lease sends nothing.
+//! A lease is a row of the table service; the row's version is the fencing token. The holder
+//! measures the lease on its own monotonic clock from the moment *before* it sent its request,
+//! minus a margin, and checks it just before every order. A holder that was suspended past the end
+//! of its lease therefore sends nothing.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// A lease, as the table service keeps it.
+/// A lease, as stored in the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The node that holds it.
+    /// The node that holds the lease.
     pub holder: String,
-    /// How long it is held from each renewal, in milliseconds.
+    /// Duration of the lease from each renewal, in milliseconds.
     pub length_ms: Millis,
-    /// A number that each renewal changes, so that watchers see it live.
+    /// A number that changes with each renewal, so that watchers can see that the holder is alive.
     pub renewal: u64,
 }
 
-/// What a holder knows of its own lease.
+/// A lease, as seen by its holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
     fence: u64,
-    asked_at: Millis,
+    requested_at: Millis,
     length: Millis,
     margin: Millis,
 }
 
 impl Lease {
-    /// Records a lease that was requested at `asked_at` and granted with a fence.
+    /// Creates a lease that was requested at `requested_at` and granted with a fencing token.
     ///
     /// # Panics
     ///
-    /// In debug builds, where the margin is not shorter than the lease.
-    pub fn new(fence: u64, asked_at: Millis, length: Millis, margin: Millis) -> Self {
+    /// Panics in debug builds if the margin is not shorter than the lease.
+    pub fn new(fence: u64, requested_at: Millis, length: Millis, margin: Millis) -> Self {
         debug_assert!(
             margin < length,
             "the margin must be shorter than the lease: lengthen the lease"
         );
-        Self { fence, asked_at, length, margin }
+        Self { fence, requested_at, length, margin }
     }
 
-    /// Returns the fence to send with an order, or `None` once the lease may have lapsed.
+    /// Returns the fencing token to send with an order, or `None` once the lease may have expired.
     pub fn get_fence(&self, now: Millis) -> Option<u64> {
-        let until = self.asked_at + self.length - self.margin;
+        let until = self.requested_at + self.length - self.margin;
         (now < until).then_some(self.fence)
     }
 
-    /// Returns `true` if it is time to renew.
+    /// Returns `true` if the lease is due for renewal.
     pub fn is_renewal_due(&self, now: Millis) -> bool {
-        now >= self.asked_at + self.length / 3
+        now >= self.requested_at + self.length / 3
     }
 }
 
-/// Watches another node's lease, to take it over when it lapses.
+/// Watches another node's lease in order to take it over once it expires.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Watcher {
     seen: Option<(u64, Millis)>,
 }
 
 impl Watcher {
-    /// Notes the row's version; returns `true` if the lease has lapsed for certain.
+    /// Records the row's version and returns `true` if the lease has certainly expired.
     ///
-    /// The lease counts from when this watcher first saw the version, so no clocks are compared.
-    /// `longest_order` is waited out besides where servers do not check fences.
+    /// The lease is measured from when this watcher first saw the version, so no clocks are compared.
+    /// `max_order_duration` is added where servers do not check fencing tokens.
     pub fn is_lapsed(
         &mut self,
         now: Millis,
         version: u64,
         row: &Row,
-        longest_order: Millis,
+        max_order_duration: Millis,
     ) -> bool {
         match self.seen {
-            Some((seen, since)) if seen == version => now >= since + row.length_ms + longest_order,
+            Some((seen, since)) if seen == version => {
+                now >= since + row.length_ms + max_order_duration
+            }
             _ => {
                 self.seen = Some((version, now));
                 false
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,21 +1,21 @@
-//! The final outcome of a request, as its caller gets it.
+//! The final outcome of a request, as reported to its caller.
 
 use serde::{Deserialize, Serialize};
 
-/// Says how a request ended. Each accepted request has exactly one.
+/// How a request ended. Each accepted request has exactly one outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The complete response was delivered.
     Done,
-    /// No byte of the request can have reached a backend server that could run it.
+    /// The request did not run: no byte of it can have reached a backend server able to run it.
     NotRun,
-    /// The request may have run in part or as a whole.
+    /// The request may have run in part or completely.
     Unknown,
 }
 
 impl Outcome {
-    /// Names the outcome as it stands in answers and logs.
+    /// Returns the name of the outcome in responses and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,32 +1,32 @@
-//! The copy of a request's progress that a holder keeps.
+//! The replica of a request's progress.
 
-/// The tokens of an answer, as far as they were copied.
+/// The tokens of a response that were replicated so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tokens {
     tokens: Vec<String>,
 }
 
 impl Tokens {
-    /// Starts with the tokens of a record.
+    /// Creates a replica from the tokens of a record.
     pub fn new(tokens: Vec<String>) -> Self {
         Self { tokens }
     }
 
-    /// Adds tokens from an offset on; those that are known are passed over.
+    /// Appends tokens that start at an offset, skipping those already known.
     ///
-    /// Returns false, and adds nothing, where tokens before them are missing: the sender then
-    /// looks for the holder's place again.
+    /// Returns `false` and appends nothing if earlier tokens are missing; the sender then asks for
+    /// the replica's offset again.
     pub fn extend(&mut self, from_offset: u64, tokens: Vec<String>) -> bool {
         let known = self.tokens.len() as u64;
         if from_offset > known {
             return false;
         }
-        let repeated = (known - from_offset) as usize;
-        self.tokens.extend(tokens.into_iter().skip(repeated));
+        let overlap = (known - from_offset) as usize;
+        self.tokens.extend(tokens.into_iter().skip(overlap));
         true
     }
 
-    /// Gives the tokens back.
+    /// Returns the tokens, consuming the replica.
     pub fn into_inner(self) -> Vec<String> {
         self.tokens
     }
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -1,40 +1,42 @@
-//! How to go on with a request whose node is gone, from its record.
+//! Takeover of a request whose node has failed, from its record.
 
 use crate::claim::{Answer, Verdict};
 
-/// What the record and the bundle say of the request.
+/// Facts about the request from its record and the bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Whether a model engine runs it, which can be attached to.
+    /// Whether it runs on a model engine, to which a node can attach.
     pub is_model: bool,
-    /// Whether it may run more than once, or its servers see to it that it does not.
+    /// Whether it may be repeated, because it may run more than once or its servers deduplicate it.
     pub is_repeatable: bool,
-    /// Whether the record names an attempt.
+    /// Whether the record contains an attempt.
     pub has_attempt: bool,
 }
 
-/// How to go on.
+/// How to resume the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// Attach to the attempt that the record names.
+    /// Attach to the attempt named in the record.
     Attach,
-    /// Run it, from the tokens that the record has.
+    /// Run it again, continuing from the tokens in the record.
     Rerun,
-    /// Run it under the claim that was just got: it never ran before.
+    /// Run it under the claim just acquired: it has never run before.
     Claimed,
-    /// Give the answer that was recorded.
+    /// Return the recorded response.
     Recorded(Answer),
-    /// End it as not run: it was given up before it was sent.
+    /// End it as not run: it was abandoned before it was sent.
     NotRun,
-    /// End it as unknown.
+    /// End it with an unknown outcome.
     Unknown,
 }
 
-/// Decides how to go on. `claim` is the verdict over a new claim of this node, for a request that
-/// needs one, or `None` where it could not be had.
+/// Returns how to resume the request.
+///
+/// `claim` is the verdict on a new claim by this node, for a request that needs one, or `None` if
+/// the claim could not be made.
 pub fn choose_strategy(facts: RequestFacts, needs_claim: bool, claim: Option<Verdict>) -> Strategy {
     if needs_claim {
-        return start_claimed(facts, claim);
+        return choose_claimed_strategy(facts, claim);
     }
     match facts {
         RequestFacts { is_model: true, has_attempt: true, .. } => Strategy::Attach,
@@ -43,7 +45,7 @@
     }
 }
 
-fn start_claimed(facts: RequestFacts, claim: Option<Verdict>) -> Strategy {
+fn choose_claimed_strategy(facts: RequestFacts, claim: Option<Verdict>) -> Strategy {
     match claim {
         Some(Verdict::Run) => Strategy::Claimed,
         Some(Verdict::Recorded(answer)) => Strategy::Recorded(answer),
