--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,9 +1,9 @@
 //! What to do after an attempt to run a request has ended.
 //!
-//! A request that is not to be repeated goes on elsewhere only if nothing of it was sent, or if
-//! its attempt was steered off its server, in which case the shell first has it cancelled. Going
-//! on after an announced departure is not charged to the retry budget: it is bounded by the
-//! requests that ran there.
+//! A non-repeatable request fails over to another server only if nothing of it was sent, or if
+//! its server is drained; in the second case the caller of this module cancels the attempt first.
+//! A failover after an announced departure is not charged to the retry budget, because the number
+//! of such failovers is bounded by the requests that ran on the departing server.
 
 use crate::drain::Action;
 use crate::outcome::Outcome;
@@ -11,42 +11,42 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The answer is whole.
+    /// The response is complete.
     Finished,
-    /// No byte of it left, or the server says that it did not run it.
+    /// No byte of the request was sent, or the server reported that it did not run the request.
     NotSent,
-    /// It may have run in part, and no more comes of it.
+    /// The response was interrupted; the request may have run in part.
     Interrupted,
-    /// It must be taken off its server.
+    /// The server is drained, and the plan assigns this action to the attempt.
     Drained(Action),
-    /// The answer would come too late.
+    /// The deadline has passed.
     DeadlineExceeded,
 }
 
-/// What else the decision needs to know.
+/// The conditions under which the next step is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Conditions {
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether the attempt's server is known to leave.
+    /// Whether the attempt's server is known to be leaving.
     pub is_leaving: bool,
 }
 
-/// Why a request is given up.
+/// The reason why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Its deadline has passed.
+    /// The deadline has passed.
     DeadlineExceeded,
-    /// Nothing was sent, and no retry is left.
+    /// The request was not sent, and the retry budget is exhausted.
     Unsent,
-    /// It was sent, and must not be repeated.
+    /// The request was sent and must not be repeated.
     NotRepeatable,
-    /// It was sent, and no retry is left.
+    /// The request was sent, and the retry budget is exhausted.
     RetriesExhausted,
 }
 
 impl Reason {
-    /// Says the reason in a sentence, for the caller.
+    /// Returns the reason as a phrase for the caller.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::DeadlineExceeded => "the deadline has passed",
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the HTTP status that goes with it.
+    /// Returns the corresponding HTTP status.
     pub fn get_status(self) -> u16 {
         match self {
             Self::DeadlineExceeded => 504,
@@ -67,37 +67,39 @@
         }
     }
 
-    /// Returns `true` if asking again before long may help.
+    /// Returns `true` if the caller may succeed by retrying soon.
     pub fn is_transient(self) -> bool {
         matches!(self, Self::Unsent | Self::RetriesExhausted)
     }
 }
 
-/// What to do next.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Nothing: the answer is whole.
+    /// Do nothing: the response is complete.
     Done,
-    /// Go on at another server than this one.
+    /// Send the request to another server.
     FailOver,
-    /// Leave the attempt behind by this action, and go on at another server.
+    /// Take the request off its server by this action, and continue on another server.
     Migrate(Action),
-    /// Read the attempt on where it is.
+    /// Continue to read the current attempt.
     KeepReading,
-    /// End the request.
+    /// End the request with an error.
     GiveUp(Reason),
 }
 
-/// Decides what to do after an attempt. `take_retry` takes one retry of the budget, if there is one.
-pub fn decide_next(end: End, standing: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
+/// Decides what to do after an attempt.
+///
+/// `take_retry` takes one retry from the budget and returns `false` if the budget is exhausted.
+pub fn decide_next(end: End, conditions: Conditions, take_retry: impl FnOnce() -> bool) -> Next {
     match end {
         End::Finished => Next::Done,
         End::DeadlineExceeded => Next::GiveUp(Reason::DeadlineExceeded),
         End::Drained(Action::Finish) => Next::KeepReading,
         End::Drained(action) => Next::Migrate(action),
-        End::Interrupted if !standing.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
+        End::Interrupted if !conditions.is_repeatable => Next::GiveUp(Reason::NotRepeatable),
         End::NotSent | End::Interrupted => {
-            if standing.is_leaving || take_retry() {
+            if conditions.is_leaving || take_retry() {
                 return Next::FailOver;
             }
             let reason =
@@ -107,7 +109,7 @@
     }
 }
 
-/// Decides the outcome that a caller gets for a request that is given up.
+/// Returns the outcome reported to the caller for a request that is given up.
 pub fn decide_outcome(is_sent: bool) -> Outcome {
     if is_sent { Outcome::Unknown } else { Outcome::NotRun }
 }
--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -1,27 +1,28 @@
-//! How much may be used in a second.
+//! Rate limiting with token buckets.
 
 use crate::Millis;
 
-/// A token bucket whose level may fall below zero: what was consumed in advance is paid back first.
+/// A token bucket whose level may fall below zero: units consumed in advance are repaid first.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// Units that are left.
+    /// Units available now; negative while in debt.
     pub available: f64,
-    /// Units besides, which are held back.
+    /// Units held back in addition to those available.
     pub reserved: f64,
-    filled_at: Millis,
-    /// Units a second.
+    refilled_at: Millis,
+    /// Refill rate, in units per second.
     rate: f64,
     capacity: f64,
 }
 
 impl TokenBucket {
-    /// Makes a bucket at a level, which does not refill until [`TokenBucket::set_limits`].
+    /// Creates a bucket with the given level. It does not refill until [`TokenBucket::set_limits`]
+    /// is called.
     pub fn new(now: Millis, available: f64) -> Self {
-        Self { available, reserved: 0.0, filled_at: now, rate: 0.0, capacity: f64::INFINITY }
+        Self { available, reserved: 0.0, refilled_at: now, rate: 0.0, capacity: f64::INFINITY }
     }
 
-    /// Makes a full bucket with a burst of one second's units.
+    /// Creates a full bucket whose burst is one second's worth of units.
     pub fn full(now: Millis, per_second: u32) -> Self {
         let rate = f64::from(per_second.max(1));
         Self { rate, capacity: rate, ..Self::new(now, rate) }
@@ -31,23 +32,23 @@
     ///
     /// # Errors
     ///
-    /// Returns the milliseconds after which a unit may be there.
+    /// Returns the milliseconds until the next unit is available.
     pub fn take(&mut self, now: Millis) -> Result<(), Millis> {
         self.refill(now);
-        let lacking = 1.0 - self.available;
-        if lacking > 0.0 {
-            return Err((lacking / self.rate * 1_000.0).ceil() as Millis);
+        let missing = 1.0 - self.available;
+        if missing > 0.0 {
+            return Err((missing / self.rate * 1_000.0).ceil() as Millis);
         }
         self.available -= 1.0;
         Ok(())
     }
 
-    /// Holds units back, beside those that are available.
+    /// Returns the bucket with `reserved` units held back in addition to the available ones.
     pub fn reserve(self, reserved: f64) -> Self {
         Self { reserved, ..self }
     }
 
-    /// Refills the bucket at the rate in force until now, and sets the rate in force from now on.
+    /// Refills the bucket at the current rate, then sets the rate and capacity.
     pub fn set_limits(&mut self, now: Millis, rate: f64, capacity: f64) {
         self.refill(now);
         self.rate = rate;
@@ -55,27 +56,28 @@
         self.available = self.available.min(capacity);
     }
 
-    /// Returns the units a second and the capacity in force; `None` until [`TokenBucket::set_limits`].
+    /// Returns the rate and capacity, or `None` until [`TokenBucket::set_limits`] is called.
     pub fn get_limits(&self) -> Option<(f64, f64)> {
         self.capacity.is_finite().then_some((self.rate, self.capacity))
     }
 
-    /// Saves nothing up until the next [`TokenBucket::set_limits`], beyond what pays back a debt.
+    /// Sets the capacity to zero until the next [`TokenBucket::set_limits`], so that refills only
+    /// repay debt.
     pub fn stop_accumulating(&mut self, now: Millis) {
         self.set_limits(now, self.rate, 0.0);
     }
 
-    /// Holds no more than `reserved` units back, and makes the others available.
+    /// Reduces the reserved units to at most `reserved` and makes the rest available.
     pub fn release(&mut self, reserved: f64) {
         let released = (self.reserved - reserved).max(0.0);
         self.reserved -= released;
         self.available += released;
     }
 
-    /// Adds what was gained until now.
+    /// Adds the units accrued since the last refill.
     pub fn refill(&mut self, now: Millis) {
-        let gained = now.saturating_sub(self.filled_at) as f64 / 1_000.0 * self.rate;
-        self.available = (self.available + gained).min(self.capacity);
-        self.filled_at = self.filled_at.max(now);
+        let accrued = now.saturating_sub(self.refilled_at) as f64 / 1_000.0 * self.rate;
+        self.available = (self.available + accrued).min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,36 +1,36 @@
-//! Whether a request may be sent to another server, and when to try again.
+//! The retry budget and the retry backoff.
 //!
-//! All nodes share one budget for each service: a ratio of its requests and a fixed number of
-//! repeats in every window, so that a wave of failures cannot multiply the load on what is left. No
-//! node asks another. Each takes the ratio of its own requests and an even share of the fixed
-//! number, so that the sum stays within the whole however the nodes are cut off.
+//! All nodes share one budget per service: a ratio of its requests plus a fixed number of retries
+//! per window, so that a wave of failures cannot multiply the load on the remaining servers. Nodes
+//! do not coordinate. Each node uses the ratio of its own requests and an equal share of the fixed
+//! number, so the total stays within the budget under any network partition.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Millis;
 
-/// What the operator allows over all nodes.
+/// The retries that the operator allows over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats in a window besides.
+    /// Additional retries per window, independent of the number of requests.
     pub min_retries: f64,
-    /// The window's length.
+    /// Length of the sliding window, in milliseconds.
     pub window: Millis,
-    /// The fraction of the allowance that is used; the rest is a margin for repeats that callers'
-    /// own retries and lost answers add at the edges of windows.
+    /// The fraction of the allowance that may be used. The rest is a margin for retries by callers
+    /// and lost responses that add up at window boundaries.
     pub usable_fraction: f64,
 }
 
-/// The repeats of one node, by service, in a sliding window.
+/// The retry budget of one node, per service, over a sliding window.
 ///
 /// # Examples
 ///
 /// ```
 /// use keeljunction_core::retry::{Allowance, Budget};
 ///
-/// // A tenth of the requests and one more in any ten seconds.
+/// // A tenth of the requests, plus one, in any ten seconds.
 /// let mut budget = Budget::new(Allowance { ratio: 0.1, min_retries: 1.0, window: 10_000, usable_fraction: 1.0 });
 /// assert!(budget.take(0, "llm", 1));
 /// assert!(!budget.take(0, "llm", 1));
@@ -42,48 +42,48 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowance: Allowance,
-    services: BTreeMap<String, Counts>,
+    services: BTreeMap<String, Usage>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Counts {
+struct Usage {
     requests: VecDeque<Millis>,
-    repeats: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
 impl Budget {
-    /// Makes an unused budget.
+    /// Creates an unused budget.
     pub fn new(allowance: Allowance) -> Self {
         Self { allowance, services: BTreeMap::new() }
     }
 
-    /// Counts a request to a service.
+    /// Records a request to a service.
     pub fn count_request(&mut self, now: Millis, service: &str) {
         let window = self.allowance.window;
-        let counts = self.services.entry(service.to_owned()).or_default();
-        counts.requests.push_back(now);
-        expire(&mut counts.requests, now, window);
+        let usage = self.services.entry(service.to_owned()).or_default();
+        usage.requests.push_back(now);
+        expire(&mut usage.requests, now, window);
     }
 
-    /// Takes a repeat, where the budget of this node, one of `nodes`, allows it.
+    /// Takes one retry and returns `true` if the budget of this node, one of `nodes`, allows it.
     pub fn take(&mut self, now: Millis, service: &str, nodes: usize) -> bool {
-        let left = self.get_remaining(now, service, nodes);
-        if left < 1.0 {
+        let remaining = self.get_remaining(now, service, nodes);
+        if remaining < 1.0 {
             return false;
         }
-        self.services.entry(service.to_owned()).or_default().repeats.push_back(now);
+        self.services.entry(service.to_owned()).or_default().retries.push_back(now);
         true
     }
 
-    /// Returns how many repeats are left in the window that ends now.
+    /// Returns the number of retries remaining in the window that ends now.
     pub fn get_remaining(&mut self, now: Millis, service: &str, nodes: usize) -> f64 {
         let Allowance { ratio, min_retries, window, usable_fraction } = self.allowance;
-        let counts = self.services.entry(service.to_owned()).or_default();
-        expire(&mut counts.requests, now, window);
-        expire(&mut counts.repeats, now, window);
-        let own_least = min_retries / nodes.max(1) as f64;
-        let owed = ratio * counts.requests.len() as f64 + own_least;
-        owed * usable_fraction - counts.repeats.len() as f64
+        let usage = self.services.entry(service.to_owned()).or_default();
+        expire(&mut usage.requests, now, window);
+        expire(&mut usage.retries, now, window);
+        let own_min_retries = min_retries / nodes.max(1) as f64;
+        let allowed = ratio * usage.requests.len() as f64 + own_min_retries;
+        allowed * usable_fraction - usage.retries.len() as f64
     }
 }
 
@@ -93,11 +93,11 @@
     }
 }
 
-/// Computes a wait before try number `attempt` (from 1), doubled each time, with full jitter.
+/// Returns the backoff before attempt number `attempt` (from 1): exponential, with equal jitter.
 ///
-/// `random` is drawn evenly from 0 to 1. The wait lies between half and the whole of the bound.
-pub fn backoff(attempt: u32, base: Millis, most: Millis, random: f64) -> Millis {
-    let bound = base.saturating_mul(1 << attempt.saturating_sub(1).min(16)).min(most);
+/// `random` is drawn uniformly from 0 to 1. The backoff lies between half the bound and the bound.
+pub fn backoff(attempt: u32, base: Millis, max: Millis, random: f64) -> Millis {
+    let bound = base.saturating_mul(1 << attempt.saturating_sub(1).min(16)).min(max);
     let half = bound / 2;
     half + ((bound - half) as f64 * random) as Millis
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,30 +1,30 @@
-//! Which tokens belong to an answer.
+//! Assembly of a response from the tokens of its attempts.
 //!
-//! Each dispatch has its own attempt name and each token an offset. Only the current attempt's
-//! tokens pass, each once and in order. What is doubled or foreign is dropped and counted; what
-//! comes too early is held until the tokens before it have come.
+//! Each dispatch has its own attempt name, and each token has an offset. Only tokens of the current
+//! attempt are accepted, each once and in order. Duplicate and foreign tokens are dropped and
+//! counted; tokens that arrive early are buffered until the tokens before them have arrived.
 
 use std::collections::BTreeMap;
 
-/// Tokens that may be held because others before them are missing.
-const MOST_HELD: usize = 64;
+/// Maximum number of tokens buffered while earlier ones are missing.
+const MAX_BUFFERED_TOKENS: usize = 64;
 
-/// Says what became of a token that arrived.
+/// What was done with a received token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// These tokens come next in the answer: the one that arrived, and those held for it.
+    /// These tokens come next in the response: the received one, and those buffered behind it.
     Accept(Vec<String>),
-    /// Tokens before it are missing; it is held.
+    /// Tokens before it are missing; it was buffered.
     Buffered,
-    /// It was seen before.
+    /// It was received before.
     Duplicate,
     /// It belongs to another attempt.
     Foreign,
-    /// Too much is missing: the attempt must be read again from this offset.
+    /// The buffer is full: the attempt must be read again from this offset.
     Gap(u64),
 }
 
-/// The place up to which an answer has come.
+/// The position up to which a response has been received.
 ///
 /// # Examples
 ///
@@ -42,51 +42,51 @@
 pub struct Cursor {
     attempt: String,
     next: u64,
-    held: BTreeMap<u64, String>,
+    buffered: BTreeMap<u64, String>,
 }
 
 impl Cursor {
-    /// Starts at an offset with an attempt.
+    /// Creates a cursor for an attempt, starting at an offset.
     pub fn new(attempt: &str, next: u64) -> Self {
-        Self { attempt: attempt.to_owned(), next, held: BTreeMap::new() }
+        Self { attempt: attempt.to_owned(), next, buffered: BTreeMap::new() }
     }
 
-    /// Goes on with another attempt, or another reading of the same, from the same place.
+    /// Switches to another attempt, or to a new read of the same attempt, at the same position.
     pub fn switch(&mut self, attempt: &str) {
         self.attempt = attempt.to_owned();
-        self.held.clear();
+        self.buffered.clear();
     }
 
-    /// Takes one token of an attempt in.
+    /// Receives one token of an attempt.
     pub fn take(&mut self, attempt: &str, offset: u64, token: &str) -> Disposition {
         if attempt != self.attempt {
             return Disposition::Foreign;
         }
-        if offset < self.next || self.held.contains_key(&offset) {
+        if offset < self.next || self.buffered.contains_key(&offset) {
             return Disposition::Duplicate;
         }
         if offset > self.next {
-            if self.held.len() >= MOST_HELD {
+            if self.buffered.len() >= MAX_BUFFERED_TOKENS {
                 return Disposition::Gap(self.next);
             }
-            self.held.insert(offset, token.to_owned());
+            self.buffered.insert(offset, token.to_owned());
             return Disposition::Buffered;
         }
         let mut accepted = vec![token.to_owned()];
         self.next += 1;
-        while let Some(token) = self.held.remove(&self.next) {
+        while let Some(token) = self.buffered.remove(&self.next) {
             accepted.push(token);
             self.next += 1;
         }
         Disposition::Accept(accepted)
     }
 
-    /// Returns `true` if tokens are held for others that are missing.
+    /// Returns `true` if tokens are buffered because earlier ones are missing.
     pub fn has_gap(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffered.is_empty()
     }
 
-    /// Returns the offset of the next token.
+    /// Returns the offset of the next expected token.
     pub fn get_next(&self) -> u64 {
         self.next
     }
