--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,75 +1,75 @@
-//! Which backend servers there are, and which of them are leaving.
+//! The known backend servers, and which of them are leaving.
 //!
-//! The platform's VM list lags, so news of a departure go before it: once a server is known to
-//! leave, no list and no late news bring it back.
+//! The platform's VM list lags, so departures take precedence over it: once a server is known to
+//! be leaving, neither a VM list nor a late update reverts that.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::gossip::TransmitQueue;
 
-/// How long a departure is remembered after the VM should be gone, in milliseconds.
-const MEMORY_MS: Millis = 600_000;
+/// How long a departure is retained after the VM should be gone, in milliseconds.
+const DEPARTURE_TTL_MS: Millis = 600_000;
 
-/// A backend server, as the VM list gives it.
+/// A backend server, as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
     /// The name of its VM.
     pub name: String,
     /// The service it belongs to.
     pub service: String,
-    /// Where it is reached, as `IP:port`.
+    /// Its address, as `IP:port`.
     pub address: String,
-    /// The data centre it stands in.
+    /// The data centre that it runs in.
     pub data_centre: String,
 }
 
-/// News that a server is leaving.
+/// An update saying that a server is leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Departure {
     /// The server's name.
     pub server: String,
-    /// When its VM is gone, on the reader's clock.
+    /// When its VM is gone, on the local clock.
     pub gone_at: Millis,
 }
 
-/// The backend servers that a node knows.
+/// The backend servers known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     servers: BTreeMap<String, Server>,
     departures: BTreeMap<String, Millis>,
-    news: TransmitQueue<Departure>,
+    updates: TransmitQueue<Departure>,
 }
 
 impl Directory {
-    /// Makes an empty directory.
+    /// Creates an empty directory.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the VM list in: all backend servers, in place of those known.
+    /// Replaces the known servers with those of a VM list, and forgets old departures.
     pub fn set_servers(&mut self, now: Millis, listed: impl Iterator<Item = Server>) {
         self.servers = listed.map(|server| (server.name.clone(), server)).collect();
-        self.departures.retain(|_, until| now < *until + MEMORY_MS);
+        self.departures.retain(|_, gone_at| now < *gone_at + DEPARTURE_TTL_MS);
     }
 
-    /// Adds a server heard of from a peer; it never replaces one that is known.
+    /// Adds a server learned from a peer. A known server is never replaced.
     pub fn add(&mut self, server: Server) {
         self.servers.entry(server.name.clone()).or_insert(server);
     }
 
-    /// Merges a departure; returns `true` if it was new.
+    /// Merges a departure and returns `true` if it was new.
     ///
-    /// The earliest end that was heard of counts.
+    /// If several times are reported for one server, the earliest is kept.
     pub fn add_departure(&mut self, departure: &Departure) -> bool {
         let known = self.departures.get(&departure.server).copied();
-        if let Some(until) = known {
-            let earliest = until.min(departure.gone_at);
+        if let Some(gone_at) = known {
+            let earliest = gone_at.min(departure.gone_at);
             self.departures.insert(departure.server.clone(), earliest);
             return false;
         }
         self.departures.insert(departure.server.clone(), departure.gone_at);
-        self.news.push(&departure.server, departure.clone());
+        self.updates.push(&departure.server, departure.clone());
         true
     }
 
@@ -78,28 +78,28 @@
         self.departures.contains_key(server)
     }
 
-    /// Returns when a leaving server's VM is gone.
+    /// Returns when the VM of a leaving server is gone.
     pub fn get_gone_at(&self, server: &str) -> Option<Millis> {
         self.departures.get(server).copied()
     }
 
-    /// Finds a server by name.
+    /// Returns a server by name.
     pub fn get(&self, server: &str) -> Option<&Server> {
         self.servers.get(server)
     }
 
-    /// Walks all servers.
+    /// Returns an iterator over all servers.
     pub fn iter(&self) -> impl Iterator<Item = &Server> {
         self.servers.values()
     }
 
-    /// Walks the servers of a service.
+    /// Returns an iterator over the servers of a service.
     pub fn iter_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         self.servers.values().filter(move |server| server.service == service)
     }
 
-    /// Takes up to `most` pieces of news for one message among `nodes` nodes.
-    pub fn take_updates(&mut self, most: usize, nodes: usize) -> Vec<Departure> {
-        self.news.take(most, nodes)
+    /// Takes up to `max` updates for one message in a cluster of `nodes` nodes.
+    pub fn take_updates(&mut self, max: usize, nodes: usize) -> Vec<Departure> {
+        self.updates.take(max, nodes)
     }
 }
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,60 +1,60 @@
-//! What becomes of the streams on a VM that is going away.
+//! Draining of the streams on a VM that is being reclaimed.
 
 use crate::Millis;
 
-/// Time kept for things to go wrong, in milliseconds.
-const MARGIN_MS: Millis = 250;
+/// Part of the notice period that is kept as a safety margin, in milliseconds.
+const SAFETY_MARGIN_MS: Millis = 250;
 
-/// A stream on the VM that is going away.
+/// A stream on the VM that is being reclaimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stream {
     /// The attempt's name.
     pub attempt: String,
-    /// The class's priority; 0 is the most urgent.
+    /// The priority of the request class; 0 is the most urgent.
     pub priority: u32,
-    /// Tokens of prompt and answer whose state the engine holds.
+    /// Tokens of prompt and response in the engine's KV cache.
     pub context_tokens: u64,
-    /// Tokens that may still come.
+    /// Tokens that may still be generated.
     pub tokens_left: u64,
-    /// Time between two tokens, in milliseconds.
+    /// Time per generated token, in milliseconds.
     pub gap_ms: Millis,
 }
 
-/// What the notice and the engines allow.
+/// Limits set by the reclaim notice and the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Milliseconds left until the VM is gone.
+    /// Time left until the VM is gone, in milliseconds.
     pub notice: Millis,
-    /// Tokens of KV cache that the VM can send away in a second; 0 where it cannot.
+    /// KV cache export rate of the VM, in tokens per second; 0 if it cannot export.
     pub export_tokens_per_second: u64,
 }
 
-/// What to do with a stream.
+/// What to do with a stream on the VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Let it finish where it is.
+    /// Let it finish on the VM.
     Finish,
-    /// Carry its KV cache to another server and go on there.
+    /// Transfer its KV cache to another server and continue there.
     Move,
-    /// Go on elsewhere from the prompt and the tokens so far, which are computed again.
+    /// Continue on another server, which recomputes the prompt and the tokens so far.
     Resume,
 }
 
-/// Plans each stream: finish in place where there is time, else move, else resume.
+/// Plans an action for each stream: finish in place if time permits, else move, else resume.
 ///
-/// Moves share the VM's bandwidth one after another: the most urgent class first, then those
-/// with the most tokens to save. The plan comes in the order in which to act.
+/// Moves use the VM's bandwidth one after another: the most urgent class first, then the streams
+/// with the most cached tokens. The plan is sorted in the order of execution.
 pub fn plan(limits: &Limits, streams: &[Stream]) -> Vec<(String, Action)> {
-    let notice = limits.notice.saturating_sub(MARGIN_MS);
-    let (finishing, mut going): (Vec<&Stream>, Vec<&Stream>) =
+    let notice = limits.notice.saturating_sub(SAFETY_MARGIN_MS);
+    let (finishing, mut evicted): (Vec<&Stream>, Vec<&Stream>) =
         streams.iter().partition(|stream| stream.tokens_left * stream.gap_ms <= notice);
-    going.sort_by_key(|stream| (stream.priority, u64::MAX - stream.context_tokens));
-    let mut spent = 0;
+    evicted.sort_by_key(|stream| (stream.priority, u64::MAX - stream.context_tokens));
+    let mut used = 0;
     let mut actions = Vec::with_capacity(streams.len());
-    for stream in going {
+    for stream in evicted {
         let action = match transfer_time(limits, stream) {
-            Some(time) if spent + time <= notice => {
-                spent += time;
+            Some(time) if used + time <= notice => {
+                used += time;
                 Action::Move
             }
             _ => Action::Resume,
