--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,11 +1,11 @@
-//! News that ride on other messages, a bounded number of times each.
+//! Piggybacked gossip: updates ride on other messages, each a bounded number of times.
 
 use std::collections::VecDeque;
 
-/// Sends of one piece of news, per doubling of the number of nodes.
-const SENDS_PER_DOUBLING: u32 = 3;
+/// Transmissions of one update per doubling of the number of nodes.
+const TRANSMITS_PER_DOUBLING: u32 = 3;
 
-/// News to pass on: the least sent first, each a bounded number of times.
+/// A queue of updates to transmit: the least transmitted first, each a bounded number of times.
 #[derive(Clone, Debug)]
 pub struct TransmitQueue<T> {
     entries: VecDeque<Entry<T>>,
@@ -14,8 +14,8 @@
 #[derive(Clone, Debug)]
 struct Entry<T> {
     key: String,
-    news: T,
-    sent: u32,
+    update: T,
+    transmissions: u32,
 }
 
 impl<T> Default for TransmitQueue<T> {
@@ -25,46 +25,46 @@
 }
 
 impl<T: Clone> TransmitQueue<T> {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds news; it takes the place of older news with the same key.
-    pub fn push(&mut self, key: &str, news: T) {
+    /// Adds an update, replacing any earlier update with the same key.
+    pub fn push(&mut self, key: &str, update: T) {
         self.entries.retain(|entry| entry.key != key);
-        self.entries.push_front(Entry { key: key.to_owned(), news, sent: 0 });
+        self.entries.push_front(Entry { key: key.to_owned(), update, transmissions: 0 });
     }
 
-    /// Takes up to `most` pieces of news for one message among `nodes` nodes.
-    pub fn take(&mut self, most: usize, nodes: usize) -> Vec<T> {
-        let limit = send_limit(nodes);
-        let count = most.min(self.entries.len());
+    /// Takes up to `max` updates for one message in a cluster of `nodes` nodes.
+    pub fn take(&mut self, max: usize, nodes: usize) -> Vec<T> {
+        let limit = get_transmit_limit(nodes);
+        let count = max.min(self.entries.len());
         let mut taken = Vec::with_capacity(count);
         for _ in 0..count {
             let Some(mut entry) = self.entries.pop_front() else { break };
-            taken.push(entry.news.clone());
-            entry.sent += 1;
-            if entry.sent < limit {
+            taken.push(entry.update.clone());
+            entry.transmissions += 1;
+            if entry.transmissions < limit {
                 self.entries.push_back(entry);
             }
         }
         taken
     }
 
-    /// Returns how many pieces of news wait.
+    /// Returns the number of queued updates.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns `true` if no news wait.
+    /// Returns `true` if the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// Computes how often each piece of news is sent among `nodes` nodes.
-fn send_limit(nodes: usize) -> u32 {
+/// Returns how often each update is transmitted in a cluster of `nodes` nodes.
+fn get_transmit_limit(nodes: usize) -> u32 {
     let doublings = usize::BITS - nodes.max(1).leading_zeros();
-    SENDS_PER_DOUBLING * doublings
+    TRANSMITS_PER_DOUBLING * doublings
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,27 +1,27 @@
-//! Every decision of keeljunction, without input or output.
+//! The decision logic of keeljunction, free of I/O.
 //!
-//! Time and randomness are passed in and outcomes are returned as values, so that each decision
-//! can be tested without a socket. Times are milliseconds on a monotonic clock ([`Millis`])
-//! unless a name says otherwise.
+//! Time and randomness are passed in and results are returned as values, so every decision can
+//! be tested without a socket. Times are milliseconds on a monotonic clock ([`Millis`]) unless a
+//! name says otherwise.
 //!
 //! | module | decides |
 //! |---|---|
-//! | [`bundle`] | what a bundle may say, who signed it, which roll is newer |
-//! | [`member`] | which nodes live |
-//! | [`directory`] | which backend servers there are, and which are leaving |
-//! | [`gossip`] | which news ride on the next message |
-//! | [`rendezvous`] | which node owns a key, and who comes after it |
-//! | [`shard`] | whose turn it is, whether there is room, and when to come back |
-//! | [`route`] | which backend server is expected to answer first |
-//! | [`stream`] | which tokens belong to an answer |
+//! | [`bundle`] | whether a bundle is valid and trusted, and which roll is newer |
+//! | [`member`] | which nodes are alive |
+//! | [`directory`] | which backend servers exist, and which are leaving |
+//! | [`gossip`] | which updates are piggybacked on the next message |
+//! | [`rendezvous`] | which node owns a key, and which nodes succeed it |
+//! | [`shard`] | admission: which request is granted a server next, and when a refused one may retry |
+//! | [`route`] | which backend server is expected to respond first |
+//! | [`stream`] | which tokens belong to a response |
 //! | [`attempt`] | what to do after an attempt has ended |
-//! | [`takeover`], [`record`] | how to go on with a request whose node is gone |
-//! | [`retry`] | whether another try is allowed |
-//! | [`bucket`] | how much may be used in a second |
-//! | [`claim`] | whether a request that must not be repeated may run |
-//! | [`lease`] | whether a holder may still act |
-//! | [`drain`] | what becomes of the streams on a VM that is going away |
-//! | [`fleet`] | which VMs to hold |
+//! | [`takeover`], [`record`] | how to resume a request whose node has failed |
+//! | [`retry`] | whether a retry is within the budget |
+//! | [`bucket`] | rate limiting with token buckets |
+//! | [`claim`] | whether a non-repeatable request may run |
+//! | [`lease`] | whether a lease holder may still act |
+//! | [`drain`] | what happens to the streams on a VM that is being reclaimed |
+//! | [`fleet`] | which VMs to run |
 //! | [`serving`] | all of the above for relayed exchanges, whose bodies are opaque |
 
 pub mod attempt;
@@ -48,5 +48,5 @@
 
 pub use error::{Error, ErrorKind};
 
-/// A point on a monotonic clock, or a span of it, in milliseconds.
+/// A point in time on a monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,48 +1,48 @@
-//! Which node owns a key, and who comes after it.
+//! Rendezvous hashing: which node owns a key, and which nodes succeed it.
 //!
-//! Every node computes the same ordered list of nodes for a key, by rendezvous hashing, from the
-//! names alone. The first live node of the list owns the key; when it goes, only its keys move.
+//! Every node computes the same ranking of nodes for a key from the node names alone. The first
+//! live node of the ranking owns the key; when a node fails, only its keys move.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns the function that weighs names for a key: the owner is the heaviest.
+/// Returns the weight function of a key. The node with the highest weight owns the key.
 pub fn make_weight_fn(key: &str) -> impl Fn(&str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     move |name| weight(seed, name)
 }
 
-/// Orders names by their weight for a key, the owner first.
+/// Returns the names ranked by their weight for a key, the owner first.
 pub fn rank<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
-    let weigh = make_weight_fn(key);
-    let mut weighed: Vec<(u64, &str)> = names.map(|name| (weigh(name), name)).collect();
-    weighed.sort_unstable_by(|a, b| b.cmp(a));
-    weighed.into_iter().map(|(_, name)| name).collect()
+    let weight_of = make_weight_fn(key);
+    let mut weighted: Vec<(u64, &str)> = names.map(|name| (weight_of(name), name)).collect();
+    weighted.sort_unstable_by(|a, b| b.cmp(a));
+    weighted.into_iter().map(|(_, name)| name).collect()
 }
 
-/// Finds the owner of a key without ordering the rest.
+/// Returns the owner of a key without ranking the others.
 pub fn owner<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     owner_of_hash(xxh3_64_with_seed(key.as_bytes(), 0), names)
 }
 
-/// Finds the owner of a key that is a number drawn evenly, such as a hash.
+/// Returns the owner of a key that is a uniformly distributed number, such as a hash.
 pub fn owner_of_hash<'a>(key: u64, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names.max_by_key(|name| (weight(key, name), *name))
 }
 
-/// Picks the node that holds the copy of a request's record.
+/// Returns the node that keeps the replica of a request's record.
 ///
-/// It is the first of the succession list that is not the entry node itself and, where there is
-/// a choice, stands in another data centre. `nodes` gives names with their data centres.
+/// It is the first node of the ranking that is not the entry node itself and, if possible, runs in
+/// another data centre. `nodes` holds names with their data centres.
 pub fn replica<'a>(
     key: &str,
-    me: &str,
-    my_data_centre: &str,
+    own_name: &str,
+    own_data_centre: &str,
     nodes: &'a [(String, String)],
 ) -> Option<&'a str> {
-    let others = nodes.iter().filter(|(name, _)| name != me);
-    let ordered = rank(key, others.map(|(name, _)| name.as_str()));
-    let is_away = |name: &&&str| nodes.iter().any(|(n, dc)| n == **name && dc != my_data_centre);
-    ordered.iter().find(is_away).or(ordered.first()).copied()
+    let others = nodes.iter().filter(|(name, _)| name != own_name);
+    let ranked = rank(key, others.map(|(name, _)| name.as_str()));
+    let is_remote = |name: &&&str| nodes.iter().any(|(n, dc)| n == **name && dc != own_data_centre);
+    ranked.iter().find(is_remote).or(ranked.first()).copied()
 }
 
 fn weight(seed: u64, name: &str) -> u64 {
