--- a/crates/core/src/member/list.rs
+++ b/crates/core/src/member/list.rs
@@ -1,4 +1,4 @@
-//! The nodes that one node knows.
+//! The member list of a node.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 use crate::Millis;
 use crate::gossip::TransmitQueue;
 
-/// The times that membership goes by, in milliseconds.
+/// Membership timeouts, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long a suspect has to refute before it counts as dead.
+    /// How long a suspect may refute before it is declared dead.
     pub suspicion: Millis,
-    /// How long a dead node is remembered, so that late news cannot bring it back.
+    /// How long a dead node is retained, so that late updates cannot revive it.
     pub dead_retention: Millis,
 }
 
-/// The nodes that one node knows, itself included.
+/// The nodes known to one node, including itself.
 #[derive(Clone, Debug)]
 pub struct List {
-    me: Member,
+    local: Member,
     others: BTreeMap<String, Entry>,
-    news: TransmitQueue<Member>,
-    round: Vec<String>,
+    updates: TransmitQueue<Member>,
+    probe_round: Vec<String>,
     timing: Timing,
 }
 
@@ -33,68 +33,71 @@
 }
 
 impl List {
-    /// Starts a list with the node itself.
-    pub fn new(me: Member, timing: Timing) -> Self {
-        let mut news = TransmitQueue::new();
-        news.push(&me.name, me.clone());
-        Self { me, others: BTreeMap::new(), news, round: Vec::new(), timing }
+    /// Creates a list that contains only the local node.
+    pub fn new(local: Member, timing: Timing) -> Self {
+        let mut updates = TransmitQueue::new();
+        updates.push(&local.name, local.clone());
+        Self { local, others: BTreeMap::new(), updates, probe_round: Vec::new(), timing }
     }
 
-    /// Returns the node itself.
+    /// Returns the local node.
     pub fn get_local(&self) -> &Member {
-        &self.me
+        &self.local
     }
 
-    /// Finds a node by name.
+    /// Returns a node by name.
     pub fn get(&self, name: &str) -> Option<&Member> {
-        if name == self.me.name {
-            return Some(&self.me);
+        if name == self.local.name {
+            return Some(&self.local);
         }
         self.others.get(name).map(|entry| &entry.member)
     }
 
-    /// Walks all known nodes, the node itself first.
+    /// Returns an iterator expired all known nodes, the local node first.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
-        std::iter::once(&self.me).chain(self.others.values().map(|entry| &entry.member))
+        std::iter::once(&self.local).chain(self.others.values().map(|entry| &entry.member))
     }
 
-    /// Walks the nodes that may be given work: alive ones, and suspects that may yet refute.
+    /// Returns an iterator expired the nodes that may be given work: alive ones, and suspects, which may
+    /// still refute.
     pub fn iter_usable(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| matches!(member.state, State::Alive | State::Suspect))
     }
 
-    /// Adds a node from a list that lags; it never overrides what is known.
+    /// Adds a node from a list that may be stale. Known nodes are never overridden.
     pub fn seed(&mut self, now: Millis, member: Member) {
-        if member.name != self.me.name && !self.others.contains_key(&member.name) {
+        if member.name != self.local.name && !self.others.contains_key(&member.name) {
             self.apply(now, member);
         }
     }
 
-    /// Merges news; returns `true` if they were new.
+    /// Merges an update and returns `true` if it was new.
     ///
-    /// News of the node's own death or suspicion are refuted with a higher incarnation.
-    pub fn apply(&mut self, now: Millis, news: Member) -> bool {
-        if news.name == self.me.name {
-            return self.refute(&news);
+    /// If the update declares the local node suspect or dead, the node refutes it with a higher
+    /// incarnation.
+    pub fn apply(&mut self, now: Millis, update: Member) -> bool {
+        if update.name == self.local.name {
+            return self.refute(&update);
         }
-        let known = self.others.get(&news.name);
-        if known.is_some_and(|entry| !news.overrides(&entry.member)) {
+        let known = self.others.get(&update.name);
+        if known.is_some_and(|entry| !update.overrides(&entry.member)) {
             return false;
         }
-        self.news.push(&news.name, news.clone());
-        let entry = Entry { member: news, since: now, missed_since: None };
+        self.updates.push(&update.name, update.clone());
+        let entry = Entry { member: update, since: now, missed_since: None };
         self.others.insert(entry.member.name.clone(), entry);
         true
     }
 
-    /// Picks the node to probe next; each is picked once in a round of random order.
+    /// Returns the node to probe next. Each node is probed once per probe_round, in random order.
     pub fn next_probe(&mut self, random: &mut fastrand::Rng) -> Option<Member> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.probable().map(|member| member.name.clone()).collect();
-                random.shuffle(&mut self.round);
+            if self.probe_round.is_empty() {
+                self.probe_round =
+                    self.iter_probe_targets().map(|member| member.name.clone()).collect();
+                random.shuffle(&mut self.probe_round);
             }
-            let name = self.round.pop()?;
+            let name = self.probe_round.pop()?;
             let entry = self.others.get(&name);
             if let Some(entry) = entry.filter(|entry| entry.member.state != State::Dead) {
                 return Some(entry.member.clone());
@@ -102,28 +105,29 @@
         }
     }
 
-    /// Picks up to `count` nodes to probe `target` on this node's behalf.
+    /// Returns up to `count` random nodes to probe `target` indirectly on behalf of the local node.
     pub fn pick_helpers(
         &self,
         target: &str,
         count: usize,
         random: &mut fastrand::Rng,
     ) -> Vec<Member> {
-        let fit = self.probable().filter(|m| m.name != target && m.state == State::Alive);
-        let mut fit: Vec<Member> = fit.cloned().collect();
-        random.shuffle(&mut fit);
-        fit.truncate(count);
-        fit
+        let eligible =
+            self.iter_probe_targets().filter(|m| m.name != target && m.state == State::Alive);
+        let mut eligible: Vec<Member> = eligible.cloned().collect();
+        random.shuffle(&mut eligible);
+        eligible.truncate(count);
+        eligible
     }
 
-    /// Notes that a node answered.
+    /// Records that a node answered a probe.
     pub fn record_answer(&mut self, name: &str) {
         if let Some(entry) = self.others.get_mut(name) {
             entry.missed_since = None;
         }
     }
 
-    /// Notes that a node answered neither directly nor through others.
+    /// Records that a node answered neither a direct nor an indirect probe.
     pub fn record_missed_probe(&mut self, now: Millis, name: &str) {
         let Some(entry) = self.others.get_mut(name) else { return };
         entry.missed_since.get_or_insert(now);
@@ -136,54 +140,56 @@
         }
     }
 
-    /// Declares silent nodes dead, forgets the long dead, and returns those newly dead.
+    /// Declares nodes dead whose suspicion timed out, forgets those dead for long, and returns the
+    /// newly dead ones.
     pub fn expire(&mut self, now: Millis) -> Vec<Member> {
         let timing = self.timing;
         self.others
             .retain(|_, e| e.member.state != State::Dead || now < e.since + timing.dead_retention);
-        let is_over = |entry: &&Entry| match entry.member.state {
+        let is_expired = |entry: &&Entry| match entry.member.state {
             State::Suspect => now >= entry.since + timing.suspicion,
             State::Leaving => entry.missed_since.is_some_and(|at| now >= at + timing.suspicion),
             State::Alive | State::Dead => false,
         };
-        let over = self.others.values().filter(is_over);
+        let expired = self.others.values().filter(is_expired);
         let dead: Vec<Member> =
-            over.map(|entry| Member { state: State::Dead, ..entry.member.clone() }).collect();
+            expired.map(|entry| Member { state: State::Dead, ..entry.member.clone() }).collect();
         for member in &dead {
             self.apply(now, member.clone());
         }
         dead
     }
 
-    /// Says that the node itself is leaving.
+    /// Announces that the local node is leaving.
     pub fn leave(&mut self) {
-        self.me.state = State::Leaving;
+        self.local.state = State::Leaving;
         self.announce();
     }
 
-    /// Takes up to `most` pieces of news for one message.
-    pub fn take_updates(&mut self, most: usize) -> Vec<Member> {
+    /// Takes up to `max` updates for one message.
+    pub fn take_updates(&mut self, max: usize) -> Vec<Member> {
         let nodes = self.others.len() + 1;
-        self.news.take(most, nodes)
+        self.updates.take(max, nodes)
     }
 
-    fn probable(&self) -> impl Iterator<Item = &Member> {
+    fn iter_probe_targets(&self) -> impl Iterator<Item = &Member> {
         self.others.values().map(|entry| &entry.member).filter(|m| m.state != State::Dead)
     }
 
-    fn refute(&mut self, news: &Member) -> bool {
-        let is_own = news.incarnation == self.me.incarnation && news.state == self.me.state;
-        let is_old = news.incarnation < self.me.incarnation;
-        if is_own || is_old || news.state == State::Alive {
+    fn refute(&mut self, update: &Member) -> bool {
+        let is_own =
+            update.incarnation == self.local.incarnation && update.state == self.local.state;
+        let is_old = update.incarnation < self.local.incarnation;
+        if is_own || is_old || update.state == State::Alive {
             return false;
         }
-        self.me.incarnation = news.incarnation;
+        self.local.incarnation = update.incarnation;
         self.announce();
         true
     }
 
     fn announce(&mut self) {
-        self.me.incarnation += 1;
-        self.news.push(&self.me.name, self.me.clone());
+        self.local.incarnation += 1;
+        self.updates.push(&self.local.name, self.local.clone());
     }
 }
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -1,6 +1,6 @@
-//! Which nodes live: probes, suspicion, and refutation.
+//! SWIM-style membership: probes, suspicion and refutation.
 //!
-//! Membership is a hint for placement. No promise depends on it being right.
+//! Membership is a hint for placement. No guarantee depends on it being correct.
 
 mod list;
 mod record;
--- a/crates/core/src/member/record.rs
+++ b/crates/core/src/member/record.rs
@@ -1,20 +1,20 @@
-//! What is known of one node.
+//! One node of the membership.
 
-/// Says how a node is thought to be. Later states override earlier ones of one incarnation.
+/// The assumed state of a node. Within one incarnation, later states override earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers.
+    /// The node answers probes.
     Alive,
-    /// It did not answer, and may be gone.
+    /// The node missed a probe and may have failed.
     Suspect,
-    /// It is going away and takes nothing new.
+    /// The node is shutting down and accepts no new work.
     Leaving,
-    /// It is gone.
+    /// The node has failed or left.
     Dead,
 }
 
 impl State {
-    /// Reads a state from its number in messages; unknown numbers count as suspect.
+    /// Converts from the number used in messages. Unknown numbers are read as suspect.
     pub fn from_number(number: u32) -> Self {
         match number {
             0 => Self::Alive,
@@ -24,29 +24,29 @@
         }
     }
 
-    /// Returns the number that stands for the state in messages.
+    /// Returns the number of the state in messages.
     pub fn as_number(self) -> u32 {
         self as u32
     }
 }
 
-/// A node, its place, and what is thought of it.
+/// A node with its location and assumed state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The node's name.
     pub name: String,
-    /// The data centre it stands in.
+    /// The data centre that the node runs in.
     pub data_centre: String,
-    /// Where its peers reach it, as `IP:port`.
+    /// The address for its peers, as `IP:port`.
     pub address: String,
-    /// A number that only the node itself raises.
+    /// The incarnation number, which only the node itself increments.
     pub incarnation: u64,
-    /// What is thought of it.
+    /// The assumed state.
     pub state: State,
 }
 
 impl Member {
-    /// Returns `true` if this news overrides what was known.
+    /// Returns `true` if this update overrides the known one.
     pub fn overrides(&self, known: &Member) -> bool {
         (self.incarnation, self.state) > (known.incarnation, known.state)
     }
