--- a/crates/core/src/error/error_kind.rs
+++ b/crates/core/src/error/error_kind.rs
@@ -1,27 +1,27 @@
-//! What sort of thing went wrong.
+//! The kinds of errors.
 
-/// Says what sort of thing went wrong, to match on.
+/// The kind of an [`Error`](super::Error), to match on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ErrorKind {
-    /// A value is not one of those allowed.
+    /// A value is not allowed.
     InvalidValue,
-    /// A key that must be there is missing.
+    /// A required key is missing.
     MissingKey,
-    /// A document cannot be read as what it should be.
+    /// A document cannot be parsed.
     Malformed,
     /// Two parts of a document contradict each other.
     Conflict,
-    /// A signature or credential does not hold.
+    /// A signature or credential is not valid.
     Untrusted,
-    /// Something that was named does not exist.
+    /// A named object does not exist.
     NotFound,
-    /// A system outside could not be reached or did not answer in time.
+    /// An external system could not be reached or did not respond in time.
     Unavailable,
 }
 
 impl ErrorKind {
-    /// Names the kind in a few words, for a person.
+    /// Returns a short description of the kind for the user.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InvalidValue => "invalid value",
--- a/crates/core/src/error/mod.rs
+++ b/crates/core/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! The one error type, its kinds and its context.
+//! The error type, its kinds and its context.
 
 mod error_kind;
 mod report;
--- a/crates/core/src/error/report.rs
+++ b/crates/core/src/error/report.rs
@@ -1,24 +1,24 @@
-//! An error with the context that a person needs to mend it.
+//! An error with the context that a user needs to fix it.
 
 use std::fmt;
 
 use super::ErrorKind;
 
-/// A piece of context of an [`Error`].
+/// A piece of context attached to an [`Error`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Context {
-    /// The key or argument at fault.
+    /// The invalid key or argument.
     Key(String),
     /// The value that was found.
     Value(String),
-    /// What would have been allowed.
+    /// The allowed values.
     Allowed(String),
-    /// What to do about it.
+    /// How to fix it.
     Tip(String),
 }
 
-/// Says what was wrong, the value, the possible values, and a tip.
+/// An error with a kind, a message and optional context.
 ///
 /// # Examples
 ///
@@ -41,47 +41,47 @@
 }
 
 impl Error {
-    /// Makes an error of a kind, with a sentence that says what was wrong.
+    /// Creates an error of a kind with a message.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into(), context: Vec::new() }
     }
 
-    /// Names the key at fault.
+    /// Adds the invalid key.
     pub fn key(self, key: impl Into<String>) -> Self {
         self.with(Context::Key(key.into()))
     }
 
-    /// Shows the value that was found.
+    /// Adds the value that was found.
     pub fn value(self, value: impl Into<String>) -> Self {
         self.with(Context::Value(value.into()))
     }
 
-    /// Shows what would have been allowed.
+    /// Adds the allowed values.
     pub fn allowed(self, allowed: impl Into<String>) -> Self {
         self.with(Context::Allowed(allowed.into()))
     }
 
-    /// Says what to do about it.
+    /// Adds a tip on how to fix the error.
     pub fn tip(self, tip: impl Into<String>) -> Self {
         self.with(Context::Tip(tip.into()))
     }
 
-    /// Returns the kind, to match on.
+    /// Returns the kind.
     pub fn get_kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// Returns the sentence that says what was wrong.
+    /// Returns the message.
     pub fn get_message(&self) -> &str {
         &self.message
     }
 
-    /// Returns the context in the order in which it was added.
+    /// Returns the context in insertion order.
     pub fn get_context(&self) -> &[Context] {
         &self.context
     }
 
-    /// Returns the tip, if there is one.
+    /// Returns the tip, if any.
     pub fn get_tip(&self) -> Option<&str> {
         self.context.iter().find_map(|context| match context {
             Context::Tip(tip) => Some(tip.as_str()),
