--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -1,131 +1,136 @@
-//! Chooses a backend server for a request.
+//! Selection of a backend server for a request.
 
 use serde::{Deserialize, Serialize};
 
 use super::{PrefixIndex, Server};
 use crate::Millis;
 
-/// A prompt with more uncached tokens than this is long.
+/// A prompt with more uncached tokens than this counts as long.
 pub const LONG_PROMPT_TOKENS: u64 = 1_000;
-/// A server this far above the mean load, in per cent, takes no more for its cache's sake.
-const BOUNDED_LOAD_PERCENT: u64 = 150;
-/// The part of a server's limit kept for the most urgent class, as a divisor.
+/// A server whose load exceeds the mean by this factor, in percent, gets no more requests for its
+/// cached prefixes.
+const MAX_LOAD_PERCENT: u64 = 150;
+/// The fraction of a server's limit that is reserved for the most urgent class, as a divisor.
 const URGENT_RESERVE_DIVISOR: u32 = 8;
-/// Cost that each request already there adds, in milliseconds of first-token time.
-const SHARING_MS: u64 = 4;
-/// How long a server is passed over after a failed connection, in milliseconds.
-const FAILURE_PAUSE_MS: Millis = 1_000;
+/// Time that each request already on a server adds to the time to first token, in milliseconds.
+const COST_PER_REQUEST_MS: u64 = 4;
+/// How long a server is skipped after a failed connection, in milliseconds.
+const FAILURE_BACK_OFF_MS: Millis = 1_000;
 
-/// What a request needs.
+/// The properties of a request that matter for routing.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
     /// Hashes of the prompt's blocks.
     pub prefix: &'a [u64],
-    /// The class's priority; 0 is the most urgent.
+    /// The priority of the request class; 0 is the most urgent.
     pub priority: u32,
-    /// Servers not to choose, by name.
+    /// Names of the servers to avoid.
     pub avoid: &'a [String],
 }
 
 /// The chosen server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// Its place in the slice that was given.
+    /// Its index in the given slice.
     pub index: usize,
-    /// Tokens of the prompt that it is thought to hold.
+    /// Prompt tokens assumed to be in its cache.
     pub cached_tokens: u64,
-    /// The expected first-token time, in milliseconds.
+    /// The expected time to first token, in milliseconds.
     pub expected_ms: Millis,
 }
 
-/// Chooses the server with the least expected first-token time among those with room.
+/// Returns the server with the lowest expected time to first token among those with room.
 ///
-/// Room is kept on every server for the most urgent class, and some servers are kept free of
-/// long prompts, so that a short urgent question never has only long ones to wait behind.
+/// Each server reserves room for the most urgent class, and some servers are kept free of long
+/// prompts, so that a short urgent request never has to wait behind long prompts everywhere.
 pub fn choose(
     now: Millis,
     servers: &[Server],
     index: &PrefixIndex,
     prefill_per_second: u64,
-    demand: &Request<'_>,
+    request: &Request<'_>,
 ) -> Option<Choice> {
     let mean = mean_load(now, servers);
-    let candidates = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, demand));
-    let choices = candidates.filter_map(|(place, server)| {
-        let cached = index.cached_tokens(&server.name, demand.prefix).min(demand.prompt_tokens);
-        let uncached = demand.prompt_tokens - cached;
-        if uncached > LONG_PROMPT_TOKENS && !takes_long(servers, server) {
+    let candidates = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, request));
+    let choices = candidates.filter_map(|(position, server)| {
+        let cached = index.cached_tokens(&server.name, request.prefix).min(request.prompt_tokens);
+        let uncached = request.prompt_tokens - cached;
+        if uncached > LONG_PROMPT_TOKENS && !accepts_long_prompt(servers, server) {
             return None;
         }
         let load = u64::from(server.get_load(now));
-        let is_crowded = load * 100 > (mean + 1) * BOUNDED_LOAD_PERCENT;
+        let is_overloaded = load * 100 > (mean + 1) * MAX_LOAD_PERCENT;
         let wait = (server.get_queued_tokens(now) + uncached) * 1000 / prefill_per_second.max(1);
-        let choice =
-            Choice { index: place, cached_tokens: cached, expected_ms: wait + load * SHARING_MS };
-        Some((is_crowded, choice))
+        let choice = Choice {
+            index: position,
+            cached_tokens: cached,
+            expected_ms: wait + load * COST_PER_REQUEST_MS,
+        };
+        Some((is_overloaded, choice))
     });
-    let least = choices.min_by_key(|(is_crowded, c)| (*is_crowded, c.expected_ms, c.index));
+    let least = choices.min_by_key(|(is_overloaded, c)| (*is_overloaded, c.expected_ms, c.index));
     least.map(|(_, choice)| choice)
 }
 
-/// How a server is chosen among those with room.
+/// The policy by which a server is chosen among those with room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// The least expected first-token time, by [`choose`].
+    /// The lowest expected time to first token, see [`choose`].
     #[default]
     Expected,
-    /// The less loaded of two random ones, by [`choose_less_loaded`]: a baseline.
+    /// The less loaded of two random servers, see [`choose_less_loaded`]; a baseline.
     TwoChoices,
-    /// One after the other, by [`choose_round_robin`]: a baseline.
+    /// One server after the other, see [`choose_round_robin`]; a baseline.
     RoundRobin,
 }
 
-/// Chooses the next server with room after the last one chosen.
+/// Returns the next server with room after the last chosen one.
 pub fn choose_round_robin(
     now: Millis,
     servers: &[Server],
-    demand: &Request<'_>,
+    request: &Request<'_>,
     last: usize,
 ) -> Option<Choice> {
     let count = servers.len();
-    let places = (1..=count).map(|step| (last + step) % count);
-    let mut fit = places.filter(|place| has_room(now, &servers[*place], demand));
-    fit.next().map(|index| Choice { index, cached_tokens: 0, expected_ms: 0 })
+    let indices = (1..=count).map(|step| (last + step) % count);
+    let mut eligible = indices.filter(|position| has_room(now, &servers[*position], request));
+    eligible.next().map(|index| Choice { index, cached_tokens: 0, expected_ms: 0 })
 }
 
-/// Chooses the less loaded of two random servers: the baseline that [`choose`] is measured against.
+/// Returns the less loaded of two random servers: the baseline that [`choose`] is compared with.
 pub fn choose_less_loaded(
     now: Millis,
     servers: &[Server],
-    demand: &Request<'_>,
+    request: &Request<'_>,
     random: &mut fastrand::Rng,
 ) -> Option<Choice> {
-    let fit = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, demand));
-    let fit: Vec<usize> = fit.map(|(place, _)| place).collect();
-    if fit.is_empty() {
+    let eligible = servers.iter().enumerate().filter(|(_, s)| has_room(now, s, request));
+    let eligible: Vec<usize> = eligible.map(|(position, _)| position).collect();
+    if eligible.is_empty() {
         return None;
     }
-    let first = fit[random.usize(..fit.len())];
-    let second = fit[random.usize(..fit.len())];
+    let first = eligible[random.usize(..eligible.len())];
+    let second = eligible[random.usize(..eligible.len())];
     let is_second = servers[second].get_load(now) < servers[first].get_load(now);
     let index = if is_second { second } else { first };
     Some(Choice { index, cached_tokens: 0, expected_ms: 0 })
 }
 
-fn has_room(now: Millis, server: &Server, demand: &Request<'_>) -> bool {
-    let reserve = if demand.priority == 0 { 0 } else { server.limit / URGENT_RESERVE_DIVISOR };
-    let has_failed = server.failed_at.is_some_and(|at| now < at + FAILURE_PAUSE_MS);
+fn has_room(now: Millis, server: &Server, request: &Request<'_>) -> bool {
+    let reserve = if request.priority == 0 { 0 } else { server.limit / URGENT_RESERVE_DIVISOR };
+    let is_backing_off = server.failed_at.is_some_and(|at| now < at + FAILURE_BACK_OFF_MS);
     !server.is_leaving
-        && !has_failed
+        && !is_backing_off
         && server.has_room(now, reserve)
-        && !demand.avoid.contains(&server.name)
+        && !request.avoid.contains(&server.name)
 }
 
-/// Returns `true` if a server may take one more long prompt: a quarter of them is kept free of any.
-fn takes_long(servers: &[Server], server: &Server) -> bool {
+/// Returns `true` if a server may get one more long prompt. A quarter of the servers is kept free
+/// of long prompts.
+fn accepts_long_prompt(servers: &[Server], server: &Server) -> bool {
     let staying = servers.iter().filter(|s| !s.is_leaving).count();
     if server.long_prompts > 0 || staying < 2 {
         return true;
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server is expected to answer first.
+//! Routing: which backend server is expected to respond first.
 
 mod choice;
 mod prefix;
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -1,22 +1,22 @@
-//! Which prompt prefixes a backend server is thought to hold in its cache.
+//! An index of the prompt prefixes assumed to be in the backend servers' caches.
 //!
-//! A prompt is cut into blocks; each block's hash covers all before it, so one hash names a whole
-//! prefix. The index starts from what was sent and is corrected by the engine's cache events,
-//! which come late and with gaps: a gap drops what was claimed of that server.
+//! A prompt is split into blocks. The hash of a block also covers all blocks before it, so one hash
+//! identifies a whole prefix. The index is filled from the prompts that were sent and corrected by
+//! the engine's cache events, which arrive late and with gaps; a gap clears the server's entries.
 
 use std::collections::{HashMap, VecDeque};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens in one block.
+/// Tokens per block.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// Counts the tokens of a text, taking each word as one.
+/// Returns the number of tokens in a text, counting each word as one token.
 pub fn count_tokens(text: &str) -> u64 {
     text.split_whitespace().count() as u64
 }
 
-/// Computes the hash of each whole block of a prompt, in order.
+/// Returns the hash of each complete block of a prompt, in lru_queue.
 pub fn hash_blocks(prompt: &str) -> Vec<u64> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut seed = 0;
@@ -30,90 +30,90 @@
     hashes
 }
 
-/// The blocks that each of a few servers is thought to hold, bounded per server.
+/// The blocks assumed to be cached on each server, with a bound per server.
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
-    per_server: usize,
-    servers: HashMap<String, Held>,
+    max_blocks_per_server: usize,
+    servers: HashMap<String, CachedBlocks>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
-    /// The number of the event expected next, once one has come.
+struct CachedBlocks {
+    /// The number of the next expected event, or `None` before the first one.
     next_event: Option<u64>,
-    stamps: HashMap<u64, u64>,
-    order: VecDeque<(u64, u64)>,
+    last_used: HashMap<u64, u64>,
+    lru_queue: VecDeque<(u64, u64)>,
     clock: u64,
 }
 
 impl PrefixIndex {
-    /// Makes an index that remembers up to `per_server` blocks of each server.
-    pub fn new(per_server: usize) -> Self {
-        Self { per_server, servers: HashMap::new() }
+    /// Creates an index of up to `max_blocks_per_server` blocks per server.
+    pub fn new(max_blocks_per_server: usize) -> Self {
+        Self { max_blocks_per_server, servers: HashMap::new() }
     }
 
-    /// Notes that a prompt with these blocks was sent to a server.
+    /// Records that a prompt with these blocks was sent to a server.
     pub fn insert(&mut self, server: &str, blocks: &[u64]) {
-        let held = self.servers.entry(server.to_owned()).or_default();
+        let cached = self.servers.entry(server.to_owned()).or_default();
         for block in blocks {
-            held.touch(*block);
+            cached.touch(*block);
         }
-        held.trim(self.per_server);
+        cached.trim(self.max_blocks_per_server);
     }
 
-    /// Takes one cache event in: its number, and the blocks stored and evicted.
+    /// Applies a cache event with its sequence number and the blocks stored and evicted.
     ///
-    /// Returns false where events before it are missing; all claims of the server are dropped.
+    /// Returns `false` if earlier events are missing, and clears the server's entries first.
     pub fn apply(&mut self, server: &str, number: u64, stored: &[u64], evicted: &[u64]) -> bool {
-        let held = self.servers.entry(server.to_owned()).or_default();
-        if held.next_event.is_some_and(|next| number < next) {
+        let cached = self.servers.entry(server.to_owned()).or_default();
+        if cached.next_event.is_some_and(|next| number < next) {
             return true;
         }
-        let is_gapless = held.next_event.is_none_or(|next| number == next);
-        if !is_gapless {
-            held.stamps.clear();
-            held.order.clear();
+        let is_contiguous = cached.next_event.is_none_or(|next| number == next);
+        if !is_contiguous {
+            cached.last_used.clear();
+            cached.lru_queue.clear();
         }
-        held.next_event = Some(number + 1);
+        cached.next_event = Some(number + 1);
         for block in evicted {
-            held.stamps.remove(block);
+            cached.last_used.remove(block);
         }
         for block in stored {
-            held.touch(*block);
+            cached.touch(*block);
         }
-        held.trim(self.per_server);
-        is_gapless
+        cached.trim(self.max_blocks_per_server);
+        is_contiguous
     }
 
-    /// Counts the tokens of the longest prefix that a server is thought to hold.
+    /// Returns the number of tokens in the longest prefix assumed to be cached on a server.
     pub fn cached_tokens(&self, server: &str, blocks: &[u64]) -> u64 {
-        let Some(held) = self.servers.get(server) else { return 0 };
-        let count = blocks.iter().take_while(|block| held.stamps.contains_key(block)).count();
+        let Some(cached) = self.servers.get(server) else { return 0 };
+        let count = blocks.iter().take_while(|block| cached.last_used.contains_key(block)).count();
         (count * BLOCK_TOKENS) as u64
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn remove(&mut self, server: &str) {
         self.servers.remove(server);
     }
 }
 
-impl Held {
+impl CachedBlocks {
     fn touch(&mut self, block: u64) {
         self.clock += 1;
-        self.stamps.insert(block, self.clock);
-        self.order.push_back((block, self.clock));
+        self.last_used.insert(block, self.clock);
+        self.lru_queue.push_back((block, self.clock));
     }
 
-    fn trim(&mut self, most: usize) {
-        while self.stamps.len() > most || self.order.len() > 2 * most {
-            let Some((block, stamp)) = self.order.pop_front() else { return };
-            if self.stamps.get(&block) == Some(&stamp) {
-                if self.stamps.len() > most {
-                    self.stamps.remove(&block);
+    fn trim(&mut self, max: usize) {
+        while self.last_used.len() > max || self.lru_queue.len() > 2 * max {
+            let Some((block, stamp)) = self.lru_queue.pop_front() else { return };
+            if self.last_used.get(&block) == Some(&stamp) {
+                if self.last_used.len() > max {
+                    self.last_used.remove(&block);
                 } else {
-                    self.order.push_back((block, stamp));
-                    if self.order.len() <= self.stamps.len() {
+                    self.lru_queue.push_back((block, stamp));
+                    if self.lru_queue.len() <= self.last_used.len() {
                         return;
                     }
                 }
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -1,50 +1,50 @@
-//! What is known of a backend server's load.
+//! The load of a backend server, as seen by a router.
 
 use crate::Millis;
 
-/// A load report that older than this counts as unknown, in milliseconds.
+/// Maximum age of a load report, in milliseconds; older reports are ignored.
 pub const MAX_REPORT_AGE_MS: Millis = 2_000;
 
-/// What a backend server last said of itself.
+/// A backend server's last report of its own load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// When it was true, on the reader's clock.
+    /// When the report was accurate, on the local clock.
     pub at: Millis,
-    /// Requests running or waiting there.
+    /// Requests running or queued on the server.
     pub requests: u32,
-    /// Prompt tokens waiting to be read there.
+    /// Prompt tokens queued for prefill on the server.
     pub queued_tokens: u64,
 }
 
-/// A backend server as a router sees it.
+/// A backend server, as seen by a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
     /// The server's name.
     pub name: String,
-    /// Where it is reached, as `IP:port`.
+    /// Its address, as `IP:port`.
     pub address: String,
-    /// The data centre it stands in.
+    /// The data centre that it runs in.
     pub data_centre: String,
-    /// Whether it is going away and must get nothing new.
+    /// Whether it is leaving and must get no new requests.
     pub is_leaving: bool,
-    /// Requests that this router may have there at the same time, as learned.
+    /// The adaptive limit of concurrent requests from this router.
     pub limit: u32,
-    /// Requests that it takes at the same time from all routers together.
+    /// Concurrent requests that it accepts from all routers together.
     pub capacity: u32,
-    /// Requests that this router has there.
+    /// Requests in flight from this router.
     pub in_flight: u32,
-    /// Uncached prompt tokens that this router sent and that are not yet read.
+    /// Uncached prompt tokens sent by this router whose prefill is not finished.
     pub backlog_tokens: u64,
-    /// Long prompts that this router has there.
+    /// Requests with long prompts in flight from this router.
     pub long_prompts: u32,
-    /// The last report.
+    /// The last load report.
     pub report: Option<LoadReport>,
-    /// When a connection to it last failed, if none has worked since.
+    /// When a connection to it last failed, if none has succeeded since.
     pub failed_at: Option<Millis>,
 }
 
 impl Server {
-    /// Makes an idle server with a limit of requests at the same time.
+    /// Creates an idle server with a limit of concurrent requests.
     pub fn new(name: &str, address: &str, data_centre: &str, limit: u32) -> Self {
         Self {
             name: name.to_owned(),
@@ -61,25 +61,26 @@
         }
     }
 
-    /// Returns the report, unless it is too old to mean anything.
+    /// Returns the load report, unless it is too old.
     pub fn get_fresh_report(&self, now: Millis) -> Option<LoadReport> {
         self.report.filter(|report| now.saturating_sub(report.at) <= MAX_REPORT_AGE_MS)
     }
 
-    /// Returns `true` if there is room for one more: of this router's part, less `reserve`, and of the
-    /// server's whole as reported.
+    /// Returns `true` if the server can take one more request: within this router's limit, less
+    /// `reserve`, and within the server's capacity as reported.
     pub fn has_room(&self, now: Millis, reserve: u32) -> bool {
         let reported = self.get_fresh_report(now).map_or(0, |report| report.requests);
         self.in_flight < self.limit.saturating_sub(reserve) && reported < self.capacity
     }
 
-    /// Estimates the requests there: this router's own count, or the report's if that is more.
+    /// Returns the estimated number of requests on the server: the larger of this router's own count
+    /// and the reported one.
     pub fn get_load(&self, now: Millis) -> u32 {
         let reported = self.get_fresh_report(now).map_or(0, |report| report.requests);
         self.in_flight.max(reported)
     }
 
-    /// Estimates the prompt tokens that wait there.
+    /// Returns the estimated number of prompt tokens queued on the server.
     pub fn get_queued_tokens(&self, now: Millis) -> u64 {
         let reported = self.get_fresh_report(now).map_or(0, |report| report.queued_tokens);
         self.backlog_tokens.max(reported)
