--- a/crates/core/src/bundle/document.rs
+++ b/crates/core/src/bundle/document.rs
@@ -1,35 +1,35 @@
-//! What a bundle says.
+//! The contents of a bundle.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// A versioned statement of groups, services, classes and prices.
+/// A versioned configuration of groups, services, request classes and prices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The operators' own name of this version.
+    /// The version name chosen by the operators.
     pub version: String,
-    /// The groups that share the pool.
+    /// The groups that share the servers.
     pub groups: Vec<Group>,
-    /// The services that are served.
+    /// The services.
     pub services: Vec<Service>,
-    /// The request classes and what each is promised.
+    /// The request classes with their latency targets.
     pub classes: Vec<Class>,
-    /// The prices of VMs, per data centre and VM class.
+    /// The VM prices, per data centre and VM class.
     #[serde(default)]
     pub prices: Vec<Price>,
 }
 
-/// A group with its share.
+/// A group of client accounts with its share of the servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
     /// The group's name.
     pub name: String,
-    /// Its share, in proportion to the weights of all groups.
+    /// Its weight; its share is the fraction of the sum of all weights.
     pub weight: u32,
-    /// The client accounts that belong to it.
+    /// The client accounts in the group.
     pub accounts: Vec<Account>,
 }
 
@@ -43,7 +43,7 @@
     pub credential_sha256: String,
 }
 
-/// Says what sort of backend servers a service has.
+/// The kind of a service's backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -53,39 +53,39 @@
     Plain,
 }
 
-/// A service and how its backend servers behave.
+/// A service with the properties of its backend servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The service's name, as the VM list gives it.
+    /// The service's name, as used in the VM list.
     pub name: String,
-    /// What sort of backend servers it has.
+    /// The kind of its backend servers.
     pub kind: Kind,
     /// The models that its servers run. Empty for a plain service.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Whether its servers refuse orders with an old fence.
+    /// Whether its servers reject orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fences: bool,
-    /// Whether its servers run a request key once at most by themselves.
+    /// Whether its servers deduplicate requests by request key.
     #[serde(default)]
     pub deduplicates: bool,
-    /// Requests that one backend server takes at the same time.
+    /// Concurrent requests per backend server.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Prompt tokens that one backend server reads in a second.
+    /// Prefill rate of a backend server, in prompt tokens per second.
     #[serde(default = "default_prefill")]
     pub prefill_tokens_per_second: u32,
-    /// Tokens of KV cache that one backend server can send away in a second; 0 where it cannot.
+    /// KV cache export rate of a backend server, in tokens per second; 0 if it cannot export.
     #[serde(default)]
     pub export_tokens_per_second: u64,
-    /// The VM class of its servers; without one no VMs are started for it.
+    /// The VM class of its servers. If empty, no VMs are started for the service.
     #[serde(default)]
     pub vm_class: String,
-    /// VMs that must be left after the largest data centre is lost.
+    /// VMs that must remain after the loss of the largest data centre.
     #[serde(default)]
     pub after_loss: u32,
-    /// VMs below which the service must not fall.
+    /// Minimum number of VMs.
     #[serde(default)]
     pub floor: u32,
 }
@@ -94,27 +94,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The name by which callers ask for it.
+    /// The name that callers use in requests.
     pub name: String,
     /// The version of its weights.
     pub version: String,
-    /// The adapters that are loaded with it.
+    /// The adapters loaded with it.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// A request class and what it is promised.
+/// A request class with its latency targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// The class's name.
     pub name: String,
-    /// The target for the first token or byte, in milliseconds.
+    /// Target for the time to first token or byte, in milliseconds.
     pub first_token_ms: Millis,
-    /// The target between tokens, in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     #[serde(default = "default_gap")]
     pub gap_ms: Millis,
-    /// The time after which an answer is of no use, in milliseconds.
+    /// The deadline of a request, in milliseconds.
     pub deadline_ms: Millis,
     /// The priority; 0 is the most urgent.
     #[serde(default)]
@@ -132,9 +132,9 @@
     pub data_centre: String,
     /// The VM class.
     pub vm_class: String,
-    /// Whether the cloud may take such a VM back.
+    /// Whether the cloud may reclaim such a VM.
     pub reclaimable: bool,
-    /// The price of an hour, in thousandths of the account's currency.
+    /// The hourly price, in thousandths of the account's currency.
     pub per_hour_milli: u64,
 }
 
@@ -155,22 +155,22 @@
 }
 
 impl Document {
-    /// Finds a service by name.
+    /// Returns a service by name.
     pub fn get_service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Finds the service that runs a model.
+    /// Returns the service that runs a model.
     pub fn get_model_service(&self, model: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.models.iter().any(|m| m.name == model))
     }
 
-    /// Finds a request class by name.
+    /// Returns a request class by name.
     pub fn get_class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// Finds the group and account whose credential has this SHA-256 digest, in hex.
+    /// Returns the group and account whose credential has this SHA-256 digest, in hex.
     pub fn get_account(&self, credential_sha256: &str) -> Option<(&Group, &Account)> {
         self.groups.iter().find_map(|group| {
             let account =
--- a/crates/core/src/bundle/mod.rs
+++ b/crates/core/src/bundle/mod.rs
@@ -1,4 +1,4 @@
-//! Bundles: what they may say, who signed them, and which roll is newer.
+//! Bundles: their contents, validation, signatures and rolls.
 
 mod check;
 mod document;
--- a/crates/core/src/bundle/roll.rs
+++ b/crates/core/src/bundle/roll.rs
@@ -1,59 +1,59 @@
-//! Which bundle version is in force.
+//! Rolls, which put a bundle version into force.
 //!
-//! Each roll has a number one above the roll before it; a rollback is a new roll of an earlier
-//! version. A node adopts only a higher number, so that whatever arrives late, twice or from a
-//! node that slept cannot bring an older version back.
+//! Each roll has a number one above the previous roll; a rollback is a new roll of an earlier
+//! version. A node adopts only higher numbers, so a roll that arrives late, twice or from a node
+//! that was suspended cannot restore an older version.
 
 use serde::{Deserialize, Serialize};
 
 use super::Signature;
 
-/// Explains why a roll was made.
+/// The reason for a roll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// A version was rolled.
+    /// A version was rolled out.
     Roll,
-    /// An earlier roll's version was rolled again.
+    /// The version of an earlier roll was restored.
     Rollback,
 }
 
-/// One roll, as the table service keeps it. It is an entry of the audit trail too.
+/// A roll, as stored in the table service. It is also an entry of the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roll {
-    /// The roll's number, from 1.
+    /// The number of the roll, starting at 1.
     pub number: u64,
     /// The SHA-256 digest of the bundle's body, in hex.
     pub digest: String,
-    /// The operators' name of the version.
+    /// The version name chosen by the operators.
     pub version: String,
-    /// Why the roll was made.
+    /// The reason for the roll.
     pub action: Action,
-    /// Who made it.
+    /// The operator who made it.
     pub operator: String,
-    /// When it was made, in milliseconds since the Unix epoch.
+    /// Time of the roll, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// A random name, by which a roll whose answer was lost is found again.
+    /// A random ID, by which a roll is found again if the response to its write was lost.
     pub id: String,
     /// The signature of the body.
     pub signature: Signature,
 }
 
-/// Says what to do with news of a roll.
+/// What to do with an offered roll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Adoption {
-    /// It is newer: put it in force.
+    /// The roll is newer: put it into force.
     Adopt,
-    /// It is the one in force, or older: keep what is in force.
+    /// The roll is the current one or older: keep the current one.
     Keep,
 }
 
-/// Decides whether a roll is newer than the one in force.
+/// Returns whether to adopt a roll, given the numbers of the current and the offered roll.
 pub fn adopt(in_force: u64, offered: u64) -> Adoption {
     if offered > in_force { Adoption::Adopt } else { Adoption::Keep }
 }
 
-/// Computes the number of the next roll.
+/// Returns the number of the next roll.
 pub fn next_number(current: Option<&Roll>) -> u64 {
     current.map_or(0, |roll| roll.number) + 1
 }
