--- a/crates/core/src/shard/drain_rate.rs
+++ b/crates/core/src/shard/drain_rate.rs
@@ -1,50 +1,57 @@
-//! How fast a queue drains, and when there will be room.
+//! The drain rate of a queue, and the retry times derived from it.
 
 use crate::Millis;
 
-/// The weight of the newest gap in the running mean, in thousandths.
-const NEWEST_PER_MILLE: u64 = 100;
-/// The shortest and longest `Retry-After`.
-const RETRY_BOUNDS_MS: (Millis, Millis) = (200, 30_000);
+/// The weight of the latest interval in the moving average, in thousandths.
+const LATEST_WEIGHT_PER_MILLE: u64 = 100;
+/// The minimum and maximum `Retry-After`, in milliseconds.
+const RETRY_AFTER_BOUNDS_MS: (Millis, Millis) = (200, 30_000);
 
-/// A running mean of the time between two grants ending, and the places promised to callers.
+/// The moving average of the time between the ends of two grants, and the slots reserved for
+/// retries.
 #[derive(Clone, Debug)]
 pub(super) struct DrainRate {
-    gap_micros: u64,
+    interval_micros: u64,
     last: Option<Millis>,
-    booked_until_micros: u64,
+    reserved_until_micros: u64,
 }
 
 impl DrainRate {
-    pub(super) fn new(first_gap_ms: Millis) -> Self {
-        Self { gap_micros: first_gap_ms.max(1) * 1000, last: None, booked_until_micros: 0 }
+    pub(super) fn new(initial_interval_ms: Millis) -> Self {
+        Self {
+            interval_micros: initial_interval_ms.max(1) * 1000,
+            last: None,
+            reserved_until_micros: 0,
+        }
     }
 
-    /// Notes that a grant ended.
-    pub(super) fn ended(&mut self, now: Millis) {
+    /// Records the end of a grant.
+    pub(super) fn record_end(&mut self, now: Millis) {
         if let Some(last) = self.last {
-            let gap = now.saturating_sub(last) * 1000;
-            let kept = self.gap_micros * (1000 - NEWEST_PER_MILLE);
-            self.gap_micros = ((kept + gap * NEWEST_PER_MILLE) / 1000).max(1);
+            let interval = now.saturating_sub(last) * 1000;
+            let weighted_average = self.interval_micros * (1000 - LATEST_WEIGHT_PER_MILLE);
+            self.interval_micros =
+                ((weighted_average + interval * LATEST_WEIGHT_PER_MILLE) / 1000).max(1);
         }
         self.last = Some(now);
     }
 
-    /// Estimates how long `ahead` requests take to drain.
-    pub(super) fn wait_for(&self, ahead: usize) -> Millis {
-        self.gap_micros * ahead as u64 / 1000
+    /// Returns the estimated time in which `ahead` requests drain.
+    pub(super) fn estimate_wait(&self, ahead: usize) -> Millis {
+        self.interval_micros * ahead as u64 / 1000
     }
 
-    /// Books the next place for a caller that is refused, and says when to come back.
+    /// Reserves the next slot for a refused caller and returns the time after which it may retry.
     ///
-    /// Places are spread at the drain rate, so that those who come back find room and do not
-    /// come all at once.
-    pub(super) fn book(&mut self, now: Millis, ahead: usize) -> Millis {
-        let earliest = (now + self.wait_for(ahead)) * 1000;
-        self.booked_until_micros = self.booked_until_micros.max(earliest) + self.gap_micros;
-        let wait = (self.booked_until_micros / 1000).saturating_sub(now);
-        let bounded = wait.clamp(RETRY_BOUNDS_MS.0, RETRY_BOUNDS_MS.1);
-        self.booked_until_micros = self.booked_until_micros.min((now + RETRY_BOUNDS_MS.1) * 1000);
+    /// Slots are spaced at the drain rate, so that retries find room and do not arrive all at once.
+    pub(super) fn reserve_retry(&mut self, now: Millis, ahead: usize) -> Millis {
+        let earliest = (now + self.estimate_wait(ahead)) * 1000;
+        self.reserved_until_micros =
+            self.reserved_until_micros.max(earliest) + self.interval_micros;
+        let wait = (self.reserved_until_micros / 1000).saturating_sub(now);
+        let bounded = wait.clamp(RETRY_AFTER_BOUNDS_MS.0, RETRY_AFTER_BOUNDS_MS.1);
+        self.reserved_until_micros =
+            self.reserved_until_micros.min((now + RETRY_AFTER_BOUNDS_MS.1) * 1000);
         bounded
     }
 }
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -1,28 +1,28 @@
-//! The one queue for the servers of a shard.
+//! The queue for the servers of a shard.
 
 use std::collections::HashMap;
 
-use super::ask::{Decision, Grant, GrantRequest, Refusal};
+use super::blocked::Blocked;
 use super::drain_rate::DrainRate;
-use super::hopeless::Hopeless;
+use super::request::{Decision, Grant, GrantRequest, Refusal};
 use super::share::{GENERATED_TOKEN_COST, VirtualCounters};
 use crate::Millis;
 use crate::route::{self, LoadReport, Policy, PrefixIndex, Request, Server};
 
-/// Blocks of prompts remembered per server.
-const BLOCKS_PER_SERVER: usize = 8_192;
-/// A guess at the time between two grants ending, until one is seen.
-const FIRST_GAP_MS: Millis = 50;
-/// A limit is never learned below this.
-const LEAST_LIMIT: u32 = 1;
+/// Maximum number of prompt blocks indexed per server.
+const MAX_BLOCKS_PER_SERVER: usize = 8_192;
+/// Initial estimate of the time between the ends of two grants, in milliseconds.
+const INITIAL_INTERVAL_MS: Millis = 50;
+/// Lower bound of the adaptive limit of a server.
+const MIN_LIMIT: u32 = 1;
 
-/// The queue, the servers and the shares of one shard.
+/// The queue, the servers and the fair shares of one shard.
 #[derive(Clone, Debug)]
 pub struct Queue {
     servers: Vec<Server>,
     index: PrefixIndex,
     shares: VirtualCounters,
-    waiting: Vec<Waiter>,
+    waiting: Vec<WaitingRequest>,
     grants: HashMap<String, Grant>,
     drain_rate: DrainRate,
     slots: u32,
@@ -34,21 +34,22 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiter {
-    ask: GrantRequest,
+struct WaitingRequest {
+    request: GrantRequest,
     until: Millis,
 }
 
 impl Queue {
-    /// Makes a queue without servers: each takes `slots` requests and reads so many tokens a second.
+    /// Creates a queue without servers, for servers that each run `slots` concurrent requests and
+    /// process `prefill_per_second` prompt tokens per second.
     pub fn new(slots: u32, prefill_per_second: u32) -> Self {
         Self {
             servers: Vec::new(),
-            index: PrefixIndex::new(BLOCKS_PER_SERVER),
+            index: PrefixIndex::new(MAX_BLOCKS_PER_SERVER),
             shares: VirtualCounters::new(),
             waiting: Vec::new(),
             grants: HashMap::new(),
-            drain_rate: DrainRate::new(FIRST_GAP_MS),
+            drain_rate: DrainRate::new(INITIAL_INTERVAL_MS),
             slots,
             prefill_per_second: prefill_per_second.into(),
             policy: Policy::Expected,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Shares each server's slots with other queues, each of which decides alone.
+    /// Divides each server's slots by the number of queues that share the servers without coordination.
     ///
     /// # Panics
     ///
-    /// In debug builds, where nobody shares: count this queue too.
+    /// Panics in debug builds if `sharers` is 0: this queue must be counted too.
     pub fn shared_by(self, sharers: u32) -> Self {
-        debug_assert!(sharers > 0, "count this queue too: a queue of its own is shared by 1");
+        debug_assert!(sharers > 0, "the number of sharers must include this queue");
         Self { sharers, ..self }
     }
 
-    /// Chooses servers by another policy than the default one.
+    /// Sets the policy by which servers are chosen.
     pub fn policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
@@ -78,9 +79,9 @@
         self.shares.set_weights(weights);
     }
 
-    /// Sets the servers by name, address and data centre, and whether they leave.
+    /// Sets the servers, each given by name, address, data centre and whether it is leaving.
     ///
-    /// What is known of a server that stays is kept; one that is gone is forgotten.
+    /// The state of known servers is kept; servers that are not listed are removed.
     pub fn set_servers<'a>(
         &mut self,
         listed: impl Iterator<Item = (&'a str, &'a str, &'a str, bool)>,
@@ -88,9 +89,11 @@
         let mut servers = Vec::new();
         for (name, address, data_centre, is_leaving) in listed {
             let known = self.servers.iter().find(|s| s.name == name && s.address == address);
-            let part = (self.slots / self.sharers).max(LEAST_LIMIT);
-            let fresh =
-                || Server { capacity: self.slots, ..Server::new(name, address, data_centre, part) };
+            let limit = (self.slots / self.sharers).max(MIN_LIMIT);
+            let fresh = || Server {
+                capacity: self.slots,
+                ..Server::new(name, address, data_centre, limit)
+            };
             let server = known.cloned().unwrap_or_else(fresh);
             servers.push(Server { is_leaving, ..server });
         }
@@ -106,24 +109,24 @@
         &self.servers
     }
 
-    /// Returns how many requests wait for their turn.
+    /// Returns the number of waiting requests.
     pub fn get_waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns how many grants are out.
+    /// Returns the number of outstanding grants.
     pub fn get_granted(&self) -> usize {
         self.grants.len()
     }
 
-    /// Takes a server's load report in.
+    /// Records a server's load report.
     pub fn report(&mut self, server: &str, report: LoadReport) {
         if let Some(server) = self.servers.iter_mut().find(|s| s.name == server) {
             server.report = Some(report);
         }
     }
 
-    /// Takes a cache event of a server in; returns false where events before it are missing.
+    /// Applies a cache event of a server. Returns `false` if earlier events are missing.
     pub fn apply_cache_event(
         &mut self,
         server: &str,
@@ -134,58 +137,58 @@
         self.index.apply(server, number, stored, evicted)
     }
 
-    /// Decides on a request at once: a grant, a place in the queue, or a refusal.
-    pub fn submit(&mut self, now: Millis, ask: GrantRequest) -> Decision {
+    /// Grants, queues or refuses a request.
+    pub fn submit(&mut self, now: Millis, request: GrantRequest) -> Decision {
         if self.waiting.is_empty()
-            && let Some(grant) = self.try_grant(now, &ask)
+            && let Some(grant) = self.try_grant(now, &request)
         {
-            self.shares.add_request(&ask.group);
-            return Decision::Granted(self.record(grant));
+            self.shares.add_request(&request.group);
+            return Decision::Granted(self.insert_grant(grant));
         }
-        let ahead = self.ahead_of(&ask);
-        let expected = self.expected_wait(&ask.group, ahead);
+        let ahead = self.count_ahead(&request);
+        let expected = self.expected_wait(&request.group, ahead);
         let has_servers = self.servers.iter().any(|server| !server.is_leaving);
-        let is_late = expected > ask.wait || now + expected >= ask.deadline;
+        let is_late = expected > request.wait || now + expected >= request.deadline;
         if is_late || !has_servers {
-            return Decision::Refused(self.refuse(now, &ask.group, ahead));
+            return Decision::Refused(self.refuse(now, &request.group, ahead));
         }
-        self.shares.add_request(&ask.group);
-        let until = now + ask.wait;
-        self.waiting.push(Waiter { ask, until });
+        self.shares.add_request(&request.group);
+        let until = now + request.wait;
+        self.waiting.push(WaitingRequest { request, until });
         Decision::Waiting
     }
 
-    /// Grants what can be granted and refuses what has waited too long.
+    /// Grants waiting requests where there is room and refuses those that have waited too long.
     pub fn poll(&mut self, now: Millis) -> Vec<(String, Decision)> {
         let mut decided = self.grant_waiting(now);
         let (kept, late) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| now < w.until);
         self.waiting = kept;
         for waiter in late {
-            let ahead = self.ahead_of(&waiter.ask);
-            let refusal = self.refuse(now, &waiter.ask.group, ahead);
-            self.shares.remove_request(&waiter.ask.group);
-            decided.push((waiter.ask.id, Decision::Refused(refusal)));
+            let ahead = self.count_ahead(&waiter.request);
+            let refusal = self.refuse(now, &waiter.request.group, ahead);
+            self.shares.remove_request(&waiter.request.group);
+            decided.push((waiter.request.id, Decision::Refused(refusal)));
         }
         decided
     }
 
-    /// Takes a request that waits out of the queue; its caller has gone.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel(&mut self, id: &str) {
-        if let Some(place) = self.waiting.iter().position(|waiter| waiter.ask.id == id) {
-            let waiter = self.waiting.remove(place);
-            self.shares.remove_request(&waiter.ask.group);
+        if let Some(index) = self.waiting.iter().position(|waiter| waiter.request.id == id) {
+            let waiter = self.waiting.remove(index);
+            self.shares.remove_request(&waiter.request.group);
         }
     }
 
-    /// Takes a grant back; `cost` is what it really cost, where it is known.
+    /// Releases a grant. `cost` is the actual cost, if known.
     pub fn release(&mut self, now: Millis, id: &str, cost: Option<u64>) {
         let Some(grant) = self.grants.remove(id) else { return };
         if let Some(cost) = cost {
             self.shares.charge(&grant.group, cost, grant.cost);
         }
         self.shares.remove_request(&grant.group);
-        self.drain_rate.ended(now);
+        self.drain_rate.record_end(now);
         if let Some(server) = self.server_mut(&grant.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
             server.backlog_tokens = server.backlog_tokens.saturating_sub(grant.uncached_tokens);
@@ -195,20 +198,20 @@
         }
     }
 
-    /// Notes that the first token came: the prompt has been read.
+    /// Records the first token of a response, by which the server has processed the prompt.
     pub fn record_first_token(&mut self, id: &str) {
         let Some(grant) = self.grants.get_mut(id) else { return };
-        let read = std::mem::take(&mut grant.uncached_tokens);
+        let processed = std::mem::take(&mut grant.uncached_tokens);
         let name = grant.server.clone();
         if let Some(server) = self.server_mut(&name) {
-            server.backlog_tokens = server.backlog_tokens.saturating_sub(read);
-            if read > route::LONG_PROMPT_TOKENS {
+            server.backlog_tokens = server.backlog_tokens.saturating_sub(processed);
+            if processed > route::LONG_PROMPT_TOKENS {
                 server.long_prompts = server.long_prompts.saturating_sub(1);
             }
         }
     }
 
-    /// Takes over a grant of an earlier owner.
+    /// Restores a grant made by the previous owner of the shard.
     pub fn restore(&mut self, grant: Grant) {
         if self.grants.contains_key(&grant.id) {
             return;
@@ -220,88 +223,94 @@
         self.grants.insert(grant.id.clone(), grant);
     }
 
-    /// Notes a failure of a server: it is passed over for a while and its limit falls.
+    /// Records a failure of a server: it is skipped for a while and its limit is reduced.
     pub fn record_failure(&mut self, now: Millis, server: &str) {
         if let Some(server) = self.server_mut(server) {
             server.failed_at = Some(now);
-            server.limit = (server.limit * 7 / 10).max(LEAST_LIMIT);
+            server.limit = (server.limit * 7 / 10).max(MIN_LIMIT);
         }
     }
 
-    /// Notes that a server cannot be reached at all: it is passed over for a while.
+    /// Records that a server cannot be reached: it is skipped for a while.
     pub fn record_unreachable(&mut self, now: Millis, server: &str) {
         if let Some(server) = self.server_mut(server) {
             server.failed_at = Some(now);
         }
     }
 
-    /// Notes a success of a server: its limit rises again by one, up to the slots.
+    /// Records a success of a server: its limit is raised by one, up to its slots.
     pub fn record_success(&mut self, server: &str) {
-        let part = (self.slots / self.sharers).max(LEAST_LIMIT);
+        let limit = (self.slots / self.sharers).max(MIN_LIMIT);
         if let Some(server) = self.server_mut(server) {
             server.failed_at = None;
-            server.limit = (server.limit + 1).min(part);
+            server.limit = (server.limit + 1).min(limit);
         }
     }
 
     fn grant_waiting(&mut self, now: Millis) -> Vec<(String, Decision)> {
         let mut decided = Vec::new();
-        let mut hopeless = Hopeless::default();
-        while let Some(place) = self.next_waiter(&hopeless) {
-            let ask = self.waiting[place].ask.clone();
-            match self.try_grant(now, &ask) {
+        let mut blocked = Blocked::default();
+        while let Some(index) = self.find_next(&blocked) {
+            let request = self.waiting[index].request.clone();
+            match self.try_grant(now, &request) {
                 Some(grant) => {
-                    self.waiting.remove(place);
-                    let grant = self.record(grant);
-                    decided.push((ask.id, Decision::Granted(grant)));
+                    self.waiting.remove(index);
+                    let grant = self.insert_grant(grant);
+                    decided.push((request.id, Decision::Granted(grant)));
                 }
-                None => hopeless.add(&ask),
+                None => blocked.add(&request),
             }
         }
         decided
     }
 
-    /// Finds whose turn it is: the group with the least counter, then priority, then deadline.
-    fn next_waiter(&self, hopeless: &Hopeless) -> Option<usize> {
-        let fit = self.waiting.iter().enumerate().filter(|(_, w)| !hopeless.contains(&w.ask));
-        let turn = |waiter: &Waiter| {
-            let ask = &waiter.ask;
-            (self.shares.get_cost(&ask.group), ask.priority, ask.deadline)
+    /// Returns the next waiting request: by the group's virtual counter, then priority, then deadline.
+    fn find_next(&self, blocked: &Blocked) -> Option<usize> {
+        let eligible =
+            self.waiting.iter().enumerate().filter(|(_, w)| !blocked.contains(&w.request));
+        let turn = |waiter: &WaitingRequest| {
+            let request = &waiter.request;
+            (self.shares.get_cost(&request.group), request.priority, request.deadline)
         };
-        fit.min_by_key(|(_, waiter)| turn(waiter)).map(|(place, _)| place)
+        eligible.min_by_key(|(_, waiter)| turn(waiter)).map(|(index, _)| index)
     }
 
-    fn try_grant(&mut self, now: Millis, ask: &GrantRequest) -> Option<Grant> {
-        let avoid = if self.has_other_than(&ask.avoid) { ask.avoid.as_slice() } else { &[] };
-        let demand = Request {
-            prompt_tokens: ask.prompt_tokens,
-            prefix: &ask.prefix,
-            priority: ask.priority,
+    fn try_grant(&mut self, now: Millis, request: &GrantRequest) -> Option<Grant> {
+        let avoid =
+            if self.has_server_besides(&request.avoid) { request.avoid.as_slice() } else { &[] };
+        let route_request = Request {
+            prompt_tokens: request.prompt_tokens,
+            prefix: &request.prefix,
+            priority: request.priority,
             avoid,
         };
-        let (servers, prefill) = (&self.servers, self.prefill_per_second);
+        let (servers, prefill_per_second) = (&self.servers, self.prefill_per_second);
         let choice = match self.policy {
-            Policy::Expected => route::choose(now, servers, &self.index, prefill, &demand),
+            Policy::Expected => {
+                route::choose(now, servers, &self.index, prefill_per_second, &route_request)
+            }
             Policy::TwoChoices => {
-                route::choose_less_loaded(now, servers, &demand, &mut self.random)
+                route::choose_less_loaded(now, servers, &route_request, &mut self.random)
+            }
+            Policy::RoundRobin => {
+                route::choose_round_robin(now, servers, &route_request, self.last)
             }
-            Policy::RoundRobin => route::choose_round_robin(now, servers, &demand, self.last),
         }?;
         self.last = choice.index;
         let server = &mut self.servers[choice.index];
-        let uncached = ask.prompt_tokens - choice.cached_tokens;
+        let uncached = request.prompt_tokens - choice.cached_tokens;
         server.in_flight += 1;
         server.backlog_tokens += uncached;
         if uncached > route::LONG_PROMPT_TOKENS {
             server.long_prompts += 1;
         }
         let (name, address) = (server.name.clone(), server.address.clone());
-        self.index.insert(&name, &ask.prefix);
-        let cost = uncached + GENERATED_TOKEN_COST * ask.output_tokens;
-        self.shares.charge(&ask.group, cost, 0);
+        self.index.insert(&name, &request.prefix);
+        let cost = uncached + GENERATED_TOKEN_COST * request.output_tokens;
+        self.shares.charge(&request.group, cost, 0);
         Some(Grant {
-            id: ask.id.clone(),
-            group: ask.group.clone(),
+            id: request.id.clone(),
+            group: request.group.clone(),
             server: name,
             address,
             cached_tokens: choice.cached_tokens,
@@ -310,32 +319,35 @@
         })
     }
 
-    /// Returns `true` if a server stays that is not among these. Where none does, one that is to be
+    /// Returns `true` if a server that is not leaving is not to be avoided. Otherwise, a server to be
     /// avoided is better than none.
-    fn has_other_than(&self, avoid: &[String]) -> bool {
+    fn has_server_besides(&self, avoid: &[String]) -> bool {
         self.servers.iter().any(|server| !server.is_leaving && !avoid.contains(&server.name))
     }
 
-    fn record(&mut self, grant: Grant) -> Grant {
+    fn insert_grant(&mut self, grant: Grant) -> Grant {
         self.grants.insert(grant.id.clone(), grant.clone());
         grant
     }
 
-    /// Counts the requests of the same group that go before this one.
-    fn ahead_of(&self, ask: &GrantRequest) -> usize {
-        let same = self.waiting.iter().filter(|waiter| waiter.ask.group == ask.group);
-        same.filter(|w| (w.ask.priority, w.ask.deadline) <= (ask.priority, ask.deadline)).count()
+    /// Returns the number of waiting requests of the same group that are ahead of this one.
+    fn count_ahead(&self, request: &GrantRequest) -> usize {
+        let same = self.waiting.iter().filter(|waiter| waiter.request.group == request.group);
+        same.filter(|w| {
+            (w.request.priority, w.request.deadline) <= (request.priority, request.deadline)
+        })
+        .count()
     }
 
     fn expected_wait(&self, group: &str, ahead: usize) -> Millis {
         let (weight, sum) = self.shares.get_share(group);
-        self.drain_rate.wait_for(ahead + 1) * sum / weight
+        self.drain_rate.estimate_wait(ahead + 1) * sum / weight
     }
 
     fn refuse(&mut self, now: Millis, group: &str, ahead: usize) -> Refusal {
         let (weight, sum) = self.shares.get_share(group);
         let queued = (ahead as u64 * sum / weight) as usize;
-        Refusal { retry_after: self.drain_rate.book(now, queued) }
+        Refusal { retry_after: self.drain_rate.reserve_retry(now, queued) }
     }
 
     fn server_mut(&mut self, name: &str) -> Option<&mut Server> {
