--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -15,7 +15,7 @@
     pub data_centre: String,
     /// The VM class.
     pub vm_class: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim it.
     pub reclaimable: bool,
     /// The hourly price, in thousandths of the account's currency.
     pub per_hour_milli: u64,
