--- a/crates/core/benches/serving.rs
+++ b/crates/core/benches/serving.rs
@@ -10,12 +10,14 @@
 use keeljunction_core::serving::choice::{Candidate, Criteria, choose, shortlist};
 use keeljunction_core::serving::directory::{Batch, Directory, Entry, Server};
 use keeljunction_core::serving::era::Era;
-use keeljunction_core::serving::load::{Load, LoadBook, Work, short_id};
+use keeljunction_core::serving::load::{Load, LoadTracker, RequestCost, short_id};
 use keeljunction_core::serving::members::{self, Members};
 use keeljunction_core::serving::quarantine::{
-    Book, Content, Crash, Fingerprint, Run, Standing, Verdict,
+    Content, Crash, Fingerprint, InterruptedRequest, Standing, Tracker, Verdict,
+};
+use keeljunction_core::serving::quota::{
+    AccountUsage, Limit, Quotas, Reachability, Report, Source, Tolerance,
 };
-use keeljunction_core::serving::quota::{Limit, Quotas, Reach, Report, Source, Tolerance, Units};
 use keeljunction_core::serving::spill::Offer;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::topology::Topology;
@@ -64,7 +66,7 @@
 fn members(count: usize) -> Members {
     let all = entries(count);
     let mut members = Members::new(0, all[count - 1].clone(), &[]);
-    members.take_list(0, all, true);
+    members.merge_list(0, all, true);
     members
 }
 
@@ -79,7 +81,7 @@
     };
     for (nodes, count) in SIZES {
         let servers = servers(count);
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         let is_grouped = members(nodes).is_grouped();
         let reporting = if is_grouped { 0 } else { nodes };
         for node in 0..reporting {
@@ -134,7 +136,7 @@
             continue;
         }
         let servers = servers(count);
-        let book = LoadBook::default();
+        let book = LoadTracker::default();
         let weigh = |server| Candidate {
             server,
             load: book.total(&server.id),
@@ -146,7 +148,7 @@
         criterion.bench_function(&name, |bencher| {
             bencher.iter(|| {
                 random += 1;
-                let near = servers.iter().filter(|server| topology.is_near(&server.data_centre));
+                let near = servers.iter().filter(|server| topology.is_local(&server.data_centre));
                 let listed = shortlist(near, &criteria, random, false, |_| true);
                 let candidates: Vec<Candidate<'_>> = listed.into_iter().map(weigh).collect();
                 let choice = choose(&candidates, &criteria, random);
@@ -184,7 +186,7 @@
                 let id = format!("i-{:010x}", version % 7);
                 let (after, version) = (at(version - 1), at(version));
                 let entry = Entry { id, version, server: None };
-                directory.update(Batch { after, version, entries: vec![entry] });
+                directory.apply_batch(Batch { after, version, entries: vec![entry] });
                 black_box(directory.get_update(Some(after)));
             });
         });
@@ -204,7 +206,7 @@
                     link_mbps: 20 + (number % 2) as u32,
                     ..newcomers[nodes].clone()
                 };
-                members.take_entries(0, &[newcomer]);
+                members.merge_entries(0, &[newcomer]);
                 members.refresh(black_box(0));
             });
         });
@@ -230,8 +232,8 @@
             });
         });
     }
-    let mut book = LoadBook::default();
-    let work = Work { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
+    let mut book = LoadTracker::default();
+    let work = RequestCost { prompt_tokens: 100, priority: 1, memory_tokens: 200 };
     criterion.bench_function("one load told and read", |bencher| {
         bencher.iter(|| {
             book.merge_server(u64::MAX, "node", 7, Load { requests: 1, ..Load::default() });
@@ -248,9 +250,10 @@
         let is_grouped = members(nodes).is_grouped();
         // In groups a node hears its aggregator only, and an aggregator the others and its group.
         let heard = if is_grouped { (nodes as f64).sqrt().ceil() as usize * 2 } else { nodes };
-        let reach = Reach { heard: nodes, all: nodes, period: 400, is_grouped };
+        let reach = Reachability { heard: nodes, known: nodes, report_delay: 400, is_grouped };
         let mut quotas = Quotas::new(0, Tolerance::default());
-        let units = Units { admitted: 1_000, requested_per_second: 100, ..Units::default() };
+        let units =
+            AccountUsage { admitted: 1_000, requested_per_second: 100, ..AccountUsage::default() };
         let accounts = (0..40).map(|account| (format!("account-{account}"), units)).collect();
         let report = Report { accounts, ..Report::default() };
         for peer in 0..heard {
@@ -273,7 +276,7 @@
     criterion.bench_function("quarantine, fingerprint of 4 KB", |bencher| {
         bencher.iter(|| black_box(Fingerprint::new(&content)));
     });
-    let mut book = Book::default();
+    let mut book = Tracker::default();
     for number in 0..256 {
         let verdict = Verdict {
             fingerprint: Fingerprint::from_number(number * 7),
@@ -286,12 +289,15 @@
     }
     criterion.bench_function("quarantine, a request beside a full list", |bencher| {
         bencher.iter(|| {
-            black_box(book.get_refused_for(2_000, Fingerprint::from_number(8)));
-            black_box(book.note_answered(2_000, Fingerprint::from_number(8)))
+            black_box(book.get_quarantine_left(2_000, Fingerprint::from_number(8)));
+            black_box(book.record_completion(2_000, Fingerprint::from_number(8)))
         });
     });
     let end = |server: u64| {
-        let run = |number| Run { fingerprint: Fingerprint::from_number(number), ran_for: 50 };
+        let run = |number| InterruptedRequest {
+            fingerprint: Fingerprint::from_number(number),
+            ran_for: 50,
+        };
         Crash {
             service: 1,
             server,
@@ -300,13 +306,13 @@
         }
     };
     for server in 0..512 {
-        book.take_report(10_000 + server, &end(server));
+        book.merge_report(10_000 + server, &end(server));
     }
     let mut server = 512;
     criterion.bench_function("quarantine, an end at a full keeper", |bencher| {
         bencher.iter(|| {
             server += 1;
-            book.take_report(20_000 + server, &end(server));
+            book.merge_report(20_000 + server, &end(server));
             black_box(book.judge(20_000 + server))
         });
     });
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -49,7 +49,7 @@
 
 pub use self::entry::Entry;
 pub use self::owner::LoadOwner;
-pub use self::roster::{Additions, Known, Roster};
+pub use self::roster::{RosterDelta, RosterEntry, RosterSummary};
 
 use self::roster::Copied;
 use self::view::View;
@@ -68,7 +68,7 @@
 
 /// What a node says of itself in a message.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard<'a> {
+pub struct Heartbeat<'a> {
     /// What it says of itself.
     pub entry: &'a Entry,
     /// Its incarnation: another one counts anew.
@@ -87,7 +87,7 @@
     /// Nodes that the aggregators hear, themselves included.
     pub heard: usize,
     /// Nodes that may be serving.
-    pub all: usize,
+    pub known: usize,
 }
 
 /// Other nodes, as this node knows them.
@@ -228,7 +228,7 @@
 
     /// Takes over the list of all nodes; `is_whole` where those that started together with this one
     /// had the time to add themselves.
-    pub fn take_list(&mut self, now: Millis, entries: Vec<Entry>, is_whole: bool) {
+    pub fn merge_list(&mut self, now: Millis, entries: Vec<Entry>, is_whole: bool) {
         self.is_listed = true;
         self.is_list_whole |= is_whole;
         for entry in entries {
@@ -238,7 +238,7 @@
     }
 
     /// Takes over entries that another node passed on.
-    pub fn take_entries(&mut self, now: Millis, entries: &[Entry]) {
+    pub fn merge_entries(&mut self, now: Millis, entries: &[Entry]) {
         for entry in entries {
             self.add(now, entry);
         }
@@ -270,7 +270,7 @@
     }
 
     /// Takes over what a node says of itself; returns its former incarnation where it has changed.
-    pub fn hear(&mut self, now: Millis, heard: &Heard<'_>) -> Option<u64> {
+    pub fn record_heartbeat(&mut self, now: Millis, heard: &Heartbeat<'_>) -> Option<u64> {
         let name = &heard.entry.name;
         if *name == self.own.name {
             return None;
@@ -307,7 +307,7 @@
 
     /// Takes over which nodes another aggregator hears of its group, and how long ago it heard the
     /// one that has been silent for longest.
-    pub fn take_group(&mut self, now: Millis, name: &str, group: Vec<u64>, group_age: Millis) {
+    pub fn record_group(&mut self, now: Millis, name: &str, group: Vec<u64>, group_age: Millis) {
         for short in &group {
             let known = self.names.get(short).and_then(|name| self.known.get_mut(name));
             if let Some(known) = known {
@@ -317,7 +317,7 @@
         }
         if let Some(member) = self.known.get_mut(name) {
             // What crossed is older than its sender says, by the time on the way.
-            let is_near = self.topology.is_near(&member.entry.data_centre);
+            let is_near = self.topology.is_local(&member.entry.data_centre);
             let way = if is_near { 0 } else { 2 * self.transit.way };
             member.group = group;
             member.group_age = group_age + way;
@@ -327,7 +327,7 @@
     /// Takes over what this node's aggregator says of the whole, and which nodes are silent.
     ///
     /// Overviews of other nodes are ignored: this node may have picked another one since.
-    pub fn take_overview(&mut self, now: Millis, from: &str, overview: Overview, silent: &[u64]) {
+    pub fn apply_overview(&mut self, now: Millis, from: &str, overview: Overview, silent: &[u64]) {
         if self.view.ranking.own_aggregator.as_deref() == Some(from) {
             self.overview = Some((now, overview));
             self.silent_elsewhere = silent.iter().copied().collect();
@@ -347,7 +347,7 @@
     }
 
     /// Lists the aggregators that this one ranks, itself included, by short name.
-    pub fn list_ranked(&self) -> Vec<u64> {
+    pub fn list_aggregator_ids(&self) -> Vec<u64> {
         self.view.ranking.ranked.clone()
     }
 }
--- a/crates/core/src/serving/memory/accountant.rs
+++ b/crates/core/src/serving/memory/budget.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::eviction::Shortage;
-use super::holder::{Claim, Holder, HolderId};
 use super::kind::Kind;
 use super::pressure::draw_level;
 use super::release::Releases;
+use super::reservation::{Requester, Reservation, ReservationId};
 use super::share::Share;
 use crate::Millis;
 
 /// The bytes that a node holds, and how many it may hold.
 #[derive(Clone, Debug)]
-pub struct Accountant {
+pub struct MemoryBudget {
     /// The bytes that may be held while the process takes no others.
     pub(super) capacity: u64,
     /// Memory of the process, beyond which it is killed.
@@ -24,7 +24,7 @@
     pub(super) held: BTreeMap<Kind, u64>,
     /// What is held of small bodies.
     pub(super) small_held: u64,
-    pub(super) holders: HashMap<HolderId, Holder>,
+    pub(super) holders: HashMap<ReservationId, Reservation>,
     /// What each client account holds and waits for.
     pub(super) shares: HashMap<String, Share>,
     pub(super) next_id: u64,
@@ -34,7 +34,7 @@
     pub(super) is_short: bool,
 }
 
-impl Accountant {
+impl MemoryBudget {
     /// Makes an accountant of a node that may hold so many bytes, and whose process is killed beyond
     /// `limit` bytes.
     ///
@@ -45,10 +45,10 @@
     /// # Examples
     ///
     /// ```
-    /// use keeljunction_core::serving::memory::{Accountant, Claim, Kind};
+    /// use keeljunction_core::serving::memory::{MemoryBudget, Requester, Kind};
     ///
-    /// let mut memory = Accountant::new(1_000, 2_500, 0.5);
-    /// let claim = Claim { kind: Kind::RequestBody, account: "acme", urgency: 0 };
+    /// let mut memory = MemoryBudget::new(1_000, 2_500, 0.5);
+    /// let claim = Requester { kind: Kind::RequestBody, account: "acme", urgency: 0 };
     /// let holder = memory.open(0, &claim);
     /// assert!(memory.grow(0, holder, 500).is_ok());
     /// assert!(memory.grow(0, holder, 500).is_err());
@@ -83,10 +83,10 @@
     }
 
     /// Begins to count a holder, which holds nothing yet.
-    pub fn open(&mut self, now: Millis, claim: &Claim<'_>) -> HolderId {
-        let id = HolderId(self.next_id);
+    pub fn open(&mut self, now: Millis, claim: &Requester<'_>) -> ReservationId {
+        let id = ReservationId(self.next_id);
         self.next_id += 1;
-        let holder = Holder {
+        let holder = Reservation {
             kind: claim.kind,
             account: claim.account.to_owned(),
             urgency: claim.urgency,
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Returns when to retry where there is no room for them; nothing is reserved then.
-    pub fn grow(&mut self, now: Millis, id: HolderId, bytes: u64) -> Result<(), Shortage> {
+    pub fn grow(&mut self, now: Millis, id: ReservationId, bytes: u64) -> Result<(), Shortage> {
         let Some(holder) = self.holders.get(&id) else { return Err(Shortage::default()) };
         let has_room = self.get_shortfall(now, holder, bytes) == 0;
         if !has_room || self.is_beyond_share(now, holder, bytes) {
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    fn reserve(&mut self, id: HolderId, bytes: u64) {
+    fn reserve(&mut self, id: ReservationId, bytes: u64) {
         let Some(holder) = self.holders.get_mut(&id) else { return };
         *self.held.entry(holder.kind).or_default() += bytes;
         let was_small = holder.is_small;
@@ -135,7 +135,7 @@
     }
 
     /// Notes that bytes of a body came.
-    pub fn note_received(&mut self, now: Millis, id: HolderId, bytes: u64) {
+    pub fn record_received(&mut self, now: Millis, id: ReservationId, bytes: u64) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.received += bytes;
             holder.progressed_at = now;
@@ -143,7 +143,7 @@
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub fn note_whole(&mut self, id: HolderId) {
+    pub fn complete_upload(&mut self, id: ReservationId) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.is_uploading = false;
             // Its memory stays in use for the request, and counts no longer as about to be free.
@@ -152,12 +152,12 @@
     }
 
     /// Returns `true` if a holder was picked to make room.
-    pub fn is_evicted(&self, id: HolderId) -> bool {
+    pub fn is_evicted(&self, id: ReservationId) -> bool {
         self.holders.get(&id).is_some_and(|holder| holder.is_evicted)
     }
 
     /// Releases some of a holder's bytes.
-    pub fn shrink(&mut self, now: Millis, id: HolderId, bytes: u64) {
+    pub fn shrink(&mut self, now: Millis, id: ReservationId, bytes: u64) {
         let Some(holder) = self.holders.get_mut(&id) else { return };
         let bytes = bytes.min(holder.reserved);
         holder.reserved -= bytes;
@@ -179,7 +179,7 @@
     }
 
     /// Releases all of a holder's bytes and forgets it.
-    pub fn close(&mut self, now: Millis, id: HolderId) {
+    pub fn close(&mut self, now: Millis, id: ReservationId) {
         self.shrink(now, id, u64::MAX);
         self.holders.remove(&id);
     }
--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -17,21 +17,21 @@
 /// Bytes that one read of an answer may bring: as much as the HTTP library reads at a time. Reading
 /// goes on only where they fit.
 pub const READ_BYTES: usize = 420 * 1024;
-/// The time within which a caller must take [`LEAST_TAKEN`] of what is held for it, in milliseconds:
+/// The time within which a caller must take [`MIN_PROGRESS_BYTES`] of what is held for it, in milliseconds:
 /// longer than a person's pause or a lost packet's repeats, shorter than most callers' deadlines.
-pub const PROGRESS_WITHIN: Millis = 10_000;
-/// Bytes that a caller must take within [`PROGRESS_WITHIN`]. At this rate an answer of 100 kB is held
+pub const PROGRESS_TIMEOUT: Millis = 10_000;
+/// Bytes that a caller must take within [`PROGRESS_TIMEOUT`]. At this rate an answer of 100 kB is held
 /// for an hour.
-pub const LEAST_TAKEN: usize = 256;
+pub const MIN_PROGRESS_BYTES: usize = 256;
 /// How long a caller must have taken nothing to be disconnected where memory is short or the node
 /// is about to stop, in milliseconds: a caller that reads at all takes something within it.
-pub const RESTING_AFTER: Millis = 1_000;
+pub const STALL_TIMEOUT: Millis = 1_000;
 /// The longest time that one look at a caller counts for, in milliseconds. After a pause of the whole
 /// process, its callers' silence says nothing of them.
 const LONGEST_LOOK: Millis = 500;
 
 /// Returns the bytes that a node may hold of one answer, where it may hold `capacity` bytes in all.
-pub fn get_bound(capacity: u64) -> usize {
+pub fn get_limit(capacity: u64) -> usize {
     usize::try_from(capacity / ANSWERS_HELD).unwrap_or(usize::MAX)
 }
 
@@ -92,7 +92,7 @@
 pub struct Progress {
     /// Time in which bytes were there and the caller took none, in milliseconds.
     resting: Millis,
-    /// Time since the caller last took [`LEAST_TAKEN`], in milliseconds.
+    /// Time since the caller last took [`MIN_PROGRESS_BYTES`], in milliseconds.
     since_progress: Millis,
     /// Bytes taken meanwhile.
     taken: usize,
@@ -100,35 +100,35 @@
 
 impl Progress {
     /// Notes that the caller took bytes.
-    pub fn note_taken(&mut self, bytes: usize) {
+    pub fn record_read(&mut self, bytes: usize) {
         self.resting = 0;
         self.taken += bytes;
-        if self.taken >= LEAST_TAKEN {
+        if self.taken >= MIN_PROGRESS_BYTES {
             *self = Self::default();
         }
     }
 
     /// Notes a look at a caller that has not polled for more since it took the last piece. `since` is
     /// the time since the look before, in milliseconds.
-    pub fn note_look(&mut self, since: Millis) {
+    pub fn record_check(&mut self, since: Millis) {
         let since = since.min(LONGEST_LOOK);
         self.resting += since;
         self.since_progress += since;
     }
 
     /// Notes that the caller waits for the server.
-    pub fn note_waiting(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Returns how long the caller has taken nothing, in milliseconds.
-    pub fn get_resting(&self) -> Millis {
+    pub fn get_stalled(&self) -> Millis {
         self.resting
     }
 
     /// Returns `true` if the caller took too little for too long.
     pub fn is_too_slow(&self) -> bool {
-        self.since_progress >= PROGRESS_WITHIN
+        self.since_progress >= PROGRESS_TIMEOUT
     }
 }
 
@@ -140,15 +140,15 @@
     /// The bytes that are held for it.
     pub bytes: usize,
     /// How long it has taken nothing, in milliseconds.
-    pub resting: Millis,
+    pub stalled: Millis,
 }
 
 /// Picks the callers to disconnect so that `missing` bytes become free: those that rest, the
 /// slowest and largest first. A caller that reads is never picked.
-pub fn pick_resting(callers: &[Caller], missing: usize) -> Vec<u64> {
+pub fn pick_stalled(callers: &[Caller], missing: usize) -> Vec<u64> {
     let mut resting: Vec<&Caller> =
-        callers.iter().filter(|c| c.bytes > 0 && c.resting >= RESTING_AFTER).collect();
-    resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.resting, c.id)));
+        callers.iter().filter(|c| c.bytes > 0 && c.stalled >= STALL_TIMEOUT).collect();
+    resting.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.stalled, c.id)));
     let mut freed = 0;
     let mut picked = Vec::new();
     for caller in resting {
--- a/crates/core/src/serving/rollout/judge.rs
+++ b/crates/core/src/serving/rollout/judge.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use super::tally::{Pair, Phase, Series, Tallies, Tally};
+use super::tally::{Comparison, Phase, Series, Tallies, Tally};
 
 /// The evidence at which a series is found bad: of 2,000 simulated good versions none was found bad
 /// (`rollout_trials`).
@@ -61,7 +61,7 @@
 
 /// What was found.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct Regression {
     /// How the version is worse.
     pub symptom: Symptom,
     /// Where; `None` over all series together.
@@ -79,16 +79,16 @@
 
 impl Judge {
     /// Weighs the answers that came since the last time; returns what was found.
-    pub fn weigh(&mut self, tallies: &Tallies) -> Option<Fault> {
+    pub fn weigh(&mut self, tallies: &Tallies) -> Option<Regression> {
         for (series, pair) in tallies.iter() {
             let seen = self.seen.entry(series.clone()).or_default();
             let new = pair.target.since(seen);
             seen.clone_from(&pair.target);
-            self.add(Symptom::Failing, series, weigh_failures(&new, &pair.rest));
+            self.add(Symptom::Failing, series, weigh_failures(&new, &pair.baseline));
             self.add(Symptom::Slow, series, weigh_latencies(series.phase, &new, pair));
         }
         let found = self.evidence.iter().find(|(_, evidence)| **evidence >= BAD_AT);
-        found.map(|((symptom, series), _)| Fault {
+        found.map(|((symptom, series), _)| Regression {
             symptom: *symptom,
             series: series.clone(),
             answers: tallies.count_target(),
@@ -109,8 +109,8 @@
     weigh(new.failed, new.good, expected, expected + FAILING_STEP)
 }
 
-fn weigh_latencies(phase: Phase, new: &Tally, pair: &Pair) -> f64 {
-    let rest = &pair.rest.latencies;
+fn weigh_latencies(phase: Phase, new: &Tally, pair: &Comparison) -> f64 {
+    let rest = &pair.baseline.latencies;
     if rest.len() < LEAST_COMPARED || new.latencies.is_empty() {
         return 0.0;
     }
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Book, Crash, Fingerprint, Run, SUSPECTED_FOR, Standing, Verdict,
+    Crash, Fingerprint, InterruptedRequest, SUSPICION_PERIOD, Standing, Tracker, Verdict,
 };
 
 /// Who decides which request is refused.
@@ -86,8 +86,8 @@
     now: Millis,
     next_request: u64,
     servers: Vec<Server>,
-    nodes: Vec<Book>,
-    keeper: Book,
+    nodes: Vec<Tracker>,
+    keeper: Tracker,
     /// What counting knows: servers that crashed under a request, by node.
     counts: BTreeMap<(usize, u64), BTreeSet<(usize, Millis)>>,
     to_keeper: VecDeque<(Millis, Crash)>,
@@ -106,8 +106,8 @@
             now: 0,
             next_request: 10_000,
             servers: vec![Server::default(); setup.servers],
-            nodes: vec![Book::default(); setup.nodes],
-            keeper: Book::default(),
+            nodes: vec![Tracker::default(); setup.nodes],
+            keeper: Tracker::default(),
             counts: BTreeMap::new(),
             to_keeper: VecDeque::new(),
             to_nodes: VecDeque::new(),
@@ -181,7 +181,7 @@
         match self.way {
             Way::EachNode => counted(node),
             Way::Counting => counted(0),
-            Way::Keeper => self.nodes[node].get_refused_for(self.now, fingerprint).is_some(),
+            Way::Keeper => self.nodes[node].get_quarantine_left(self.now, fingerprint).is_some(),
         }
     }
 
@@ -203,12 +203,15 @@
     fn crash(&mut self, server: usize, cause: Option<u64>) {
         self.servers[server].away_until = self.now + AWAY;
         let cut = std::mem::take(&mut self.servers[server].attempts);
-        let mut by_node: BTreeMap<usize, Vec<Run>> = BTreeMap::new();
+        let mut by_node: BTreeMap<usize, Vec<InterruptedRequest>> = BTreeMap::new();
         for attempt in &cut {
-            if self.now < attempt.first_at + SUSPECTED_FOR {
+            if self.now < attempt.first_at + SUSPICION_PERIOD {
                 let fingerprint = Fingerprint::from_number(attempt.request);
                 let ran_for = self.now - attempt.sent_at;
-                by_node.entry(attempt.node).or_default().push(Run { fingerprint, ran_for });
+                by_node
+                    .entry(attempt.node)
+                    .or_default()
+                    .push(InterruptedRequest { fingerprint, ran_for });
                 let counter = if self.way == Way::EachNode { attempt.node } else { 0 };
                 let counted = self.counts.entry((counter, attempt.request)).or_default();
                 counted.insert((server, self.now));
@@ -216,7 +219,7 @@
         }
         for (node, runs) in by_node {
             let crash = Crash { service: SERVICE, server: server as u64, age: 0, runs };
-            self.nodes[node].note_crash(self.now, crash);
+            self.nodes[node].record_crash(self.now, crash);
             let keeper = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
             for (_, crash) in self.nodes[node].take_due(self.now, |_| Some(keeper)) {
                 self.to_keeper.push_back((self.now + ON_THE_WAY, crash));
@@ -236,9 +239,9 @@
             let done = server.attempts.extract_if(.., |attempt| now >= attempt.done_at);
             for attempt in done {
                 let fingerprint = Fingerprint::from_number(attempt.request);
-                let told = self.nodes[attempt.node].note_answered(now, fingerprint);
+                let told = self.nodes[attempt.node].record_completion(now, fingerprint);
                 if told.is_some()
-                    && let Some(verdict) = self.keeper.take_answered(now, fingerprint)
+                    && let Some(verdict) = self.keeper.merge_completion(now, fingerprint)
                 {
                     self.to_nodes.push_back((now + ON_THE_WAY, verdict));
                 }
@@ -250,13 +253,13 @@
     fn deliver(&mut self) {
         while self.to_keeper.front().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, crash)) = self.to_keeper.pop_front() else { break };
-            self.keeper.take_report(self.now, &Crash { age: ON_THE_WAY, ..crash });
+            self.keeper.merge_report(self.now, &Crash { age: ON_THE_WAY, ..crash });
         }
         while self.to_nodes.front().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, verdict)) = self.to_nodes.pop_front() else { break };
             for node in &mut self.nodes {
                 if node.merge(self.now, verdict).is_answered_here {
-                    self.keeper.take_answered(self.now, verdict.fingerprint);
+                    self.keeper.merge_completion(self.now, verdict.fingerprint);
                 }
             }
         }
--- a/crates/core/tests/serving/regions.rs
+++ b/crates/core/tests/serving/regions.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use keeljunction_core::serving::crossing::Crossing;
-use keeljunction_core::serving::handover::{Handover, Snapshot};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::members::{Entry, Heard, Members, Overview, Role};
+use keeljunction_core::serving::members::{Entry, Heartbeat, Members, Overview, Role};
 use keeljunction_core::serving::quota::{Decision, Limit, Quotas, Report, Source, Tolerance};
+use keeljunction_core::serving::report_log::{ReportLog, Snapshot};
+use keeljunction_core::serving::summary_pacer::SummaryPacer;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{Counts, Incarnation, Ledger};
 use proptest::prelude::*;
@@ -84,10 +84,10 @@
     members: Members,
     quotas: Quotas,
     ledger: Ledger,
-    handover: Handover,
+    handover: ReportLog,
     /// The aggregator that it reports to; `None` where it aggregates.
     audience: Option<String>,
-    pace: Crossing,
+    pace: SummaryPacer,
     crossed: u64,
     sent: usize,
     /// The newest report of each node that arrived here, by its time there.
@@ -180,7 +180,7 @@
         let region = number % scenario.regions;
         let topology = topology_of(scenario.regions, region);
         let mut members = Members::new(now, own.clone(), &[]).with_topology(topology);
-        members.take_list(now, all, true);
+        members.merge_list(now, all, true);
         let incarnation = Incarnation { node: own.name.clone(), number: u64::from(run) };
         Self {
             audience: members.get_own_aggregator().map(|entry| entry.name.clone()),
@@ -190,8 +190,8 @@
             members,
             quotas: Quotas::new(now, TOLERANCE),
             ledger: Ledger::default(),
-            handover: Handover::new(incarnation),
-            pace: Crossing::new(scenario.control_kbps),
+            handover: ReportLog::new(incarnation),
+            pace: SummaryPacer::new(scenario.control_kbps),
             crossed: 0,
             sent: 0,
             newest: BTreeMap::new(),
@@ -202,8 +202,8 @@
     }
 
     fn hear(&mut self, now: u64, entry: &Entry, incarnation: u64, role: Role) {
-        let heard = Heard { entry, incarnation, is_stopping: false, role, holder_age: None };
-        if let Some(former) = self.members.hear(now, &heard) {
+        let heard = Heartbeat { entry, incarnation, is_stopping: false, role, holder_age: None };
+        if let Some(former) = self.members.record_heartbeat(now, &heard) {
             self.quotas.forget(&entry.name, former);
             if self.audience.as_ref() == Some(&entry.name) {
                 self.begin(now, false);
@@ -213,14 +213,14 @@
 
     fn begin(&mut self, now: u64, was_own_sum: bool) {
         let former = self.handover.get_incarnation().clone();
-        let arrived = self.handover.begin(now + 1_000_000);
+        let arrived = self.handover.begin_incarnation(now + 1_000_000);
         let next = self.handover.get_incarnation().clone();
         self.quotas.hand_over(now, &arrived.quota);
         self.ledger.hand_over(&former, &next, &arrived.usage, was_own_sum);
     }
 
     fn refresh(&mut self, now: u64, way: u64) {
-        self.members.set_transit(self.pace.get_period(), way);
+        self.members.set_transit_delay(self.pace.get_period(), way);
         self.members.refresh(now);
         let audience = self.members.get_own_aggregator().map(|entry| entry.name.clone());
         self.has_heard_all &= audience.is_none();
@@ -234,7 +234,7 @@
     fn take_summary(&mut self, now: u64, summary: Summary) {
         self.hear(now, &summary.entry, summary.incarnation, Role::Aggregator);
         let name = &summary.entry.name;
-        self.members.take_group(now, name, summary.group, summary.group_age);
+        self.members.record_group(now, name, summary.group, summary.group_age);
         self.quotas.merge(now, Source::Peer, (name, summary.incarnation), &summary.report);
         let incarnation = Incarnation { node: name.clone(), number: summary.incarnation };
         self.ledger.merge(WINDOW, &incarnation, &summary.counts);
@@ -252,7 +252,7 @@
                 *newest = (*newest).max(sent_at);
             }
             Datagram::Summary(summary) => {
-                let is_near = self.members.get_topology().is_near(&summary.entry.data_centre);
+                let is_near = self.members.get_topology().is_local(&summary.entry.data_centre);
                 let is_new = is_near || self.note(now, &summary);
                 if is_near {
                     self.take_summary(now, summary.clone());
@@ -278,21 +278,21 @@
     }
 
     fn note(&mut self, now: u64, summary: &Summary) -> bool {
-        self.members.note_crossed(now, &summary.entry, summary.run, summary.sent_at)
+        self.members.record_remote_summary(now, &summary.entry, summary.run, summary.sent_at)
     }
 
     fn take_told(&mut self, now: u64, told: Told) {
         self.hear(now, &told.entry, told.incarnation, Role::Aggregator);
         let name = &told.entry.name;
-        self.members.take_overview(now, name, told.overview, &told.silent);
-        self.members.take_lost_regions(name, told.lost_regions);
+        self.members.apply_overview(now, name, told.overview, &told.silent);
+        self.members.set_unreachable_regions(name, told.lost_regions);
         if self.audience.as_ref() != Some(name) {
             return;
         }
         if told.is_region_overdue {
             self.quotas.note_overdue_region(now);
         }
-        let arrived = told.answers.and_then(|at| self.handover.confirm(at).cloned());
+        let arrived = told.answers.and_then(|at| self.handover.acknowledge(at).cloned());
         if let Some(arrived) = arrived {
             self.quotas.merge_total(now, (name, told.incarnation), &told.total, &arrived.quota);
         }
@@ -302,7 +302,7 @@
         let incarnation = self.handover.get_incarnation().number;
         let entry = self.entry.clone();
         let own = self.quotas.report(now);
-        let usage = self.ledger.of_incarnation(self.handover.get_incarnation());
+        let usage = self.ledger.list_incarnation_counts(self.handover.get_incarnation());
         let usage: BTreeMap<u64, Counts> = usage.into_iter().collect();
         let counts = usage.get(&WINDOW).cloned().unwrap_or_default();
         self.handover.record(now, Snapshot { quota: own.accounts.clone(), usage });
@@ -314,10 +314,10 @@
         if is_region_overdue {
             self.quotas.note_overdue_region(now);
         }
-        let reach = self.members.get_reach(now);
+        let reach = self.members.get_reachability(now);
         self.quotas.track(now, "acme", self.limit, reach);
-        let report = self.quotas.add_group(now, &own);
-        let total = self.quotas.add_others(now, &report);
+        let report = self.quotas.add_group_usage(now, &own);
+        let total = self.quotas.add_other_usage(now, &report);
         let usage = self.ledger.sum_group(self.handover.get_incarnation(), 1);
         let counts = usage.first().map(|(_, counts)| counts.clone()).unwrap_or_default();
         let (group, group_age) = self.members.get_group(now);
@@ -335,7 +335,7 @@
             unheard_regions,
         };
         let mut sent: Vec<(SocketAddr, Datagram)> = Vec::new();
-        for to in self.pick_carriers(now).into_iter().chain(self.members.list_exchange(now)) {
+        for to in self.pick_carriers(now).into_iter().chain(self.members.list_exchange_peers(now)) {
             sent.push((to, Datagram::Summary(summary.clone())));
         }
         for member in self.members.iter_group(now) {
@@ -345,7 +345,7 @@
                 total: total.clone(),
                 overview: self.members.get_overview(),
                 silent: self.members.list_silent(),
-                lost_regions: self.members.list_lost_regions(),
+                lost_regions: self.members.list_unreachable_regions(),
                 is_region_overdue,
                 answers: self.newest.get(&member.name).copied(),
             };
@@ -356,11 +356,11 @@
 
     /// Lists the carriers that this aggregator's summary crosses to now.
     fn pick_carriers(&mut self, now: u64) -> Vec<SocketAddr> {
-        let senders = self.members.count_near_aggregators();
+        let senders = self.members.count_local_aggregators();
         if !self.pace.is_due(now, self.crossed, senders) {
             return Vec::new();
         }
-        self.pace.note_sent(now);
+        self.pace.record_sent(now);
         self.sent += 1;
         self.members.pick_carriers(now, self.sent)
     }
@@ -411,7 +411,7 @@
                     continue;
                 }
                 let Some(carried) = nodes[to].take(now, datagram) else { continue };
-                for beside in nodes[to].members.list_exchange(now) {
+                for beside in nodes[to].members.list_exchange_peers(now) {
                     let datagrams = on_the_way.entry(now + NEAR_WAY).or_default();
                     datagrams.push((number_of(beside), Datagram::Carried(carried.clone())));
                 }
@@ -427,9 +427,10 @@
         for region in 0..self.regions {
             let is_last = |node: &&Node| node.region == region && node.members.is_aggregator();
             let node = nodes.iter().rfind(is_last);
-            let reach = node.expect("an aggregator").members.get_reach(self.end + 6_000);
-            outcome.reach.push((reach.heard, reach.all));
-            let readers = nodes.iter().filter(|node| node.members.is_reader(self.end + 6_000));
+            let reach = node.expect("an aggregator").members.get_reachability(self.end + 6_000);
+            outcome.reach.push((reach.heard, reach.known));
+            let readers =
+                nodes.iter().filter(|node| node.members.is_table_reader(self.end + 6_000));
             outcome.readers.push(readers.filter(|node| node.region == region).count());
         }
         outcome
@@ -487,8 +488,8 @@
     /// Decides about a request that comes to a node.
     fn is_admitted(&self, nodes: &mut [Node], number: usize, now: u64, size: u64) -> bool {
         let node = &mut nodes[number];
-        let reach = node.members.get_reach(now);
-        if node.quotas.consume_if_filled(now, "acme", size, self.limit, reach) {
+        let reach = node.members.get_reachability(now);
+        if node.quotas.consume_above_low_water(now, "acme", size, self.limit, reach) {
             return true;
         }
         let owner = node.members.find_owner(short_id("acme")).map_or(number, number_of);
@@ -497,10 +498,10 @@
         let is_there = !is_cut && now >= nodes[owner].away_until;
         let mut decision = Decision::Undecided;
         if is_there && nodes[owner].members.is_owner(short_id("acme")) {
-            let reach = nodes[owner].members.get_reach(now);
+            let reach = nodes[owner].members.get_reachability(now);
             let Node { members, quotas, .. } = &mut nodes[owner];
-            decision = match members.is_region_alone() {
-                true => quotas.decide_alone(now, "acme", size, self.limit, reach),
+            decision = match members.is_region_isolated() {
+                true => quotas.decide_for_isolated_region(now, "acme", size, self.limit, reach),
                 false => quotas.decide(now, "acme", size, self.limit, reach),
             };
         }
@@ -513,7 +514,7 @@
         let there = || nodes.iter().filter(|node| now >= node.away_until);
         let aggregators = || there().filter(|node| node.members.is_aggregator());
         if now >= 4_000 {
-            let known = aggregators().map(|node| node.members.get_reach(now).all).min();
+            let known = aggregators().map(|node| node.members.get_reachability(now).known).min();
             self.least_known = self.least_known.min(known.unwrap_or(0));
         }
         if now < scenario.end {
@@ -582,12 +583,12 @@
     let scenario = Scenario::default();
     let mut node = Node::start(&scenario, 0, 0, 1);
     let far = entry(2, 1);
-    assert!(node.members.note_crossed(100, &far, 7, 1_000));
-    assert!(!node.members.note_crossed(110, &far, 7, 1_000));
-    assert!(!node.members.note_crossed(120, &far, 7, 800));
-    assert!(node.members.note_crossed(130, &far, 7, 1_200));
+    assert!(node.members.record_remote_summary(100, &far, 7, 1_000));
+    assert!(!node.members.record_remote_summary(110, &far, 7, 1_000));
+    assert!(!node.members.record_remote_summary(120, &far, 7, 800));
+    assert!(node.members.record_remote_summary(130, &far, 7, 1_200));
     // Another run of the process has another clock.
-    assert!(node.members.note_crossed(140, &far, 8, 50));
+    assert!(node.members.record_remote_summary(140, &far, 8, 50));
 }
 
 #[test]
@@ -742,20 +743,25 @@
     for now in (PERIOD..20_000).step_by(PERIOD as usize) {
         for other in &near {
             let role = Role::Aggregator;
-            let heard =
-                Heard { entry: other, incarnation: 1, is_stopping: false, role, holder_age: None };
-            old.hear(now, &heard);
+            let heard = Heartbeat {
+                entry: other,
+                incarnation: 1,
+                is_stopping: false,
+                role,
+                holder_age: None,
+            };
+            old.record_heartbeat(now, &heard);
         }
         old.refresh(now);
     }
-    assert_eq!(old.list_lost_regions(), ["region-1"]);
+    assert_eq!(old.list_unreachable_regions(), ["region-1"]);
     let own = entry(2, 2);
     let mut new = Members::new(20_000, own, &[]).with_topology(topology_of(2, 0));
     // Turns in which no known entry of the own region is repeated.
     for turn in [1, 2, 3, 4, 6] {
-        new.take_entries(20_000, &old.list_joined(20_000, turn));
+        new.merge_entries(20_000, &old.list_gossip_entries(20_000, turn));
     }
     new.refresh(20_000);
     // Itself, and the thirty of the other region.
-    assert_eq!(new.get_reach(24_000).all, 31);
+    assert_eq!(new.get_reachability(24_000).known, 31);
 }
--- a/crates/gateway/src/exchange/dispatch.rs
+++ b/crates/gateway/src/exchange/dispatch.rs
@@ -31,7 +31,7 @@
     exchange: &Arc<Exchange>,
     record: &mut Record,
 ) -> Result<Answer, Refused> {
-    node.with(|state| state.budget.count_request(node.now(), &exchange.service));
+    node.with(|state| state.retry_budget.count_request(node.now(), &exchange.service));
     let mut progress = Progress::new(record.get_arrival());
     let mut spare: Option<Box<Answer>> = None;
     loop {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends the request to the server that was picked, from the event after `last_event` on where a stream
+/// Sends the request to the server that was picked, from the event after `last_event_id` on where a stream
 /// goes on.
 ///
 /// # Errors
@@ -59,18 +59,18 @@
     record: &mut Record,
     progress: &mut Progress,
     pick: &Pick,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<Answer, Option<Box<Answer>>> {
     let server = &pick.server;
     progress.tried.all.push(server.id.clone());
     node.with(|state| state.rollouts.count_sent(server));
     let sent_at = node.now();
-    let order = Order { server, last_event, within: exchange.get_left(sent_at) };
+    let order = Order { server, last_event_id, within: exchange.get_left(sent_at) };
     match attempt::send(node, exchange, &order).await {
         Ok(answer) => {
             node.with(|state| {
                 if !state.directory.is_superseded(server) {
-                    state.health.succeed(&server.id);
+                    state.health.record_success(&server.id);
                 }
             });
             let on_the_way = node.get_round_trip(&server.data_centre);
@@ -81,7 +81,7 @@
         }
         Err((failed, answer)) => {
             if failed == Failed::NotConnected {
-                permits::return_unsent(node, server, pick.permit).await;
+                permits::release_unused(node, server, pick.permit).await;
             }
             note_failure(node, exchange, record, server, failed);
             if failed.may_have_run() {
@@ -100,7 +100,7 @@
     exchange: &Exchange,
     record: &mut Record,
     tried: &mut Tried,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Option<Answer> {
     let mut progress = Progress {
         tried: tried.clone(),
@@ -114,7 +114,7 @@
         let pick = next_attempt(node, exchange, &progress).await.ok()?;
         note_choice(node, exchange, record, &pick);
         let tried_server =
-            try_server(node, exchange, record, &mut progress, &pick, last_event).await;
+            try_server(node, exchange, record, &mut progress, &pick, last_event_id).await;
         tried.clone_from(&progress.tried);
         if let Ok(answer) = tried_server {
             return Some(answer);
@@ -141,13 +141,13 @@
         let retry_after = pick::get_retry_after(node, exchange, ROOM_RETRY_AFTER);
         return Err(progress.reject(Refusal::NotAccepted, retry_after));
     }
-    if let Some(refused_for) = node.get_quarantine(exchange.fingerprint) {
+    if let Some(refused_for) = node.get_quarantine_remaining(exchange.fingerprint) {
         return Err(progress.reject_quarantined(refused_for));
     }
     if has_ended_servers(node, exchange, progress) {
         return Err(progress.reject(Refusal::BrokenAnswer, 0));
     }
-    if !node.is_fresh() {
+    if !node.is_configuration_fresh() {
         return Err(progress.reject(Refusal::Stale, ROOM_RETRY_AFTER));
     }
     let attempts = Attempts {
@@ -160,7 +160,7 @@
         .await
         .map_err(|rejection| progress.reject(rejection.reason, rejection.retry_after))?;
     if let Err(rejection) = check_dispatch(node, exchange, progress, now) {
-        permits::return_unsent(node, &pick.server, pick.permit).await;
+        permits::release_unused(node, &pick.server, pick.permit).await;
         return Err(rejection);
     }
     Ok(pick)
@@ -191,8 +191,8 @@
     now: Millis,
 ) -> Result<(), Rejection> {
     let is_allowed = node.with(|state| {
-        let nodes = state.members.get_reach(now).all;
-        state.budget.take(now, &exchange.service, nodes)
+        let nodes = state.members.get_reachability(now).known;
+        state.retry_budget.take(now, &exchange.service, nodes)
     });
     if !is_allowed {
         return Err(progress.reject(Refusal::NotAccepted, ROOM_RETRY_AFTER));
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -4,14 +4,14 @@
 use keeljunction_core::serving::choice::{Candidate, Choice, Criteria, choose, shortlist};
 use keeljunction_core::serving::directory::Server;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::rollout::Side;
+use keeljunction_core::serving::rollout::VersionFilter;
 use keeljunction_core::serving::spill::{Cause, Offer, get_region};
 use keeljunction_core::serving::throughput::Throughput;
 
 use super::Attempts;
 use crate::exchange::admission::Exchange;
 use crate::node::state::State;
-use crate::node::{Node, ask_loads, rollouts};
+use crate::node::{Node, query_loads, rollouts};
 
 /// What the servers of one region offer, with the best of them.
 pub(super) struct Found {
@@ -44,7 +44,7 @@
     fn holds(&self, node: &Node, server: &Server) -> bool {
         match self.far {
             Some((region, _)) => get_region(&node.topology, &server.data_centre) == region,
-            None => !node.is_crossing(&server.data_centre),
+            None => !node.is_cross_region(&server.data_centre),
         }
     }
 }
@@ -62,7 +62,7 @@
     node: &Node,
     exchange: &Exchange,
     attempts: Attempts<'_>,
-    side: Side,
+    side: VersionFilter,
     place: &Place<'_>,
 ) -> Found {
     let allowed = Allowed::new(node, exchange, attempts, side);
@@ -71,9 +71,11 @@
         return found;
     }
     let other = match (side, found.offer) {
-        (Side::Canary | Side::Target, Offer::Busy(_) | Offer::None) => Side::Rest,
-        (Side::TargetFirst, Offer::None) => Side::Rest,
-        (Side::RestFirst, Offer::None) => Side::Target,
+        (VersionFilter::Canary | VersionFilter::Target, Offer::Busy(_) | Offer::None) => {
+            VersionFilter::Others
+        }
+        (VersionFilter::PreferTarget, Offer::None) => VersionFilter::Others,
+        (VersionFilter::PreferOthers, Offer::None) => VersionFilter::Target,
         _ => return found,
     };
     let allowed = Allowed::new(node, exchange, attempts, other);
@@ -84,24 +86,24 @@
 
 /// Which servers a request may go to.
 struct Allowed<'a> {
-    side: Side,
-    /// The only ones, where the side is [`Side::Canary`].
+    side: VersionFilter,
+    /// The only ones, where the side is [`VersionFilter::Canary`].
     canaries: Vec<String>,
     attempts: Attempts<'a>,
     now: Millis,
 }
 
 impl<'a> Allowed<'a> {
-    fn new(node: &Node, exchange: &Exchange, attempts: Attempts<'a>, side: Side) -> Self {
+    fn new(node: &Node, exchange: &Exchange, attempts: Attempts<'a>, side: VersionFilter) -> Self {
         let canaries = match side {
-            Side::Canary => rollouts::list_canaries(node, &exchange.service),
+            VersionFilter::Canary => rollouts::list_canaries(node, &exchange.service),
             _ => Vec::new(),
         };
         Self { side, canaries, attempts, now: node.now() }
     }
 
     fn is_allowed(&self, state: &State, server: &Server) -> bool {
-        let is_chosen = self.side != Side::Canary || self.canaries.contains(&server.id);
+        let is_chosen = self.side != VersionFilter::Canary || self.canaries.contains(&server.id);
         let is_of_side = state.rollouts.is_allowed(self.side, server);
         let is_tried = self.attempts.tried.contains(&server.id);
         is_chosen && is_of_side && !is_tried && !self.is_barred(state, server)
@@ -110,7 +112,7 @@
     /// Returns `true` if a server takes no request now, or is left out because of its limit.
     fn is_barred(&self, state: &State, server: &Server) -> bool {
         let is_limited = || state.backpressure.get_limit(self.now, server).is_some();
-        state.is_barred(self.now, server) || (self.attempts.skips_limited && is_limited())
+        state.is_in_backoff(self.now, server) || (self.attempts.skips_limited && is_limited())
     }
 }
 
@@ -135,9 +137,9 @@
     let mut found = Found::NOTHING;
     for is_wide in [false, true] {
         let listed = list_candidates(node, exchange, is_wide, ramp_draw, is_allowed);
-        let is_answered = ask_loads(node, &listed).await;
+        let is_answered = query_loads(node, &listed).await;
         if let Some((region, cause)) = place.far {
-            node.with(|state| state.links.note_answer(node.now(), region, is_answered));
+            node.with(|state| state.region_links.record_reply(node.now(), region, is_answered));
             if !is_answered && cause == Cause::Full {
                 return Found::NOTHING;
             }
@@ -211,7 +213,7 @@
         let now = node.now();
         let servers = listed.iter().filter_map(|id| state.directory.get_ready(id));
         // A server may have said something while the loads were waited for.
-        let servers = servers.filter(|server| !state.is_barred(now, server));
+        let servers = servers.filter(|server| !state.is_in_backoff(now, server));
         pick_one(node, state, exchange, criteria, ramp_draw, servers)
     })
 }
@@ -253,7 +255,7 @@
     let (id, service) = (&server.id, &server.service);
     state.health.is_ejected(now, id)
         || state.health.is_ramping(now, id, ramp_draw)
-        || state.held.is_full(now, service, id, exchange.body_bytes as u64)
+        || state.server_held_bytes.is_full(now, service, id, exchange.body_bytes as u64)
 }
 
 /// Returns what the node knows of a server.
--- a/crates/gateway/src/exchange/respond.rs
+++ b/crates/gateway/src/exchange/respond.rs
@@ -9,10 +9,10 @@
 use keeljunction_core::serving::refusal::Refusal;
 
 use crate::event::{self, Event};
-use crate::http::{Body, Peer};
+use crate::http::{Body, ConnectionHandle};
 use crate::metrics::{RequestLabels, ServiceLabels};
 use crate::node::Node;
-use crate::node::state::InFlight;
+use crate::node::state::InFlightGuard;
 use crate::port::RequestHead;
 use crate::runtime::lock;
 
@@ -101,7 +101,7 @@
 /// What is known of a request until it ends. Dropping it logs and counts the end.
 pub(super) struct Record {
     node: Arc<Node>,
-    _guard: InFlight,
+    _guard: InFlightGuard,
     arrived: Millis,
     /// The request's id.
     pub id: String,
@@ -120,7 +120,7 @@
     /// What was passed on to the caller.
     pub passage: Arc<Passage>,
     /// The caller's connection.
-    pub peer: Option<Peer>,
+    pub peer: Option<ConnectionHandle>,
     /// Names the request's content, once its body is there.
     pub fingerprint: Option<Fingerprint>,
     status: u16,
@@ -133,7 +133,7 @@
 impl Record {
     /// Begins the record of a request that has just arrived.
     pub fn begin(node: Arc<Node>, head: &RequestHead) -> Self {
-        let guard = node.enter();
+        let guard = node.track_request();
         let arrived = node.now();
         Self {
             node,
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -10,9 +10,9 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Crash, Run, SUSPECTED_FOR};
+use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPICION_PERIOD};
 
-use super::cut_runs::CutRun;
+use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
 use crate::event::{self, CrashSuspect, Event};
 use crate::metrics::ServiceLabels;
@@ -27,12 +27,13 @@
 /// Notes that the connection of a run broke off, and looks at the server soon.
 ///
 /// A server that is leaving or gone breaks off for another reason.
-pub(crate) fn note_cut(node: &Arc<Node>, server: &Server, run: CutRun) {
-    let is_suspect = run.answering_since.is_none_or(|since| run.cut_at < since + SUSPECTED_FOR);
+pub(crate) fn note_interrupted_attempt(node: &Arc<Node>, server: &Server, run: InterruptedAttempt) {
+    let is_suspect =
+        run.response_started_at.is_none_or(|since| run.interrupted_at < since + SUSPICION_PERIOD);
     if !is_suspect || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
-    let mut pending = lock(&node.cut_runs);
+    let mut pending = lock(&node.interrupted_attempts);
     let is_first = !pending.contains_key(&server.id);
     let runs = pending.entry(server.id.clone()).or_default();
     if runs.len() < MOST_RUNS {
@@ -52,13 +53,13 @@
 /// Looks whether a server still listens, and has not started again.
 async fn look(node: Arc<Node>, server: Server) {
     runtime::sleep(GATHER).await;
-    let is_listening = node.servers.is_listening(server.address).await;
-    let runs = lock(&node.cut_runs).remove(&server.id).unwrap_or_default();
+    let is_listening = node.http_client.is_listening(server.address).await;
+    let runs = lock(&node.interrupted_attempts).remove(&server.id).unwrap_or_default();
     if is_listening && !node.with(|state| state.directory.is_superseded(&server)) {
         return;
     }
     let now = node.now();
-    node.with(|state| state.health.fail_to_connect(now, &server.id));
+    node.with(|state| state.health.record_connect_failure(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
     let running = runs.iter().map(|run| CrashSuspect {
@@ -67,15 +68,16 @@
     });
     let running = running.collect();
     event::emit(&Event::ServerDown { server: &server.id, service: &server.service, running });
-    node.with(|state| state.quarantine.note_crash(now, make_report(now, &server, &runs)));
+    node.with(|state| state.quarantine.record_crash(now, make_report(now, &server, &runs)));
     peers::quarantine::send_reports(&node).await;
 }
 
 /// Makes the report of a server that crashed.
-fn make_report(now: Millis, server: &Server, runs: &[CutRun]) -> Crash {
-    let crashed_at = runs.iter().map(|run| run.cut_at).min().unwrap_or(now);
+fn make_report(now: Millis, server: &Server, runs: &[InterruptedAttempt]) -> Crash {
+    let crashed_at = runs.iter().map(|run| run.interrupted_at).min().unwrap_or(now);
     let runs = runs.iter();
-    let runs = runs.map(|run| Run { fingerprint: run.fingerprint, ran_for: run.get_span() });
+    let runs = runs
+        .map(|run| InterruptedRequest { fingerprint: run.fingerprint, ran_for: run.get_span() });
     Crash {
         service: short_id(&server.service),
         server: short_id(&server.id),
--- a/crates/gateway/src/node/duty.rs
+++ b/crates/gateway/src/node/duty.rs
@@ -83,7 +83,7 @@
 fn is_left_to_others(node: &Node, now: Millis) -> bool {
     let within = (node.settings.bounds.lease_ms as f64 * HOLDER_BELIEVED_PART) as Millis;
     node.with(|state| {
-        let is_held_elsewhere = state.members.is_holder_heard(now, within);
+        let is_held_elsewhere = state.members.is_duty_holder_heard(now, within);
         let is_candidate = state.members.is_aggregator() && state.members.is_settled(now);
         let is_holder = state.lease.get_fence(now).is_some();
         !is_candidate || (is_held_elsewhere && !is_holder)
@@ -141,7 +141,7 @@
 }
 
 fn transaction(row: &LeaseRow, current: &Known) -> Transaction {
-    let (table, version) = (TableName::Own(TABLE), current.version);
+    let (table, version) = (TableName::Internal(TABLE), current.version);
     let key = table::era_key(KEY, version.era);
     let condition = Condition { table, key: key.clone(), version };
     let removals = current.earlier.iter().map(|key| Write { table, key: key.clone(), value: None });
@@ -153,7 +153,7 @@
 /// Reads the lease's row; a row that is this node's confirms its lease.
 async fn read(node: &Node, unreadable: &mut Option<Unreadable>) -> Result<Known, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Own(TABLE), ANSWER_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), ANSWER_WITHIN).await?;
     let clock = TableClock { asked_at, table_time: rows.table_time };
     let era = rows.version.era;
     let key = table::era_key(KEY, era);
--- a/crates/gateway/src/node/memory.rs
+++ b/crates/gateway/src/node/memory.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use keeljunction_core::Millis;
-use keeljunction_core::serving::memory::{Claim, HolderId, Kind, Use};
+use keeljunction_core::serving::memory::{Kind, Requester, ReservationId, Usage};
 
 use super::Node;
 use crate::event::{self, Event};
-use crate::http::Stop;
+use crate::http::StopSignal;
 use crate::runtime::{self, lock};
 
 /// The time between two samples of the resident memory: at the bandwidth of a small VM's link, 10
@@ -24,7 +24,7 @@
 /// Bytes that are held until this is dropped.
 pub struct Reservation {
     node: Arc<Node>,
-    id: HolderId,
+    id: ReservationId,
     bytes: u64,
     /// Whether a signal of eviction was taken.
     has_stop: bool,
@@ -33,23 +33,23 @@
 impl Reservation {
     /// Makes a reservation of no bytes, for no client account in particular.
     pub fn new(node: &Arc<Node>, kind: Kind) -> Self {
-        Self::for_claim(node, &Claim { kind, account: "", urgency: 0 })
+        Self::for_claim(node, &Requester { kind, account: "", urgency: 0 })
     }
 
     /// Makes a reservation of no bytes for a claim.
-    pub fn for_claim(node: &Arc<Node>, claim: &Claim<'_>) -> Self {
+    pub fn for_claim(node: &Arc<Node>, claim: &Requester<'_>) -> Self {
         let now = node.now();
         let id = node.with(|state| state.memory.open(now, claim));
         Self { node: node.clone(), id, bytes: 0, has_stop: false }
     }
 
     /// Returns the signal that this upload is evicted.
-    pub(crate) fn watch(&mut self) -> Stop {
+    pub(crate) fn watch_eviction(&mut self) -> StopSignal {
         self.has_stop = true;
         let stop = lock(&self.node.uploads.0).entry(self.id).or_default().clone();
         // It may have been picked before it was watched.
         if self.node.with(|state| state.memory.is_evicted(self.id)) {
-            stop.give();
+            stop.send();
         }
         stop
     }
@@ -101,12 +101,12 @@
     /// Notes that bytes of a body came.
     pub(crate) fn note_received(&self, bytes: u64) {
         let now = self.node.now();
-        self.node.with(|state| state.memory.note_received(now, self.id, bytes));
+        self.node.with(|state| state.memory.record_received(now, self.id, bytes));
     }
 
     /// Notes that a body is whole: it is not evicted any more.
-    pub(crate) fn note_whole(&self) {
-        self.node.with(|state| state.memory.note_whole(self.id));
+    pub(crate) fn note_complete(&self) {
+        self.node.with(|state| state.memory.complete_upload(self.id));
     }
 
     /// Releases some of the bytes.
@@ -153,13 +153,13 @@
 fn observe(node: &Node) {
     let (now, resident) = (node.now(), read_resident_bytes());
     let (was_short, is_short, used, evicted) = node.with(|state| {
-        let was_short = state.memory.is_short();
+        let was_short = state.memory.is_under_pressure();
         let evicted = state.memory.observe(now, resident);
-        (was_short, state.memory.is_short(), state.memory.get_use(), evicted)
+        (was_short, state.memory.is_under_pressure(), state.memory.get_usage(), evicted)
     });
     node.uploads.evict(&evicted);
     if was_short != is_short {
-        let Use { reserved, capacity, resident, part } = used;
+        let Usage { reserved, capacity, resident, part } = used;
         event::emit(&Event::MemoryPressureChanged { is_short, part, reserved, capacity, resident });
     }
 }
--- a/crates/gateway/src/node/peers/calls.rs
+++ b/crates/gateway/src/node/peers/calls.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response, StatusCode};
 use keeljunction_core::serving::table_version::TableVersion;
 
-use crate::http::{Body, read};
+use crate::http::{Body, read_body};
 use crate::node::{Node, document, watch};
 use crate::port::Row;
 use crate::runtime;
@@ -72,7 +72,7 @@
 /// Encodes what a peer lacks of the list of nodes.
 fn list_additions(node: &Node, after: Option<u64>) -> Option<Bytes> {
     let now = node.now();
-    let additions = node.with(|state| state.members.list_additions(now, after.unwrap_or(0)));
+    let additions = node.with(|state| state.members.get_roster_delta(now, after.unwrap_or(0)));
     let encoded = postcard::to_stdvec(&additions);
     encoded
         .inspect_err(|error| log::error!("the nodes cannot be encoded: {error}"))
@@ -86,7 +86,7 @@
     let Some(document) = fetch(&node, from, &path).await else { return };
     let now = node.now();
     match postcard::from_bytes(&document) {
-        Ok(additions) => node.with(|state| state.members.take_additions(now, from, &additions)),
+        Ok(additions) => node.with(|state| state.members.apply_roster_delta(now, from, &additions)),
         Err(error) => log::warn!("the list of nodes of {from} cannot be read: {error}"),
     }
 }
@@ -138,11 +138,11 @@
     let request = Request::get(path).header("host", from.to_string());
     let request = request.body(Body::empty()).ok()?;
     let fetching = async {
-        let response = node.servers.send(from, request).await.ok()?;
+        let response = node.http_client.send(from, request).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
-        read(response.into_body(), LONGEST_ANSWER).await
+        read_body(response.into_body(), LONGEST_ANSWER).await
     };
     let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
     runtime::timeout(bound.mul_f64(CALL_PART), fetching).await.flatten()
--- a/crates/gateway/src/node/peers/carry.rs
+++ b/crates/gateway/src/node/peers/carry.rs
@@ -30,12 +30,12 @@
     }
     let far = node.with(|state| {
         let regions = node.topology.list_regions().into_iter();
-        let others = regions.filter(|region| *region != node.topology.get_own());
-        let farthest = others.map(|region| state.distances.get_round_trip(region)).max();
+        let others = regions.filter(|region| *region != node.topology.get_own_region());
+        let farthest = others.map(|region| state.round_trips.get_round_trip(region)).max();
         let period = state.carrying.pace.get_period();
-        state.members.set_transit(period, farthest.unwrap_or(0) / 2);
+        state.members.set_transit_delay(period, farthest.unwrap_or(0) / 2);
         log_lost(state);
-        turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_far())
+        turn.is_multiple_of(LOOK_TURNS).then(|| state.members.list_remote_nodes())
     });
     if let Some(far) = far {
         node.link.set_far(far);
@@ -43,7 +43,7 @@
 }
 
 fn log_lost(state: &mut State) {
-    let lost: BTreeSet<String> = state.members.list_lost_regions().into_iter().collect();
+    let lost: BTreeSet<String> = state.members.list_unreachable_regions().into_iter().collect();
     for region in lost.symmetric_difference(&state.carrying.lost) {
         event::emit(&Event::RegionReached { region, is_reached: !lost.contains(region) });
     }
@@ -55,17 +55,17 @@
     let own = summary.totals.throughputs.clone();
     let crossed = node.link.get_crossed();
     let carriers: Vec<SocketAddr> = node.with(|state| {
-        if !state.members.is_crossing() {
+        if !state.members.is_using_carriers() {
             return Vec::new();
         }
         for (service, samples) in own.iter().cloned() {
             audience::pass_on(&mut state.carrying.samples, service, samples);
         }
-        let senders = state.members.count_near_aggregators();
+        let senders = state.members.count_local_aggregators();
         if !state.carrying.pace.is_due(now, crossed, senders) {
             return Vec::new();
         }
-        state.carrying.pace.note_sent(now);
+        state.carrying.pace.record_sent(now);
         state.carrying.sent += 1;
         let turn = state.carrying.sent;
         summary.totals.throughputs = std::mem::take(&mut state.carrying.samples);
@@ -92,12 +92,12 @@
         return;
     }
     let reported = summary.versions;
-    if node.topology.is_near(&summary.sender.entry.data_centre) {
+    if node.topology.is_local(&summary.sender.entry.data_centre) {
         report::take_summary(node, asked_at, summary);
         return versions::take(node, from, asked_at, &reported);
     }
     if note_crossed(node, sent, &summary) {
-        if node.with(|state| state.members.is_crossing()) {
+        if node.with(|state| state.members.is_using_carriers()) {
             runtime::spawn(pass_on(node.clone(), sent, summary.clone()));
         }
         take_over(node, asked_at, summary);
@@ -130,13 +130,13 @@
         // The list is brought up to date only from time to time: an answer may come before that.
         node.link.note_far(entry.address, region);
     }
-    node.with(|state| state.members.note_crossed(now, entry, run, sent_at))
+    node.with(|state| state.members.record_remote_summary(now, entry, run, sent_at))
 }
 
 /// Passes a summary on to the other aggregators of this region.
 async fn pass_on(node: Arc<Node>, (run, sent_at): (u32, Millis), summary: Summary) {
     let now = node.now();
-    let to = node.with(|state| state.members.list_exchange(now));
+    let to = node.with(|state| state.members.list_exchange_peers(now));
     let message = Message::Carried { run, sent_at, summary: Box::new(summary) };
     node.link.send_to_all(now, to, &message).await;
 }
@@ -154,5 +154,5 @@
     let Some(asked_at) = asked_at.filter(|_| is_answer) else { return };
     let Some(region) = node.link.get_far_region(from) else { return };
     let round_trip = node.now().saturating_sub(asked_at);
-    node.with(|state| state.distances.note(&region, round_trip));
+    node.with(|state| state.round_trips.record(&region, round_trip));
 }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -10,41 +10,41 @@
 use keeljunction_core::retry::{Allowance, Budget};
 use keeljunction_core::serving::backpressure;
 use keeljunction_core::serving::configuration::Configuration;
-use keeljunction_core::serving::demand::DemandBook;
+use keeljunction_core::serving::demand::DemandTracker;
 use keeljunction_core::serving::directory::{Directory, Server};
-use keeljunction_core::serving::distance::Distances;
 use keeljunction_core::serving::duty_lease::DutyLease;
 use keeljunction_core::serving::era::Eras;
 use keeljunction_core::serving::freshness::Freshness;
-use keeljunction_core::serving::handover::Handover;
 use keeljunction_core::serving::health::Health;
-use keeljunction_core::serving::held;
-use keeljunction_core::serving::load::{LoadBook, short_id};
+use keeljunction_core::serving::in_flight_bytes;
+use keeljunction_core::serving::load::{LoadTracker, short_id};
 use keeljunction_core::serving::members::{Entry, Members};
-use keeljunction_core::serving::memory::Accountant;
+use keeljunction_core::serving::memory::MemoryBudget;
 use keeljunction_core::serving::quarantine::{self, Fingerprint};
 use keeljunction_core::serving::quota::{self, Quotas, Tolerance};
+use keeljunction_core::serving::report_log::ReportLog;
 use keeljunction_core::serving::rollout;
-use keeljunction_core::serving::spill::Links;
+use keeljunction_core::serving::round_trip::RoundTrips;
+use keeljunction_core::serving::spill::LinkBudgets;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::throughput::Throughput;
 use keeljunction_core::serving::topology::Topology;
 use keeljunction_core::serving::usage::{
-    Frozen, Incarnation, Ledger, Outgoing, count_kept, window_at,
+    FrozenWindows, Incarnation, Ledger, ReportFilter, count_retained_windows, window_at,
 };
 
-use super::cut_runs;
 use super::document::Document;
+use super::interrupted_attempts;
 use super::peers::audience::{Audience, Samples};
 use super::peers::carrying::Carrying;
 use super::peers::link::Link;
-use super::peers::message::News;
+use super::peers::message::Notification;
 use super::peers::pending_loads;
 use super::peers::questions::Questions;
 use super::skipped;
 use super::uploads::Uploads;
 use crate::active_responses::ActiveResponses;
-use crate::http::{Client, Stop};
+use crate::http::{Client, StopSignal};
 use crate::metrics::Metrics;
 use crate::port::Platform;
 use crate::runtime::{self, Clock, lock};
@@ -54,8 +54,8 @@
 /// confirmed. A request that was sent after a key's removal and the bound arrives, and is checked,
 /// later than that; the rest is left for clocks that drift.
 const FRESH_PART: f64 = 0.95;
-/// News for other nodes that wait to be sent; more are dropped, and show in the next report.
-const NEWS_WAITING: usize = 256;
+/// Notifications for other nodes that wait to be sent; more are dropped, and show in the next report.
+const NOTIFICATION_CAPACITY: usize = 256;
 /// A server that does not take a connection within this time is passed over: the way there takes
 /// some milliseconds, and a lost opening packet is sent again only after a second.
 const CONNECT_WITHIN: Duration = Duration::from_millis(250);
@@ -88,17 +88,17 @@
     /// This incarnation of the node.
     pub incarnation: Incarnation,
     /// Connections to servers.
-    pub servers: Client,
+    pub http_client: Client,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Answers on their way to callers.
     pub active_responses: ActiveResponses,
     /// The signal on which the listeners close.
-    pub closing: Stop,
+    pub closing: StopSignal,
     /// Datagrams between nodes.
     pub(super) link: Link,
-    /// News for other nodes that wait to be sent.
-    pub(super) news: (Sender<News>, Receiver<News>),
+    /// Notifications for other nodes that wait to be sent.
+    pub(super) notifications: (Sender<Notification>, Receiver<Notification>),
     /// Requests for loads that wait for answers, and changed loads that wait to be sent.
     pub(super) pending_loads: pending_loads::Pending,
     /// Requests that the owners of their client accounts decide about.
@@ -106,7 +106,7 @@
     /// Requests for permits of limited servers that wait for decisions.
     pub(super) pending_permits: Questions<backpressure::Decision>,
     /// Runs that broke off at servers that may have ended.
-    pub(super) cut_runs: cut_runs::Pending,
+    pub(super) interrupted_attempts: interrupted_attempts::Pending,
     /// Signals to uploads that are evicted.
     pub(crate) uploads: Uploads,
     /// What the node knows of the deployment.
@@ -154,45 +154,45 @@
     /// Entries of the list that cannot be read.
     pub skipped_entries: skipped::Entries,
     /// How busy the servers are.
-    pub loads: LoadBook,
+    pub loads: LoadTracker,
     /// What the servers' answers showed.
     pub health: Health,
     /// What servers say about the requests that follow.
-    pub backpressure: backpressure::Book,
+    pub backpressure: backpressure::Tracker,
     /// Bytes of requests that each server holds for this node.
-    pub held: held::Book,
+    pub server_held_bytes: in_flight_bytes::Limiter,
     /// Requests that crash servers.
-    pub quarantine: quarantine::Book,
+    pub quarantine: quarantine::Tracker,
     /// What client accounts have used.
     pub quotas: Quotas,
     /// Repeats.
-    pub budget: Budget,
+    pub retry_budget: Budget,
     /// Requests that began.
     pub usage: Ledger,
     /// Windows of them that were frozen.
-    pub frozen: Frozen,
+    pub frozen: FrozenWindows,
     /// Which windows of them the next summary holds.
-    pub(super) outgoing_usage: Outgoing,
+    pub(super) outgoing_usage: ReportFilter,
     /// Tokens requested, by service.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// Moves of services to other versions.
-    pub rollouts: rollout::Book,
+    pub rollouts: rollout::Registry,
     /// How fast the servers of each service read prompts.
     pub throughputs: HashMap<String, Throughput>,
     /// Other nodes.
     pub members: Members,
     /// Round trips to other regions.
-    pub distances: Distances,
+    pub round_trips: RoundTrips,
     /// The budgets of the links to other regions.
-    pub links: Links,
+    pub region_links: LinkBudgets,
     /// Summaries that this node sends to other regions.
     pub(super) carrying: Carrying,
     /// Memory that is held for callers and servers.
-    pub memory: Accountant,
+    pub memory: MemoryBudget,
     /// Whom this node reports its counts to.
     pub(super) audience: Audience,
     /// Which of its counts have arrived there.
-    pub handover: Handover,
+    pub handover: ReportLog,
     /// Samples of throughput for the nodes of this node's group.
     pub(super) samples: Samples,
     /// The lease of the duties.
@@ -212,20 +212,20 @@
 
 impl State {
     /// Returns `true` if a server takes no request now, by what it said in its answers.
-    pub(crate) fn is_barred(&self, now: Millis, server: &Server) -> bool {
+    pub(crate) fn is_in_backoff(&self, now: Millis, server: &Server) -> bool {
         self.backpressure.get_wait(now, server).is_some()
     }
 
     /// Returns the shortest time until a server of a service takes a request again, of those that take
     /// none now by what they said in their answers; `None` where there is none.
-    pub(crate) fn get_shortest_wait(&self, now: Millis, service: &str) -> Option<Millis> {
+    pub(crate) fn get_min_backoff(&self, now: Millis, service: &str) -> Option<Millis> {
         let servers = self.directory.iter_ready(service);
         servers.filter_map(|server| self.backpressure.get_wait(now, server)).min()
     }
 
     /// Returns `true` if no server of a service takes requests now, by what they said in their answers.
-    pub(crate) fn is_all_barred(&self, now: Millis, service: &str) -> bool {
-        self.directory.iter_ready(service).all(|server| self.is_barred(now, server))
+    pub(crate) fn is_service_in_backoff(&self, now: Millis, service: &str) -> bool {
+        self.directory.iter_ready(service).all(|server| self.is_in_backoff(now, server))
     }
 
     /// Counts this node's requests in flight at servers of a service that have another version than
@@ -244,12 +244,18 @@
 
 impl Node {
     /// Makes a node that knows nothing yet.
-    pub fn new(settings: Settings, platform: Platform, closing: Stop, start: Start) -> Arc<Self> {
+    pub fn new(
+        settings: Settings,
+        platform: Platform,
+        closing: StopSignal,
+        start: Start,
+    ) -> Arc<Self> {
         let Start { incarnation, clock, link, topology } = start;
         let topology = Arc::new(topology);
         let bounds = settings.bounds;
         let due = (bounds.usage_late_s * 1_000.0) as Millis;
-        let windows_kept = count_kept(due, (bounds.report_window_s * 1_000.0) as Millis);
+        let windows_kept =
+            count_retained_windows(due, (bounds.report_window_s * 1_000.0) as Millis);
         let allowance = Allowance {
             ratio: bounds.retry_budget_ratio,
             min_retries: bounds.budget_min_retries,
@@ -267,31 +273,31 @@
             configuration: None,
             configuration_document: None,
             configuration_row: None,
-            demand: DemandBook::new(topology.get_own()),
-            rollouts: rollout::Book::default(),
+            demand: DemandTracker::new(topology.get_own_region()),
+            rollouts: rollout::Registry::default(),
             throughputs: HashMap::new(),
             freshness: Freshness::default(),
             directory: Directory::default(),
             servers_freshness: Freshness::default(),
             skipped_entries: skipped::Entries::default(),
-            loads: LoadBook::default(),
+            loads: LoadTracker::default(),
             health: Health::default(),
-            backpressure: backpressure::Book::new(fastrand::f64()),
-            held: held::Book::default(),
-            quarantine: quarantine::Book::default(),
+            backpressure: backpressure::Tracker::new(fastrand::f64()),
+            server_held_bytes: in_flight_bytes::Limiter::default(),
+            quarantine: quarantine::Tracker::default(),
             quotas: Quotas::new(clock.now(), tolerance),
-            budget: Budget::new(allowance),
+            retry_budget: Budget::new(allowance),
             usage: Ledger::default(),
-            frozen: Frozen::new(windows_kept),
-            outgoing_usage: Outgoing::default(),
+            frozen: FrozenWindows::new(windows_kept),
+            outgoing_usage: ReportFilter::default(),
             members: Members::new(clock.now(), get_entry(&settings), &settings.seeds)
                 .with_topology(topology.clone()),
-            distances: Distances::default(),
-            links: Links::new(settings.regions.spill_mbps),
+            round_trips: RoundTrips::default(),
+            region_links: LinkBudgets::new(settings.regions.spill_mbps),
             carrying: Carrying::new(settings.regions.control_kbps),
             memory: make_accountant(&settings, incarnation.number),
             audience: Audience::default(),
-            handover: Handover::new(incarnation.clone()),
+            handover: ReportLog::new(incarnation.clone()),
             samples: Samples::new(),
             lease: DutyLease::new(
                 incarnation.node.clone(),
@@ -308,16 +314,16 @@
             clock,
             topology,
             incarnation,
-            servers: Client::new(CONNECT_WITHIN),
+            http_client: Client::new(CONNECT_WITHIN),
             metrics,
             active_responses: ActiveResponses::default(),
             closing,
             link,
-            news: async_channel::bounded(NEWS_WAITING),
+            notifications: async_channel::bounded(NOTIFICATION_CAPACITY),
             pending_loads: pending_loads::Pending::default(),
             pending_decisions: Questions::default(),
             pending_permits: Questions::default(),
-            cut_runs: cut_runs::Pending::default(),
+            interrupted_attempts: interrupted_attempts::Pending::default(),
             uploads: Uploads::default(),
             state: Mutex::new(state),
             fetching: Fetching::default(),
@@ -346,12 +352,12 @@
     /// The configuration holds how long callers use connections that rest. A later one may hold a longer
     /// time, and a connection must not close while its caller may use it.
     pub fn get_rest_bound(&self) -> Duration {
-        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle));
+        let known = self.with(|state| state.configuration.as_ref().map(|c| c.limits.idle_timeout));
         Duration::from_millis(known.unwrap_or(REST_WHILE_UNKNOWN)) * REST_FACTOR
     }
 
     /// Returns `true` if requests that carry a key may be dispatched.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_configuration_fresh(&self) -> bool {
         if !self.settings.bounds.strict_revoke {
             return true;
         }
@@ -360,8 +366,8 @@
     }
 
     /// Sends news to the other nodes soon.
-    pub(crate) fn push(&self, news: News) {
-        if self.news.0.try_send(news).is_err() {
+    pub(crate) fn notify_peers(&self, notification: Notification) {
+        if self.notifications.0.try_send(notification).is_err() {
             log::debug!("too much news waits: the rest shows in the next report");
         }
     }
@@ -374,19 +380,19 @@
     /// Returns `true` if the node should get new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.with(|state| state.configuration.is_some() && state.directory.is_known());
-        knows && !self.is_stopping() && self.is_fresh() && !self.is_short_of_memory()
+        knows && !self.is_stopping() && self.is_configuration_fresh() && !self.is_short_of_memory()
     }
 
     /// Returns the milliseconds for which a request is still refused because servers crashed under it;
     /// `None` where it is served.
-    pub fn get_quarantine(&self, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn get_quarantine_remaining(&self, fingerprint: Fingerprint) -> Option<Millis> {
         let now = self.now();
-        self.with(|state| state.quarantine.get_refused_for(now, fingerprint))
+        self.with(|state| state.quarantine.get_quarantine_left(now, fingerprint))
     }
 
     /// Returns `true` if callers should go to other nodes, for want of memory.
     pub fn is_short_of_memory(&self) -> bool {
-        self.with(|state| state.memory.is_short())
+        self.with(|state| state.memory.is_under_pressure())
     }
 
     /// Returns `true` if the node is about to end.
@@ -405,9 +411,9 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        InFlight { node: self.clone() }
+        InFlightGuard { node: self.clone() }
     }
 
     /// Counts that a request of a client account began to run now.
@@ -432,10 +438,10 @@
 
 /// Makes the accountant of what may be held for callers and servers. Each run of a node draws anew
 /// at which level of its memory callers should go elsewhere.
-fn make_accountant(settings: &Settings, run: u64) -> Accountant {
+fn make_accountant(settings: &Settings, run: u64) -> MemoryBudget {
     let bytes = settings.limits.memory_mb * BYTES_PER_MB;
     let draw = fastrand::Rng::with_seed(run).f64();
-    Accountant::new((bytes * HELD_PART) as u64, bytes as u64, draw)
+    MemoryBudget::new((bytes * HELD_PART) as u64, bytes as u64, draw)
 }
 
 fn get_entry(settings: &Settings) -> Entry {
@@ -448,11 +454,11 @@
 }
 
 /// A request whose answer has not ended.
-pub struct InFlight {
+pub struct InFlightGuard {
     node: Arc<Node>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/gateway/src/node/usage_duty.rs
+++ b/crates/gateway/src/node/usage_duty.rs
@@ -18,14 +18,14 @@
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::table_version::TableVersion;
 use keeljunction_core::serving::usage::{
-    Counts, WindowNumber, WindowSet, count_kept, get_settle_time, is_settled, window_at,
+    Counts, WindowNumber, WindowSet, count_retained_windows, get_settle_time, is_settled, window_at,
 };
 
 use super::usage_rows::{self, FrozenKey, TABLE};
 use super::{Node, era_origin, peers, table};
 use crate::event::{self, Event};
 use crate::port::{
-    Condition, DutyHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
+    Condition, LeaseHolder, Rows, TableError, TableName, Transaction, UsageReport, Write,
 };
 use crate::runtime;
 
@@ -102,7 +102,7 @@
         if fence == self.fence {
             return true;
         }
-        let reading = table::read_all(node, TableName::Own(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN);
         let Ok(rows) = reading.await else { return false };
         if let Err(error) = era_origin::find(node).await {
             event::emit(&Event::TableCallFailed { what: "era", error: error.to_string() });
@@ -131,7 +131,7 @@
         // Counts only grow, so that those of an earlier era add what is not known yet.
         let all_running = rows.earlier_running.iter().copied().chain(rows.running);
         for kept in all_running.filter_map(usage_rows::decode_running) {
-            node.with(|state| state.usage.merge_kept(&kept));
+            node.with(|state| state.usage.merge_snapshot(&kept));
         }
         self.frozen = rows.frozen.into_iter().filter_map(usage_rows::decode).collect();
         for (window, counts) in &self.frozen {
@@ -175,11 +175,11 @@
         }
         self.running.written_at = now;
         let first = self.reported.last().map_or(0, |window| window + 1);
-        let kept = node.with(|state| state.usage.get_since(first));
+        let kept = node.with(|state| state.usage.get_snapshot(first));
         if kept.is_empty() {
             return;
         }
-        let name = TableName::Own(TABLE);
+        let name = TableName::Internal(TABLE);
         let key = usage_rows::make_running_key(self.era);
         let (version, value) = (self.running.version, usage_rows::encode_running(&kept));
         match table::replace(node, name, &key, version, value, CALL_WITHIN).await {
@@ -217,7 +217,7 @@
 
     /// Makes the transaction that freezes a window, and removes rows that are no longer needed.
     fn make_transaction(&self, node: &Node, window: WindowNumber, counts: &Counts) -> Transaction {
-        let (table, version) = (TableName::Own(TABLE), TableVersion::absent(self.era));
+        let (table, version) = (TableName::Internal(TABLE), TableVersion::absent(self.era));
         let key = FrozenKey { window, era: self.era }.encode();
         let condition = Condition { table, key: key.clone(), version };
         let write = Write { table, key, value: serde_json::to_vec(counts).ok() };
@@ -234,12 +234,12 @@
         let Some(counts) = self.frozen.get(&window).cloned() else { return false };
         remember(node, self.era, window, &counts);
         if self.era != Era::UNNAMED && self.announced.insert(window) {
-            peers::news::send_frozen(node, window, &counts).await;
+            peers::notifications::send_frozen(node, window, &counts).await;
         }
         let Some(fence) = node.with(|state| state.lease.get_fence(node.now())) else {
             return false;
         };
-        let holder = DutyHolder { name: node.incarnation.node.clone(), fence };
+        let holder = LeaseHolder { name: node.incarnation.node.clone(), fence };
         let total: u64 = counts.values().sum();
         let calling = (node.platform.control.report_usage)(holder, UsageReport { window, counts });
         let status = runtime::timeout(CALL_WITHIN, calling).await.flatten();
@@ -268,7 +268,7 @@
 }
 
 fn count_windows_kept(node: &Node) -> u64 {
-    count_kept(get_due(node), get_length(node))
+    count_retained_windows(get_due(node), get_length(node))
 }
 
 /// Returns the first window whose report is still worth something.
@@ -295,15 +295,15 @@
     let age = now.saturating_sub((window + 1) * length);
     let steady = node.now();
     let ended_at = steady.saturating_sub(age);
-    let is_node_missing =
-        node.with(|state| state.members.is_any_unheard_since(steady, ended_at + ARRIVED_AFTER));
+    let is_node_missing = node
+        .with(|state| state.members.is_any_node_missing_since(steady, ended_at + ARRIVED_AFTER));
     is_settled(age, due, is_node_missing)
 }
 
 /// Remembers a frozen window, whose row may be gone after a return; returns `true` if that is news. A table
 /// service that names no eras loses nothing.
 fn remember(node: &Node, era: Era, window: WindowNumber, counts: &Counts) -> bool {
-    era != Era::UNNAMED && node.with(|state| state.frozen.note_own(window, counts))
+    era != Era::UNNAMED && node.with(|state| state.frozen.record_own(window, counts))
 }
 
 /// Returns `true` if a window without a row was surely not reported: nothing was lost since, or each node that
@@ -314,17 +314,18 @@
     let now = node.now();
     let began_at = now.saturating_sub(runtime::unix_ms().saturating_sub(ended_at) + length);
     node.with(|state| {
-        if state.eras.is_surely_after_return(ended_at + get_settle_time(get_due(node))) {
+        if state.eras.is_certainly_after_restore(ended_at + get_settle_time(get_due(node))) {
             return true;
         }
         let is_too_old_to_be_named =
             window + WindowSet::SPAN <= window_at(runtime::unix_ms(), length);
-        if is_too_old_to_be_named || state.frozen.is_named(window) {
+        if is_too_old_to_be_named || state.frozen.is_announced(window) {
             return false;
         }
         let Some(era_age) = state.eras.get_age(now) else { return false };
         // A holder of the era before acts until its lease ends.
         let released_at = now.saturating_sub(era_age) + state.lease.get_length();
-        node.clock.get_start() < began_at && state.members.is_whole(released_at, began_at)
+        node.clock.get_start() < began_at
+            && state.members.is_every_node_heard(released_at, began_at)
     })
 }
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -13,7 +13,7 @@
 use crate::event::{self, Event};
 use crate::node::document::Document;
 use crate::node::pause::{Pause, jitter};
-use crate::node::peers::message::News;
+use crate::node::peers::message::Notification;
 use crate::node::state::ConfigurationRow;
 use crate::node::{Node, era_origin, rollouts, staleness, table};
 use crate::port::{Condition, Row, TableError, TableName, Transaction};
@@ -50,7 +50,7 @@
         }
         match read(&node, TableName::Configuration).await {
             Ok(rows) => {
-                note_rewritten(&node, &rows.rows);
+                note_configuration_rewritten(&node, &rows.rows);
                 adopt_and_push(&node, &rows.rows);
                 if let Err(error) = confirm_configuration(&node, now).await {
                     note_failure("era", &error);
@@ -67,7 +67,7 @@
 
 /// Returns `true` if a node that knows no configuration reads it again.
 fn is_read_due(node: &Node, now: Millis, read_at: Option<Millis>) -> bool {
-    let is_alone = node.with(|state| state.members.get_reach(now).heard <= 1);
+    let is_alone = node.with(|state| state.members.get_reachability(now).heard <= 1);
     let pause = if is_alone { UNCONFIGURED_PAUSE_ALONE } else { UNCONFIGURED_PAUSE };
     read_at.is_none_or(|at| now >= at + pause)
 }
@@ -78,7 +78,7 @@
     let hold = part_of(node.settings.bounds.config_apply_ms, CONFIGURATION_HOLD_PART);
     let watch = Watch { table, hold, gather: None, is_wanted: is_reader };
     follow(node, &watch, from, |rows, _| {
-        note_rewritten(node, &rows.rows);
+        note_configuration_rewritten(node, &rows.rows);
         adopt_and_push(node, &rows.rows);
     })
     .await;
@@ -134,7 +134,7 @@
         },
         None => read(node, TableName::Configuration).await?.rows,
     };
-    note_rewritten(node, &rows);
+    note_configuration_rewritten(node, &rows);
     adopt_and_push(node, &rows);
     rollouts::take_deferred(node);
     confirm_configuration(node, asked_at).await
@@ -149,7 +149,7 @@
         era_origin::find(node).await?;
     }
     node.with(|state| {
-        if state.configuration.is_some() && state.eras.is_operator_heard(asked_at) {
+        if state.configuration.is_some() && state.eras.is_configuration_current(asked_at) {
             state.freshness.confirm(asked_at);
         }
     });
@@ -158,7 +158,7 @@
 
 /// Notes that the operator has written again after the table service's return: the row of the configuration
 /// has another number than before, and no older content.
-fn note_rewritten(node: &Node, rows: &[Row]) {
+fn note_configuration_rewritten(node: &Node, rows: &[Row]) {
     let Some(known) = node.with(|state| state.configuration_row.clone()) else { return };
     let is_rewritten = |row: &&Row| {
         let (new, old) = (row.version, known.row_version);
@@ -166,7 +166,7 @@
         is_written_since && row.key == known.key && read_version(node, row) >= Some(known.version)
     };
     if rows.iter().any(|row| is_rewritten(&row)) {
-        node.with(|state| state.eras.note_rewritten());
+        node.with(|state| state.eras.note_configuration_rewritten());
     }
 }
 
@@ -212,7 +212,7 @@
 /// Adopts the configuration in the rows, and notifies all peers where it is newer.
 fn adopt_and_push(node: &Node, rows: &[Row]) {
     if let Some(version) = adopt_configuration(node, rows) {
-        node.push(News::ConfigurationChanged { version });
+        node.notify_peers(Notification::ConfigurationChanged { version });
     }
 }
 
@@ -229,7 +229,7 @@
 }
 
 fn adopt_row(node: &Node, row: &Row) -> Option<u64> {
-    if (node.platform.rollouts.is_order)(&row.key) {
+    if (node.platform.rollout_codec.is_order)(&row.key) {
         rollouts::take_order(node, row);
         return None;
     }
--- a/crates/gateway/src/node/watch/mod.rs
+++ b/crates/gateway/src/node/watch/mod.rs
@@ -22,9 +22,9 @@
 
 pub(super) use configuration::adopt_configuration;
 pub use configuration::{configuration, freshness};
-pub(crate) use servers::take_departure;
+pub(crate) use servers::apply_departure;
 pub use servers::{apply, servers};
-pub(super) use servers::{expire_lapsed, take_departures, take_update};
+pub(super) use servers::{apply_departures, expire_lapsed, take_update};
 
 /// The time between two looks whether this node has to read.
 const LOOK: Duration = Duration::from_millis(100);
@@ -39,7 +39,7 @@
 /// Returns `true` if this node reads the tables for all.
 fn is_reader(node: &Node) -> bool {
     let now = node.now();
-    node.with(|state| state.members.is_reader(now))
+    node.with(|state| state.members.is_table_reader(now))
 }
 
 async fn read(node: &Node, table: TableName) -> Result<Rows, TableError> {
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -5,14 +5,14 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{
-    Batch, Change, Departed, Departure, Entry, Server, Update,
+    Batch, Change, Departure, DepartureOutcome, Entry, Server, Update,
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
 use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of};
 use crate::event::{self, Event};
 use crate::node::pause::Pause;
-use crate::node::peers::message::News;
+use crate::node::peers::message::Notification;
 use crate::node::{Node, staleness, table};
 use crate::port::{Row, Rows, TableError, TableName};
 use crate::runtime;
@@ -63,7 +63,7 @@
             }
             Err(error) => {
                 note_failure("servers", &error);
-                node.with(|state| state.directory.note_away());
+                node.with(|state| state.directory.note_table_unavailable());
             }
         }
         pause.wait().await;
@@ -124,7 +124,7 @@
 pub(in crate::node) fn take_update(node: &Node, update: Update<'_>) {
     table::note_era(node, update.get_version().era);
     note_servers_known(node);
-    let changes = node.with(|state| state.directory.take(update));
+    let changes = node.with(|state| state.directory.apply_update(update));
     apply(node, changes.unwrap_or_default());
 }
 
@@ -134,7 +134,7 @@
     if staleness::is_servers_old(node) {
         node.with(|state| {
             if state.directory.is_known() {
-                state.directory.note_return(now);
+                state.directory.note_table_recovered(now);
             }
         });
     }
@@ -151,18 +151,18 @@
 }
 
 /// Takes the departures that came with a report.
-pub(in crate::node) fn take_departures(node: &Node, departures: &[Departure]) {
+pub(in crate::node) fn apply_departures(node: &Node, departures: &[Departure]) {
     for departure in departures {
-        take_departure(node, departure);
+        apply_departure(node, departure);
     }
 }
 
 /// Takes the word of a server, in an answer to this node or another one, that it leaves; returns `true` if
 /// that is news.
-pub(crate) fn take_departure(node: &Node, departure: &Departure) -> bool {
+pub(crate) fn apply_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
-    let Departed { is_news, change } =
+    let DepartureOutcome { is_news, change } =
         node.with(|state| state.directory.note_departure(now, server, *incarnation));
     apply(node, change.into_iter().collect());
     is_news
@@ -174,9 +174,9 @@
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
         let parts = batch.clone().split(MOST_IN_DATAGRAM);
-        parts.into_iter().for_each(|part| node.push(News::ServersChanged(part)));
+        parts.into_iter().for_each(|part| node.notify_peers(Notification::ServersChanged(part)));
     }
-    let changes = node.with(|state| state.directory.update(batch));
+    let changes = node.with(|state| state.directory.apply_batch(batch));
     apply(node, changes.unwrap_or_default());
     node.with(|state| state.servers_freshness.confirm(asked_at));
 }
@@ -222,10 +222,10 @@
     for change in &changes {
         match change {
             Change::Gone(server) => {
-                node.servers.forget(server.address);
+                node.http_client.close_idle(server.address);
                 node.with(|known| known.forget_server(server));
             }
-            Change::Joined(server) => node.with(|known| known.rollouts.note_joined(now, server)),
+            Change::Joined(server) => node.with(|known| known.rollouts.record_joined(now, server)),
             Change::Leaving(_) => {}
         }
     }
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -228,7 +228,7 @@
             .send(Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset)))
             .await;
     });
-    let mut response = Response::new(Body::pieces(receiver));
+    let mut response = Response::new(Body::from_channel(receiver));
     let headers = response.headers_mut();
     headers.insert("content-type", hyper::header::HeaderValue::from_static("text/event-stream"));
     response
@@ -327,7 +327,7 @@
     let Ok(response) = engine.http.send(from, request).await else {
         return reply::status(StatusCode::BAD_GATEWAY);
     };
-    let content = http::read(response.into_body(), 16 << 20).await.unwrap_or_default();
+    let content = http::read_body(response.into_body(), 16 << 20).await.unwrap_or_default();
     let sent: Value = serde_json::from_slice(&content).unwrap_or_default();
     match serde_json::from_value::<Vec<u64>>(sent["blocks"].clone()) {
         Ok(blocks) => {
