--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -96,7 +96,7 @@
 /// Returns the backoff before attempt number `attempt` (from 1): exponential, with equal jitter.
 ///
 /// `random` is drawn uniformly from 0 to 1. The backoff lies between half the bound and the bound.
-pub fn backoff(attempt: u32, base: Millis, max: Millis, random: f64) -> Millis {
+pub fn back_off(attempt: u32, base: Millis, max: Millis, random: f64) -> Millis {
     let bound = base.saturating_mul(1 << attempt.saturating_sub(1).min(16)).min(max);
     let half = bound / 2;
     half + ((bound - half) as f64 * random) as Millis
--- a/crates/core/tests/core/retry.rs
+++ b/crates/core/tests/core/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a request may be sent to another server, and when to try again.
 
-use keeljunction_core::retry::{Allowance, Budget, backoff};
+use keeljunction_core::retry::{Allowance, Budget, back_off};
 use proptest::prelude::*;
 
 const ALLOWANCE: Allowance =
@@ -92,7 +92,7 @@
     /// A wait lies between half and the whole of its bound.
     #[test]
     fn a_backoff_is_bounded(attempt in 1..40u32, random in 0.0..1.0f64) {
-        let wait = backoff(attempt, 100, 5_000, random);
+        let wait = back_off(attempt, 100, 5_000, random);
         prop_assert!((50..=5_000).contains(&wait));
     }
 }
