--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -177,7 +177,7 @@
         server: &'a str,
         service: &'a str,
         /// This node's requests that it may have crashed under.
-        running: Vec<CrashSuspect>,
+        running: Vec<InterruptedRequest>,
     },
     /// It was decided whether a request crashes servers: by this node as the keeper of the service, or by
     /// another one.
@@ -215,7 +215,7 @@
 
 /// A request under which a server may have crashed.
 #[derive(Clone, Debug, Serialize)]
-pub struct CrashSuspect {
+pub struct InterruptedRequest {
     /// Names the request's content.
     pub fingerprint: String,
     /// The time between its being sent to the server and the crash, in milliseconds.
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -14,7 +14,7 @@
 
 use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
-use crate::event::{self, CrashSuspect, Event};
+use crate::event::{self, Event};
 use crate::metrics::ServiceLabels;
 use crate::runtime::{self, lock};
 
@@ -62,7 +62,7 @@
     node.with(|state| state.health.record_connect_failure(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
-    let running = runs.iter().map(|run| CrashSuspect {
+    let running = runs.iter().map(|run| event::InterruptedRequest {
         fingerprint: run.fingerprint.to_string(),
         ran_ms: run.get_span(),
     });
