--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,18 +1,18 @@
-//! All events that a node logs, as types.
+//! The events that a node logs.
 //!
-//! One line describes one decision that touches a request or changes what the node believes: its
-//! inputs, their age or version, and its outcome. Times are in milliseconds.
+//! An event describes one decision about a request or one change of the node's state: its inputs,
+//! their age or version, and the outcome. Durations are in milliseconds.
 
 use std::net::SocketAddr;
 
 use serde::Serialize;
 
-/// An event.
+/// A logged event.
 #[allow(missing_docs, reason = "field names say what they hold and carry their units")]
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// The node starts.
+    /// The node started.
     Started {
         node: &'a str,
         incarnation: u64,
@@ -21,28 +21,28 @@
         peers: SocketAddr,
         metrics: SocketAddr,
     },
-    /// The node begins to stop.
+    /// The node began to shut down.
     Stopping { in_flight: usize },
-    /// The node ends.
+    /// The node shut down.
     Stopped { is_whole: bool, in_flight: usize },
-    /// The process stood still, its machine suspended for a part of that.
+    /// The process was paused; for `suspended_ms` of that, its machine was suspended.
     Paused { paused_ms: u64, suspended_ms: u64 },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded { is_changed: bool },
-    /// A configuration is in force.
+    /// A configuration was adopted.
     ConfigurationAdopted { version: u64, before: Option<u64> },
-    /// A document of the platform could not be read.
+    /// A document from the platform could not be decoded.
     DocumentRejected { error: String },
-    /// The configuration is known to be the newest, or no longer.
+    /// The configuration became known to be the latest, or ceased to be.
     FreshnessChanged { is_fresh: bool, age_ms: Option<u64>, bound_ms: u64 },
-    /// The table service is in another era than the node knew: where that is a return, it came back from an
-    /// older copy of its rows.
+    /// The table service entered a new era. If `is_return` is set, it was restored from an older copy of
+    /// its rows.
     StoreEraBegun { era: Option<u64>, before: Option<u64>, is_return: bool },
-    /// An answer of the table service is of an earlier era than the node knows, and changes nothing.
+    /// A response of the table service from an earlier era was ignored.
     RowsDropped { entries: usize, era: Option<u64>, known: Option<u64> },
-    /// A call of the table service failed.
+    /// A call to the table service failed.
     TableCallFailed { what: &'a str, error: String },
-    /// A server joined, began to leave, or is gone.
+    /// A server joined, began to leave, or left.
     ServerChanged {
         server: &'a str,
         service: &'a str,
@@ -50,11 +50,11 @@
         state: &'a str,
         leaves_in_ms: Option<u64>,
     },
-    /// Many servers joined, began to leave, or are gone.
+    /// Many servers joined, began to leave, or left.
     ServersChanged { joined: usize, leaving: usize, gone: usize },
-    /// A server is passed over for what its answers showed.
+    /// A server was ejected because of its responses.
     ServerEjected { server: &'a str, ejected_for_ms: u64 },
-    /// A server's answer said something about the requests that follow.
+    /// A server sent a backpressure signal with a response.
     ServerSignal {
         server: &'a str,
         service: &'a str,
@@ -63,26 +63,25 @@
         back_off_ms: Option<u64>,
         is_leaving: bool,
     },
-    /// A header by which a server says something about the requests that follow cannot be read, or is
-    /// read as less than it says.
+    /// A server's backpressure header could not be parsed, or its value was reduced to the maximum.
     HeaderUnreadable { server: &'a str, header: &'a str, value: &'a str },
-    /// The duty lease was taken, renewed after a gap, or lost.
+    /// The duty lease was acquired, renewed after a gap, or lost.
     LeaseChanged { fence: Option<u64> },
-    /// The node reports its counts to another aggregator, or aggregates itself.
+    /// The node reports its counts to another aggregator, or became an aggregator itself.
     AggregatorChanged { aggregator: Option<&'a str>, nodes_heard: usize, nodes_known: usize },
-    /// No node of another region is heard, or one is again.
+    /// All nodes of another region became unreachable, or one became reachable again.
     RegionReached { region: &'a str, is_reached: bool },
-    /// A new holder of the duties has read which windows earlier ones have frozen.
+    /// A new holder of the duty lease loaded the usage windows frozen by earlier holders.
     UsageLoaded { fence: u64, frozen: Vec<u64>, rows: usize, version: String },
-    /// A window's usage is not reported: it may have been, with other counts, before the table service came
-    /// back from an older copy.
+    /// The usage of a window was not reported, because it may already have been reported with other
+    /// counts before the table service was restored from an older copy.
     UsageWithheld { window: u64, era: Option<u64> },
-    /// A window's usage was reported.
+    /// The usage of a window was reported.
     UsageReported { window: u64, requests: u64, fence: u64, status: Option<u16> },
-    /// A data centre's number of servers was ordered.
+    /// A number of servers was ordered in a data centre.
     CapacityOrdered {
         service: &'a str,
-        /// Left out where no regions are known.
+        /// Omitted if no regions are configured.
         #[serde(skip_serializing_if = "str::is_empty")]
         region: &'a str,
         data_centre: &'a str,
@@ -91,21 +90,21 @@
         fence: u64,
         status: Option<u16>,
     },
-    /// A roll-out was ordered, or its stage has advanced.
+    /// A rollout was ordered, or its stage changed.
     RolloutChanged { service: &'a str, target_version: &'a str, order: String, stage: &'a str },
-    /// This node, as the holder of the duties, decided the stage of a roll-out.
+    /// This node, as the holder of the duty lease, decided the stage of a rollout.
     RolloutDecided {
         service: &'a str,
         target_version: &'a str,
         order: String,
         stage: &'a str,
-        /// What was found of the new version, or why it was given up.
+        /// The assessment of the new version, or the reason for the rollback.
         why: &'a str,
-        /// The route where it was found; over all routes where there is none.
+        /// The route on which it is based, or `None` if it is based on all routes.
         route: Option<&'a str>,
-        /// Answers of the new version that it was judged by.
+        /// Responses of the new version on which it is based.
         answers: u64,
-        /// Requests in flight on other versions, which end with them.
+        /// Requests in flight on servers of other versions.
         in_flight: u32,
         elapsed_ms: u64,
         duration_ms: u64,
@@ -128,12 +127,12 @@
         left_ms: u64,
         version: u64,
         age_ms: Option<u64>,
-        /// The server's region, where there is more than one.
+        /// The server's region, if there is more than one region.
         region: Option<&'a str>,
-        /// Why the request left its own region, where it did.
+        /// Why the request was sent to another region, if it was.
         spill: Option<&'a str>,
     },
-    /// An attempt at a server failed.
+    /// An attempt failed.
     AttemptFailed {
         request: &'a str,
         server: &'a str,
@@ -141,9 +140,9 @@
         may_have_run: bool,
         why: &'a str,
     },
-    /// An upload was evicted: it came too slowly, or its memory was needed.
+    /// An upload was evicted because it was too slow or its memory was needed.
     UploadEvicted { request: &'a str, received: u64, length: Option<u64>, why: &'a str },
-    /// Callers should go to other nodes for want of memory, or no longer.
+    /// Memory pressure, under which callers should use other nodes, began or ended.
     MemoryPressureChanged {
         is_short: bool,
         part: f64,
@@ -151,50 +150,53 @@
         capacity: u64,
         resident: Option<u64>,
     },
-    /// A caller that did not read its answer was disconnected.
+    /// A caller that did not read its response was disconnected.
     CallerDisconnected { request: &'a str, reason: &'a str, held_bytes: usize, resting_ms: u64 },
-    /// An answer that had begun broke off: its server or its connection ended, or its time-out passed.
+    /// A response was cut off after it had begun: its server failed, its connection was closed, or its
+    /// timeout expired.
     AnswerCut {
         request: &'a str,
         why: &'a str,
-        /// Bytes that were read from the server.
+        /// Bytes read from the server.
         read_bytes: u64,
-        /// Those of them that the caller had not taken.
+        /// Bytes read from the server that were not yet written to the caller.
         held_bytes: usize,
-        /// Whether reading had stopped because as much was held as may be.
+        /// Whether reading was paused because the buffer was full.
         is_held_full: bool,
-        /// Time since the last bytes were read.
+        /// Time since bytes were last read from the server.
         unread_ms: u64,
-        /// Time since the caller took some.
+        /// Time since bytes were last written to the caller.
         resting_ms: u64,
     },
-    /// A server ended a connection while it held much: less is sent to the service's servers.
+    /// A server closed a connection while it held many bytes; the bound of bytes in flight to the
+    /// service's servers was lowered.
     HeldBoundLowered { server: &'a str, service: &'a str, held_bytes: u64, bound_bytes: u64 },
-    /// A request under which two servers crashed goes to no third one.
+    /// A request was stopped because two servers crashed while running it.
     RequestStopped { request: &'a str, body_bytes: usize, attempts: u32 },
-    /// A server does not listen any more, after a connection to it broke off.
+    /// A server stopped listening after a connection to it was interrupted.
     ServerDown {
         server: &'a str,
         service: &'a str,
-        /// This node's requests that it may have crashed under.
+        /// Requests of this node that may have caused the crash.
         running: Vec<InterruptedRequest>,
     },
-    /// It was decided whether a request crashes servers: by this node as the keeper of the service, or by
-    /// another one.
+    /// A verdict on whether a request crashes servers, made by this node as the keeper of the service, or
+    /// by another node.
     RequestJudged {
-        /// Names the request's content.
+        /// The fingerprint of the request's content.
         fingerprint: String,
-        /// The service, as it is named between nodes.
+        /// The ID of the service in messages between nodes.
         service: u64,
         standing: &'a str,
         servers_crashed: u32,
         left_ms: u64,
         is_keeper: bool,
     },
-    /// A request came to its end.
+    /// A request ended.
     RequestEnded {
         request: &'a str,
-        /// Names the content of a request that was not answered: the same for all its repeats.
+        /// The fingerprint of the content, if the request was not answered; retries of the request have the
+        /// same fingerprint.
         #[serde(skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
         route: Option<&'a str>,
@@ -204,7 +206,7 @@
         attempts: u32,
         first_token_ms: Option<u64>,
         longest_gap_ms: Option<u64>,
-        /// Time until the server's answer had ended; beyond it, `total_ms` is the caller's time.
+        /// Time until the server's response ended. The rest of `total_ms` was spent writing to the caller.
         answer_ms: Option<u64>,
         total_ms: u64,
         retry_after_ms: Option<u64>,
@@ -213,18 +215,17 @@
     },
 }
 
-/// A request under which a server may have crashed.
+/// A request that was interrupted by the crash of its server and may have caused it.
 #[derive(Clone, Debug, Serialize)]
 pub struct InterruptedRequest {
-    /// Names the request's content.
+    /// The fingerprint of the request's content.
     pub fingerprint: String,
-    /// The time between its being sent to the server and the crash, in milliseconds.
+    /// The time from sending the request to the server until the crash, in milliseconds.
     pub ran_ms: u64,
 }
 
 impl Event<'_> {
-    /// Returns `true` if the event is of the kind that comes with each request that goes as usual, and
-    /// may be sampled under load.
+    /// Returns `true` if the event accompanies every normal request and may be sampled under load.
     pub fn is_routine(&self) -> bool {
         match self {
             Self::ServerChosen { attempt, .. } => *attempt == 1,
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,9 +1,9 @@
-//! Logs as JSON lines on standard output, bounded and never in the way.
+//! Non-blocking logging of JSON lines to standard output.
 //!
-//! Lines go through a bounded queue to a thread of their own, so that a standard output that
-//! stands still delays no request. Events that come with every request are sampled beyond a
-//! number of lines a second; a summary line counts those left out, and how many lines a
-//! full queue cost. Failures are never sampled.
+//! Lines pass through a bounded queue to a writer thread, so a blocked standard output does not
+//! delay requests. Routine events are sampled above a number of lines per second. A summary line
+//! counts the lines that were sampled out, and those dropped because the queue was full. Failures
+//! are never sampled.
 
 use std::io::Write;
 use std::str::FromStr;
@@ -21,11 +21,11 @@
 use crate::event::Event;
 use crate::runtime::{lock, unix_ms};
 
-/// Lines that wait to be written.
-const QUEUE_LINES: usize = 4_096;
-/// The time in which lines gather before they are written together.
-const GATHER: Duration = Duration::from_millis(100);
-const FLUSH_WITHIN: Duration = Duration::from_millis(300);
+/// Maximum number of lines queued for the writer thread.
+const QUEUE_CAPACITY: usize = 4_096;
+/// How long lines are collected before they are written in one batch.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 const APPENDER: &str = "stdout";
 
 static LOG: OnceLock<Log> = OnceLock::new();
@@ -43,7 +43,7 @@
 struct SampleWindow {
     began: Instant,
     lines: u32,
-    left_out: u64,
+    sampled_out: u64,
 }
 
 #[derive(Serialize)]
@@ -67,13 +67,13 @@
     dropped_lines: u64,
 }
 
-/// Sends logs of at least a level to standard output, with this many sampled lines a second.
+/// Starts logging to standard output, with a minimum level and a limit of routine lines per second.
 ///
-/// A second call changes nothing.
+/// Further calls have no effect.
 pub fn init(level: &str, lines_per_second: u32) {
-    let (queue, lines) = async_channel::bounded(QUEUE_LINES);
+    let (queue, lines) = async_channel::bounded(QUEUE_CAPACITY);
     let filter = LevelFilter::from_str(level).unwrap_or(LevelFilter::Info);
-    let window = SampleWindow { began: Instant::now(), lines: 0, left_out: 0 };
+    let window = SampleWindow { began: Instant::now(), lines: 0, sampled_out: 0 };
     let log = Log {
         queue,
         lines_per_second,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Changes the least level that is logged.
+/// Changes the minimum level.
 pub fn set_level(level: &str) {
     let Ok(filter) = LevelFilter::from_str(level) else { return };
     log::set_max_level(filter);
@@ -102,50 +102,51 @@
     }
 }
 
-/// Logs an event, or counts it where it is sampled out.
+/// Logs an event, or counts it if it is sampled out.
 pub fn write_event(event: &Event<'_>) {
     let Some(log) = LOG.get() else { return };
     if *lock(&log.level) < LevelFilter::Info {
         return;
     }
-    if event.is_routine() && !log.admit() {
+    if event.is_routine() && !log.try_admit() {
         log.sampled_out.fetch_add(1, Ordering::Relaxed);
         return;
     }
     log.push(&Line { time_ms: unix_ms(), level: "INFO", content: event });
 }
 
-/// Returns how many lines were sampled out and how many a full queue cost.
+/// Returns the number of lines sampled out and the number dropped because the queue was full.
 pub fn get_suppressed_counts() -> (u64, u64) {
     let Some(log) = LOG.get() else { return (0, 0) };
     (log.sampled_out.load(Ordering::Relaxed), log.dropped.load(Ordering::Relaxed))
 }
 
-/// Waits for the lines in the queue to be written, for a short time at most.
+/// Waits briefly until the queued lines are written.
 pub fn flush() {
     let Some(log) = LOG.get() else { return };
-    let until = Instant::now() + FLUSH_WITHIN;
+    let until = Instant::now() + FLUSH_TIMEOUT;
     while !log.queue.is_empty() && Instant::now() < until {
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 impl Log {
-    /// Returns `true` if one more sampled line fits this second; logs how many the last one left out.
-    fn admit(&self) -> bool {
+    /// Returns `true` if one more routine line may be logged in this second. When a new second begins,
+    /// logs a summary of the lines sampled out in the previous one.
+    fn try_admit(&self) -> bool {
         let mut window = lock(&self.window);
         if window.began.elapsed() >= Duration::from_secs(1) {
-            let left_out = window.left_out;
-            *window = SampleWindow { began: Instant::now(), lines: 0, left_out: 0 };
-            if left_out > 0 {
+            let sampled_out = window.sampled_out;
+            *window = SampleWindow { began: Instant::now(), lines: 0, sampled_out: 0 };
+            if sampled_out > 0 {
                 let dropped_lines = self.dropped.load(Ordering::Relaxed);
                 let content =
-                    Summary { event: "log_summary", sampled_out_lines: left_out, dropped_lines };
+                    Summary { event: "log_summary", sampled_out_lines: sampled_out, dropped_lines };
                 self.push(&Line { time_ms: unix_ms(), level: "WARN", content });
             }
         }
         if window.lines >= self.lines_per_second {
-            window.left_out += 1;
+            window.sampled_out += 1;
             return false;
         }
         window.lines += 1;
@@ -161,7 +162,7 @@
     }
 }
 
-/// Writes lines as they come, many at a time, for ever.
+/// Writes queued lines in batches until the queue is closed.
 fn write_lines(lines: &Receiver<String>) {
     while let Ok(mut text) = lines.recv_blocking() {
         while let Ok(line) = lines.try_recv() {
@@ -171,11 +172,11 @@
         let _ = output.write_all(text.as_bytes());
         let _ = output.flush();
         drop(output);
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_INTERVAL);
     }
 }
 
-/// Takes lines of the `log` macros into the queue.
+/// Queues the lines logged by the macros of the `log` crate.
 #[derive(Debug)]
 struct QueueAppender;
 
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -1,16 +1,16 @@
-//! Gathers what several processes logged of one request, in order of time.
+//! Collects the log lines of one request from the logs of several processes, ordered by time.
 
 use serde_json::Value;
 
-/// Fields that every line has, or that name the request itself.
-const PLAIN_FIELDS: [&str; 4] = ["time_ms", "level", "event", "request"];
+/// Fields common to all lines of a request, which are not rendered as fields.
+const COMMON_FIELDS: [&str; 4] = ["time_ms", "level", "event", "request"];
 
-/// A line of a log that belongs to a request.
+/// A log line that belongs to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// Time of the line, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The log that it stands in.
+    /// The source of the line: the name of the log, or a prefix added by a log collector.
     pub source: String,
     /// The event's name.
     pub event: String,
@@ -18,20 +18,25 @@
     pub fields: Vec<(String, Value)>,
 }
 
-/// Finds the lines of a request in a log. Text that is no JSON object is passed over, also where it
-/// stands before one, as some collectors put a time and a machine there.
+/// Returns the lines of a request in a log.
+///
+/// Lines that are not JSON objects are skipped. Text before the object, such as the time and host that
+/// some log collectors add, is taken as the source of the line.
 pub fn find(request: &str, source: &str, log: &str) -> Vec<Line> {
-    log.lines().filter_map(|line| read(request, source, line)).collect()
+    log.lines().filter_map(|line| parse_line(request, source, line)).collect()
 }
 
-/// Orders lines of several logs by time and writes them as a person reads them.
+/// Sorts lines of several logs by time and formats them for reading.
 pub fn render(mut lines: Vec<Line>) -> String {
     lines.sort_by_key(|line| line.time_ms);
     let first = lines.first().map_or(0, |line| line.time_ms);
     let mut text = String::new();
     for line in &lines {
-        let fields: Vec<String> =
-            line.fields.iter().map(|(name, value)| format!("{name}={}", plain(value))).collect();
+        let fields: Vec<String> = line
+            .fields
+            .iter()
+            .map(|(name, value)| format!("{name}={}", format_value(value)))
+            .collect();
         let after = line.time_ms - first;
         let (source, event) = (&line.source, &line.event);
         text.push_str(&format!("+{after:>6} ms  {source}  {event}  {}\n", fields.join(" ")));
@@ -39,7 +44,7 @@
     text
 }
 
-fn read(request: &str, source: &str, line: &str) -> Option<Line> {
+fn parse_line(request: &str, source: &str, line: &str) -> Option<Line> {
     let start = line.find('{')?;
     let value: Value = serde_json::from_str(&line[start..]).ok()?;
     let object = value.as_object()?;
@@ -50,7 +55,7 @@
     let source = if prefix.is_empty() { source.to_owned() } else { prefix.to_owned() };
     let fields = object
         .iter()
-        .filter(|(name, value)| !PLAIN_FIELDS.contains(&name.as_str()) && !value.is_null());
+        .filter(|(name, value)| !COMMON_FIELDS.contains(&name.as_str()) && !value.is_null());
     Some(Line {
         time_ms: object.get("time_ms")?.as_u64()?,
         source,
@@ -59,6 +64,6 @@
     })
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
