--- a/crates/gateway/src/active_responses.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -1,7 +1,7 @@
-//! The answers that are being passed on, so that callers that do not read are found.
+//! A registry of the responses that are being relayed, used to find callers that do not read.
 //!
-//! A node keeps them without knowing how an answer is passed on: each is listed with what can be done
-//! to it.
+//! The registry does not depend on how a response is relayed: each response is registered with the
+//! operations that it supports.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,51 +12,51 @@
 
 use crate::runtime::lock;
 
-/// The answers that a node passes on, by their ids.
+/// The responses that a node is relaying, by ID.
 #[derive(Default)]
 pub struct ActiveResponses {
     next_id: AtomicU64,
     handles: Mutex<HashMap<u64, Arc<ResponseHandle>>>,
 }
 
-/// What can be done to an answer that is passed on.
+/// The operations on a response that is being relayed.
 pub struct ResponseHandle {
-    /// Names the request.
+    /// The ID of the request.
     pub request: String,
-    /// Notes whether the caller takes what is there; `None` where the answer has ended.
+    /// Updates and returns the status, or returns `None` if the response has ended.
     pub check_status: Box<dyn Fn(Millis) -> Option<ResponseStatus> + Send + Sync>,
-    /// Ends the answer for a reason, and resets the caller's connection.
+    /// Aborts the response for the given reason and resets the caller's connection.
     pub disconnect: Box<dyn Fn(&'static str) + Send + Sync>,
 }
 
-/// What a look at an answer showed.
+/// The status of a response that is being relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseStatus {
-    /// The caller, with the bytes that are held for it.
+    /// The caller, with the number of bytes buffered for it.
     pub caller: Caller,
-    /// Whether the caller took too little for too long.
+    /// Whether the caller has been reading too slowly for too long.
     pub is_too_slow: bool,
-    /// Whether there is no memory for what was read.
+    /// Whether memory is insufficient for the data read from the server.
     pub is_short: bool,
 }
 
 impl ActiveResponses {
-    /// Returns an id that no other answer has.
+    /// Returns a unique ID for a response.
     pub fn make_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Adds an answer.
+    /// Registers a response.
     pub fn add(&self, id: u64, handle: ResponseHandle) {
         lock(&self.handles).insert(id, Arc::new(handle));
     }
 
-    /// Removes an answer.
+    /// Removes a response.
     pub fn remove(&self, id: u64) {
         lock(&self.handles).remove(&id);
     }
 
-    /// Lists the answers.
+    /// Returns the handles of all responses.
     pub fn list(&self) -> Vec<Arc<ResponseHandle>> {
         lock(&self.handles).values().cloned().collect()
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,19 +1,19 @@
-//! Serves relayed exchanges: requests and answers whose bodies are opaque to the node.
+//! The gateway node, which relays requests and responses whose bodies are opaque to it.
 //!
-//! Decisions live in [`keeljunction_core::serving`]; this crate puts sockets, timers and tasks
-//! round them. What a platform calls things is known to its adapter alone, which fills the typed
-//! ports of [`port`].
+//! The decision logic is in [`keeljunction_core::serving`]; this crate adds sockets, timers and
+//! tasks. The names used by a platform are known only to its adapter, which implements the typed
+//! ports in [`port`].
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
 //! | [`settings`] | the settings of a node |
-//! | [`port`] | what an adapter to a platform provides |
-//! | [`node`] | what a node knows, and the tasks that keep it up to date |
-//! | [`exchange`] | one request, from its head to its final outcome |
-//! | [`active_responses`] | lists the answers that are passed on |
-//! | [`event`], [`log`](mod@log), [`metrics`] | what a node reports of its decisions |
-//! | [`trace`] | gathers what was logged of one request |
-//! | [`http`], [`runtime`] | plumbing |
+//! | [`port`] | the interface of a platform adapter |
+//! | [`node`] | the state of a node, and the tasks that keep it up to date |
+//! | [`exchange`] | the handling of one request, from its head to its outcome |
+//! | [`active_responses`] | a registry of the responses that are being relayed |
+//! | [`event`], [`log`](mod@log), [`metrics`] | events, logs and metrics |
+//! | [`trace`] | collects the log lines of one request |
+//! | [`http`], [`runtime`] | HTTP, the executor and timers |
 
 pub mod active_responses;
 pub mod event;
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,8 +1,8 @@
-//! The one executor, the clock, timers, and bounds on time.
+//! The executor, clocks, timers and timeouts.
 //!
-//! All spans are measured on one clock, which counts the time that the machine is suspended: what a node
-//! believed before holds no longer than it may. The system's timers leave that time out, so that sleeps
-//! are checked against the clock when a suspension is noticed.
+//! All durations are measured on one clock that includes the time for which the machine is suspended,
+//! so that no lease or other assumption of a node outlives its term. The system's timers exclude that
+//! time; sleeps are therefore checked against the clock when a suspension is detected.
 
 use std::future::Future;
 use std::sync::Mutex;
@@ -16,7 +16,7 @@
 
 static EXECUTOR: Executor<'static> = Executor::new();
 
-/// Starts a task on the executor and lets it run on its own.
+/// Spawns a detached task on the executor.
 pub fn spawn<F>(future: F)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -24,7 +24,8 @@
     EXECUTOR.spawn(future).detach();
 }
 
-/// Starts a task whose result can be awaited; it is cancelled when dropped.
+/// Spawns a task and returns its handle, which can be awaited. The task is cancelled when the handle is
+/// dropped.
 pub fn spawn_with_handle<F, T>(future: F) -> Task<T>
 where
     F: Future<Output = T> + Send + 'static,
@@ -33,12 +34,13 @@
     EXECUTOR.spawn(future)
 }
 
-/// Runs a future to its end on this thread, and tasks on `threads` others; on this one too where there are
-/// none.
+/// Runs a future to completion on this thread, and spawned tasks on `threads` other threads, or on this
+/// thread if `threads` is 0.
 ///
-/// Beside other threads this one runs no tasks, so that the future may block it: the executor wakes one
-/// sleeping thread for new tasks and no second one until that one has looked. Where the future blocked its
-/// thread for 8 s, all tasks of the process stood still for as long, eleven times in 24.
+/// If there are other threads, this thread runs no tasks, so that the future may block it. The executor
+/// wakes only one sleeping thread for new tasks, and no second one until the first has responded: when
+/// this thread ran tasks too and the future blocked it for 8 s, all tasks of the process stalled for
+/// as long, in 11 of 24 runs.
 pub fn run<F: Future>(threads: usize, future: F) -> F::Output {
     if threads == 0 {
         return async_io::block_on(EXECUTOR.run(future));
@@ -58,74 +60,75 @@
     output
 }
 
-/// Wakes all sleeps after a suspension of the machine.
+/// Notifies all sleeping tasks after a suspension of the machine.
 static RESUMED: Event = Event::new();
 
-/// Waits for a time, in which a suspension of the machine counts.
+/// Sleeps for a duration that includes suspensions of the machine.
 pub async fn sleep(time: Duration) {
     let until = boottime_now() + time;
     loop {
         let resumed = RESUMED.listen();
-        let left = until.saturating_sub(boottime_now());
+        let remaining = until.saturating_sub(boottime_now());
         let timer = async {
-            Timer::after(left).await;
+            Timer::after(remaining).await;
             true
         };
-        let woken = async {
+        let notified = async {
             resumed.await;
             false
         };
-        if futures_lite::future::or(timer, woken).await {
+        if futures_lite::future::or(timer, notified).await {
             return;
         }
     }
 }
 
-/// Returns the time since the machine's start, in which a suspension counts.
+/// Returns the time since the boot of the machine, including suspensions (`CLOCK_BOOTTIME`).
 pub fn boottime_now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // Neither part is negative on this clock.
+    // Neither field is negative on this clock.
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Notices that the machine was suspended.
+/// Detects suspensions of the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
     boot: Duration,
-    steady: Duration,
+    monotonic: Duration,
 }
 
 impl SuspensionDetector {
-    /// The least difference of the two clocks that is taken for a suspension: both are read one after
-    /// the other, on a VM whose processor may be away in between.
-    const LEAST: Duration = Duration::from_millis(50);
-
-    /// Begins at a time on the clock that counts suspensions, and on the one that does not.
-    pub fn new(boot: Duration, steady: Duration) -> Self {
-        Self { boot, steady }
+    /// The minimum difference of the two clocks that counts as a suspension. The clocks are read one
+    /// after the other, and the VM's CPU may be descheduled in between.
+    const MIN_SUSPENSION: Duration = Duration::from_millis(50);
+
+    /// Creates a detector from the current time on the clock that includes suspensions and on the
+    /// monotonic clock, which excludes them.
+    pub fn new(boot: Duration, monotonic: Duration) -> Self {
+        Self { boot, monotonic }
     }
 
-    /// Returns how long the machine was suspended since the last look, if it was.
-    pub fn check(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
-        let counted = boot.saturating_sub(self.boot);
-        let suspended = counted.saturating_sub(steady.saturating_sub(self.steady));
-        *self = Self { boot, steady };
-        (suspended >= Self::LEAST).then_some(suspended)
+    /// Returns for how long the machine was suspended since the last check, if it was.
+    pub fn check(&mut self, boot: Duration, monotonic: Duration) -> Option<Duration> {
+        let elapsed = boot.saturating_sub(self.boot);
+        let suspended = elapsed.saturating_sub(monotonic.saturating_sub(self.monotonic));
+        *self = Self { boot, monotonic };
+        (suspended >= Self::MIN_SUSPENSION).then_some(suspended)
     }
 }
 
-/// Returns the time of the system's timers, which leave suspensions out.
+/// Returns the time of the system's timers, which excludes suspensions (`CLOCK_MONOTONIC`).
 pub fn monotonic_now() -> Duration {
     let time = clock_gettime(ClockId::Monotonic);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Lets all sleeps check how much of their time is left.
+/// Wakes all sleeping tasks so that they recompute their remaining time.
 pub fn wake_sleepers() {
     RESUMED.notify(usize::MAX);
 }
 
-/// Waits for a future for a time at most; `None` once the time is over.
+/// Awaits a future with a timeout. Returns `None` if the timeout expires first.
 pub async fn timeout<F: Future>(time: Duration, future: F) -> Option<F::Output> {
     let bounded = async {
         sleep(time).await;
@@ -134,7 +137,7 @@
     futures_lite::future::or(async { Some(future.await) }, bounded).await
 }
 
-/// Repeats a step for ever, with a pause of `period` after each.
+/// Spawns a task that repeats a step forever, with a pause of `period` after each run.
 pub fn spawn_periodic<F, Fut>(period: Duration, mut step: F)
 where
     F: FnMut() -> Fut + Send + 'static,
@@ -148,24 +151,24 @@
     });
 }
 
-/// A monotonic clock in milliseconds since it was made. It counts the time that the machine is suspended.
+/// A monotonic clock in milliseconds that includes the time for which the machine is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// Starts a clock. It starts well above zero, so that spans can be taken off it.
+    /// Creates a clock. It starts well above zero, so that durations can be subtracted from its times.
     pub fn new() -> Self {
         Self { start: boottime_now() }
     }
 
-    /// Returns what the clock showed at its start.
+    /// Returns the time that the clock showed at its start.
     pub fn get_start(&self) -> u64 {
         CLOCK_START_MS
     }
 
-    /// Returns the milliseconds since the start.
+    /// Returns the current time.
     pub fn now(&self) -> u64 {
         CLOCK_START_MS + boottime_now().saturating_sub(self.start).as_millis() as u64
     }
@@ -185,7 +188,7 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Locks a mutex; one that was poisoned by a broken invariant is taken all the same.
+/// Locks a mutex, ignoring poisoning.
 pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
