--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node: a YAML document, checked whole before anything starts.
+//! The settings of a node: a YAML document, validated before the node starts.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,81 +14,81 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the node is.
+    /// The identity of the node.
     pub node: Identity,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub listen: Listen,
-    /// Peer addresses of other nodes that may live.
+    /// Peer addresses of other nodes, used to join the cluster.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// What the machine allows.
+    /// The resource limits of the machine.
     pub limits: Limits,
-    /// Which region each data centre stands in.
+    /// The regions and their data centres.
     #[serde(default)]
     pub regions: Regions,
-    /// What has to hold, in the operator's figures.
+    /// The bounds that the operator requires.
     pub bounds: Bounds,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: Endpoints,
-    /// How many servers to order.
+    /// The capacity policy.
     #[serde(default)]
     pub capacity: CapacitySettings,
-    /// What to log.
+    /// The log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Who the node is.
+/// The identity of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// The node's name, the same at each start.
+    /// The node's name, which is the same at each start.
     pub name: String,
-    /// The data centre that it stands in.
+    /// The data centre that it runs in.
     pub data_centre: String,
-    /// Whether all nodes start for the first time: none is listed yet.
+    /// Whether the whole cluster starts for the first time, so that no node is listed yet.
     #[serde(default)]
     pub is_first_start: bool,
 }
 
-/// Where the node listens.
+/// The addresses that a node listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the node is ready.
+    /// For readiness checks by the load balancer.
     pub readiness: SocketAddr,
-    /// For other nodes, by TCP and UDP.
+    /// For other nodes, over TCP and UDP.
     pub peers: SocketAddr,
     /// For metrics.
     pub metrics: SocketAddr,
 }
 
-/// What the machine allows.
+/// The resource limits of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// File descriptors of the process.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: usize,
-    /// Bandwidth of the VM's link, in megabits a second.
+    /// Bandwidth of the VM's link, in megabits per second.
     pub link_mbps: f64,
-    /// Memory of the process, in megabytes; it is killed beyond that.
-    #[serde(default = "get_usual_memory_mb")]
+    /// Memory limit of the process, in megabytes; beyond it, the process is killed.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
 }
 
-/// Which region each data centre stands in; none where there is one region only.
+/// The regions and their data centres; empty if there is only one region.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Regions {
-    /// The region of each data centre, by name.
+    /// The region of each data centre, by the data centre's name.
     pub data_centres: BTreeMap<String, String>,
-    /// What requests of one region and their answers may take of its link to another one, in
-    /// megabits a second over all nodes of the region.
+    /// Bandwidth that requests from one region and their responses may use on its link to another
+    /// region, in megabits per second over all nodes of the region.
     pub spill_mbps: f64,
-    /// What all nodes of a region together may tell the other regions of themselves, in kilobits a
-    /// second.
+    /// Bandwidth of control traffic to the other regions, in kilobits per second over all nodes of a
+    /// region.
     pub control_kbps: f64,
 }
 
@@ -96,91 +96,91 @@
     fn default() -> Self {
         Self {
             data_centres: BTreeMap::new(),
-            spill_mbps: USUAL_SPILL_MBPS,
-            control_kbps: USUAL_CONTROL_KBPS,
+            spill_mbps: DEFAULT_SPILL_MBPS,
+            control_kbps: DEFAULT_CONTROL_KBPS,
         }
     }
 }
 
-/// The budget for spilling where the operator gives none: two regions that spill to each other take
-/// half of a link of 60 Mbit/s, and what nodes tell each other has the other half.
-const USUAL_SPILL_MBPS: f64 = 15.0;
+/// Default bandwidth for spilled requests: two regions that spill to each other use half of a
+/// 60 Mbit/s link, which leaves the other half for the traffic between nodes.
+const DEFAULT_SPILL_MBPS: f64 = 15.0;
 
-/// What regions tell each other where the operator does not say: about a hundredth of a link of
-/// 60 Mbit/s, which requests need. Where it is not enough, summaries cross less often than five times
-/// a second.
-const USUAL_CONTROL_KBPS: f64 = 500.0;
+/// Default bandwidth for control traffic between regions: about a hundredth of a 60 Mbit/s link, the
+/// rest of which is for requests. If it does not suffice, summaries are sent less often than five
+/// times per second.
+const DEFAULT_CONTROL_KBPS: f64 = 500.0;
 
-/// What has to hold, in the operator's figures.
+/// The bounds that the operator requires.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Time from a key's removal until no machine accepts it, in milliseconds.
+    /// Time from the removal of an API key until no machine accepts it, in milliseconds.
     pub revoke_ms: Millis,
-    /// Whether keys must not be accepted after that by any machine, cut off or not.
+    /// Whether `revoke_ms` must also hold on machines that are partitioned.
     pub strict_revoke: bool,
-    /// Time from a configuration's acknowledgement until it is in force, in milliseconds.
+    /// Time from the acknowledgement of a configuration until it is in force, in milliseconds.
     pub config_apply_ms: Millis,
-    /// Time from a server's notice until it gets nothing new, in milliseconds.
+    /// Time from a server's departure notice until it gets no new requests, in milliseconds.
     pub drain_ms: Millis,
-    /// Time from the signal to stop until the process is killed, in seconds.
+    /// Time from the stop signal until the process is killed, in seconds.
     pub grace_s: f64,
-    /// Repeats for each request, over all nodes.
+    /// Retries per request, over all nodes.
     pub retry_budget_ratio: f64,
-    /// Repeats in a window besides, over all nodes.
+    /// Additional retries per window, over all nodes.
     pub budget_min_retries: f64,
     /// The window of the retry budget, in seconds.
     pub budget_window_s: f64,
-    /// The length of the sliding window in which a client account's use is counted, in seconds.
+    /// The sliding window in which the usage of a client account is counted, in seconds.
     #[serde(default)]
     pub quota_window_s: f64,
-    /// The fraction of a window's units that all nodes together may admit beyond a limit.
+    /// The fraction of a window's quota by which all nodes together may exceed it.
     #[serde(default)]
     pub quota_overshoot: f64,
-    /// The units that all nodes together may admit in a window besides.
+    /// Additional units per window by which all nodes together may exceed a quota.
     #[serde(default)]
     pub quota_slack: f64,
-    /// The share of a service's requests that a version may get before it is known to be good.
-    #[serde(default = "get_usual_expose_share")]
+    /// The share of a service's requests that a new version may get before it is accepted.
+    #[serde(default = "default_expose_share")]
     pub expose_share: f64,
-    /// The requests that it may get besides, over all nodes.
+    /// Additional requests that a new version may get, over all nodes.
     #[serde(default)]
     pub canary_slack: f64,
-    /// The length of a duty lease, in milliseconds.
+    /// The duration of the duty lease, in milliseconds.
     pub lease_ms: Millis,
-    /// The length of a window of usage, in seconds.
+    /// The length of a usage window, in seconds.
     pub report_window_s: f64,
-    /// Time from a window's end until its report is due, in seconds.
+    /// Time from the end of a usage window until its report is due, in seconds.
     pub usage_late_s: f64,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoints {
     /// The table service.
     pub table: SocketAddr,
-    /// The control calls.
+    /// The control service.
     pub control: SocketAddr,
-    /// Control calls a second, over all nodes.
+    /// Control calls per second, over all nodes.
     pub control_per_second: f64,
 }
 
-/// How many servers to order, in parts of what is needed.
+/// The capacity policy, in fractions of the required capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CapacitySettings {
-    /// The part of the need that is held in on-demand servers also on a calm day.
+    /// The fraction of the required capacity that is always provided by on-demand servers.
     pub on_demand_part: f64,
-    /// Spot servers for each server that is needed.
+    /// Spot servers per required server.
     pub spot_part: f64,
-    /// How busy servers may be on average.
+    /// The target for the average utilization of servers.
     pub target_utilization: f64,
-    /// How full the places of servers may be on average.
+    /// The target for the average occupancy of the servers' slots.
     pub target_occupancy: f64,
-    /// Servers held for bursts, for each square root of the servers' worth of work.
+    /// Additional servers for bursts, per square root of the servers that the load requires.
     pub burst_servers: f64,
-    /// The part of the spot servers that is counted on while no more can be had.
+    /// The fraction of the spot servers that counts as available while no more can be started.
     pub exhausted_spot_part: f64,
 }
 
@@ -206,7 +206,7 @@
 }
 
 impl CapacitySettings {
-    /// Returns the core's policy.
+    /// Returns the policy for the core.
     pub fn get_policy(&self) -> Policy {
         let Self {
             on_demand_part,
@@ -227,13 +227,13 @@
     }
 }
 
-/// What to log.
+/// The log settings.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The least level: error, warn, info, debug or trace.
+    /// The minimum level: error, warn, info, debug or trace.
     pub level: String,
-    /// Lines a second of decisions that went as usual; the rest is summed up.
+    /// Limit of routine lines per second; the rest is counted in a summary.
     pub lines_per_second: u32,
 }
 
@@ -244,54 +244,54 @@
 }
 
 impl Settings {
-    /// Reads settings from a file and checks them whole.
+    /// Reads settings from a file and validates them.
     ///
     /// # Errors
     ///
-    /// Returns [`ErrorKind::NotFound`] where the file cannot be read, and what
-    /// [`parse`](Self::parse) returns.
+    /// Returns [`ErrorKind::NotFound`] if the file cannot be read, and any error of
+    /// [`parse`](Self::parse).
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).map_err(|error| {
-            Error::new(ErrorKind::NotFound, format!("the settings cannot be read: {error}"))
+            Error::new(ErrorKind::NotFound, format!("cannot read the settings: {error}"))
                 .key("--settings")
                 .value(path.display().to_string())
-                .tip("name a YAML file; examples/gateway.yaml shows one")
+                .tip("pass the path of a YAML file; see examples/gateway.yaml")
         })?;
         Self::parse(&text)
     }
 
-    /// Reads settings from YAML and checks them whole.
+    /// Parses settings from YAML and validates them.
     ///
     /// # Errors
     ///
-    /// Returns [`ErrorKind::Malformed`] where the text is not settings, and
-    /// [`ErrorKind::InvalidValue`] with the key and what is allowed for the first value out of
+    /// Returns [`ErrorKind::Malformed`] if the text cannot be parsed, and
+    /// [`ErrorKind::InvalidValue`] with the key and the allowed range for the first value out of
     /// range.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let settings: Self = serde_saphyr::from_str(text).map_err(|error| {
             Error::new(ErrorKind::Malformed, error.to_string())
-                .tip("examples/gateway.yaml shows all keys")
+                .tip("see examples/gateway.yaml for all keys")
         })?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Returns the data centres by region, as this node sees them.
+    /// Returns the topology of regions and data centres, as seen by this node.
     ///
     /// # Errors
     ///
-    /// Returns [`ErrorKind::InvalidValue`] where the node's own data centre is in no region.
+    /// Returns [`ErrorKind::InvalidValue`] if the node's own data centre is in no region.
     pub fn get_topology(&self) -> Result<Topology, Error> {
         Topology::new(&self.node.data_centre, self.regions.data_centres.clone())
     }
 
     fn check(&self) -> Result<(), Error> {
         if self.node.name.trim().is_empty() {
-            return Err(Error::new(ErrorKind::InvalidValue, "a name is empty")
+            return Err(Error::new(ErrorKind::InvalidValue, "the value is empty")
                 .key("node.name")
                 .value("\"\"")
-                .allowed("any text")
-                .tip("give each node a name of its own"));
+                .allowed("a non-empty string")
+                .tip("give each node a unique name"));
         }
         let bounds = &self.bounds;
         check_range("limits.descriptors", self.limits.descriptors as f64, 300.0, 1e7)?;
@@ -325,23 +325,23 @@
     }
 }
 
-/// The memory of a process where the operator does not say: that of a small VM.
-fn get_usual_memory_mb() -> f64 {
+/// Default memory limit, in megabytes: the memory of a small VM.
+fn default_memory_mb() -> f64 {
     256.0
 }
 
-/// The share of a canary where the operator gives none: one request in ten.
-fn get_usual_expose_share() -> f64 {
+/// Default share of requests for a canary: one in ten.
+fn default_expose_share() -> f64 {
     0.1
 }
 
-fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), Error> {
-    if (least..=most).contains(&value) {
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), Error> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(Error::new(ErrorKind::InvalidValue, "a number is out of range")
+    Err(Error::new(ErrorKind::InvalidValue, "the value is out of range")
         .key(key)
         .value(value.to_string())
-        .allowed(format!("{least} to {most}"))
-        .tip("examples/gateway.yaml shows usual values"))
+        .allowed(format!("{min} to {max}"))
+        .tip("see examples/gateway.yaml for typical values"))
 }
