--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::node::memory::read_resident_bytes;
 
-/// The state of a node as gauges. It is read when the metrics are rendered.
+/// Gauges of a node's state, updated when the metrics are rendered.
 #[derive(Default)]
 pub(super) struct Gauges {
     retries_left: Family<ServiceLabels, Gauge<f64, AtomicU64>>,
@@ -29,7 +29,7 @@
     resident: Gauge<i64, AtomicI64>,
     memory_held: Family<MemoryKindLabels, Gauge>,
     memory_capacity: Gauge<i64, AtomicI64>,
-    memory_part: Gauge<f64, AtomicU64>,
+    memory_in_use: Gauge<f64, AtomicU64>,
     is_short_of_memory: Gauge<i64, AtomicI64>,
     descriptors: Gauge<i64, AtomicI64>,
     region_round_trip: Family<RegionLabels, Gauge<f64, AtomicU64>>,
@@ -102,7 +102,7 @@
         registry.register(
             "memory_in_use",
             "Part of the memory in use, from 0 to 1",
-            self.memory_part.clone(),
+            self.memory_in_use.clone(),
         );
         registry.register(
             "memory_short",
@@ -172,7 +172,7 @@
             let version = state.configuration.as_ref().map_or(0, |known| known.version);
             self.configuration_version.set(version as i64);
             self.memory_capacity.set(state.memory.get_capacity() as i64);
-            self.memory_part.set(state.memory.get_usage().part);
+            self.memory_in_use.set(state.memory.get_usage().part);
             self.is_short_of_memory.set(state.memory.is_under_pressure().into());
             for kind in Kind::ALL {
                 let labels = MemoryKindLabels { kind: kind.as_str().to_owned() };
--- a/crates/gateway/src/metrics/labels.rs
+++ b/crates/gateway/src/metrics/labels.rs
@@ -1,82 +1,82 @@
-//! The labels of metrics.
+//! Label sets of metrics.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// What a request is counted under.
+/// Labels of a request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// The service, or empty where none was found.
+    /// The service, or empty if none was found.
     pub service: String,
-    /// The client account, or empty where none was found.
+    /// The client account, or empty if none was found.
     pub account: String,
-    /// The outcome, a name that the code fixes.
+    /// The outcome, from a fixed set.
     pub outcome: String,
 }
 
-/// The service that a latency belongs to.
+/// Label of a metric per service.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct ServiceLabels {
     /// The service.
     pub service: String,
 }
 
-/// The service and the region that a number of servers belongs to.
+/// Labels of a number of servers.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct CapacityLabels {
     /// The service.
     pub service: String,
-    /// The region; empty where no regions are known.
+    /// The region, or empty if no regions are configured.
     pub region: String,
 }
 
-/// Why what is counted happened: an attempt failed or was repeated, an upload was evicted, a caller was
-/// disconnected.
+/// Label with the reason of an event, such as a failed attempt, a retry, an evicted upload or a
+/// disconnected caller.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct ReasonLabels {
-    /// A name that the code fixes.
+    /// The reason, from a fixed set.
     pub reason: String,
 }
 
-/// Another region.
+/// Label of a metric per remote region.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct RegionLabels {
-    /// The region, or `unknown` for data centres that the settings do not name.
+    /// The region, or `unknown` for data centres that are not in the settings.
     pub region: String,
 }
 
 impl RegionLabels {
-    /// Makes the labels of a region.
+    /// Creates the label of a region.
     pub fn new(region: &str) -> Self {
         Self { region: region.to_owned() }
     }
 }
 
-/// Why requests went to another region.
+/// Labels of requests spilled to another region.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct SpillLabels {
-    /// The region that they went to.
+    /// The region that they were sent to.
     pub region: String,
-    /// A name that the code fixes.
+    /// The reason, from a fixed set.
     pub reason: String,
 }
 
 impl SpillLabels {
-    /// Makes the labels of a region and a reason.
+    /// Creates the labels of a region and a reason.
     pub fn new(region: &str, reason: &str) -> Self {
         Self { region: region.to_owned(), reason: reason.to_owned() }
     }
 }
 
-/// The client account that a figure belongs to.
+/// Label of a metric per client account.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct AccountLabels {
     /// The client account.
     pub account: String,
 }
 
-/// What memory is reserved for.
+/// Label of a metric per kind of reserved memory.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct MemoryKindLabels {
-    /// A name that the code fixes.
+    /// The kind, from a fixed set.
     pub kind: String,
 }
--- a/crates/gateway/src/metrics/mod.rs
+++ b/crates/gateway/src/metrics/mod.rs
@@ -1,13 +1,13 @@
-//! Counters, histograms and gauges, as OpenMetrics text.
+//! Metrics in the OpenMetrics text format.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
-//! | `registry` | holds counters and histograms, registers and renders all metrics |
-//! | `gauges` | reads gauges from the state of the node |
-//! | `labels` | defines the labels |
+//! | `registry` | counters and histograms; registers and renders all metrics |
+//! | `gauges` | gauges, read from the state of the node |
+//! | `labels` | label sets |
 //!
-//! The set of labels is bounded: services, client accounts and regions come from the configuration
-//! and the settings, all other values from the code.
+//! The cardinality of labels is bounded: services, client accounts and regions come from the
+//! configuration and the settings, all other values from the code.
 
 mod gauges;
 mod labels;
--- a/crates/gateway/src/metrics/registry.rs
+++ b/crates/gateway/src/metrics/registry.rs
@@ -16,71 +16,72 @@
 };
 use crate::node::Node;
 
-/// Upper bounds of the latency buckets, in seconds.
-const LATENCIES: [f64; 13] =
+/// Upper bounds of the latency histogram's buckets, in seconds.
+const LATENCY_BUCKETS: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 5.0, 10.0, 20.0];
 
 /// All metrics of a node.
 pub struct Metrics {
     registry: Registry,
-    /// Requests that ended.
+    /// Completed requests.
     pub requests: Family<RequestLabels, Counter>,
-    /// Time from a request's arrival to the first token of its answer, in seconds.
+    /// Time from the arrival of a request to the first token of its response, in seconds.
     pub first_token: Family<ServiceLabels, Histogram>,
-    /// The longest pause between two pieces of one answer, in seconds.
+    /// Longest gap between two chunks of a response, in seconds.
     pub longest_gap: Family<ServiceLabels, Histogram>,
-    /// Time from a request's arrival to the end of its answer, in seconds.
+    /// Time from the arrival of a request to the end of its response, in seconds.
     pub total: Family<ServiceLabels, Histogram>,
-    /// Attempts beyond the first.
+    /// Retries, which are the attempts after the first.
     pub retries: Family<ReasonLabels, Counter>,
-    /// Attempts that failed.
+    /// Failed attempts.
     pub failed_attempts: Family<ReasonLabels, Counter>,
-    /// Streams that another server went on with.
+    /// Streams resumed on another server.
     pub resumed: Counter,
-    /// Questions for the loads of servers that were not answered in time.
+    /// Queries for the loads of servers that timed out.
     pub unanswered_load_questions: Counter,
-    /// Questions to owners of client accounts that were not answered in time.
+    /// Queries to the owners of client accounts that timed out.
     pub unanswered_quota_questions: Counter,
-    /// Questions to owners of limited servers that were not answered in time.
+    /// Queries to the owners of rate-limited servers that timed out.
     pub unanswered_permit_questions: Counter,
-    /// Permits for limited servers that were denied, or not decided about.
+    /// Permits for rate-limited servers that were denied or not decided in time.
     pub permits_denied: Counter,
-    /// Bytes of requests that were sent to other regions.
+    /// Bytes of requests sent to other regions.
     pub region_bytes_sent: Family<RegionLabels, Counter>,
-    /// Bytes of answers that came from other regions.
+    /// Bytes of responses received from other regions.
     pub region_bytes_received: Family<RegionLabels, Counter>,
     /// Attempts in other regions.
     pub spilled: Family<SpillLabels, Counter>,
-    /// Attempts in other regions that the budget of the link did not allow.
+    /// Attempts in other regions that were rejected because the link's bandwidth budget was exhausted.
     pub link_full: Family<RegionLabels, Counter>,
-    /// Servers that the demand of a region needs, at the holder of the duties.
+    /// Servers required by the demand of a region; set by the holder of the duty lease.
     pub capacity_need: Family<CapacityLabels, Gauge>,
-    /// Servers of both kinds that the plan holds in a region, at the holder of the duties.
+    /// Planned servers of both kinds in a region; set by the holder of the duty lease.
     pub capacity_planned: Family<CapacityLabels, Gauge>,
-    /// Uploads that were evicted.
+    /// Evicted uploads.
     pub uploads_evicted: Family<ReasonLabels, Counter>,
-    /// Bytes of answers that were read ahead of their callers.
+    /// Bytes of responses that were read ahead of their callers.
     pub read_ahead: Counter,
-    /// Callers that were disconnected because they did not read.
+    /// Callers disconnected because they did not read.
     pub callers_disconnected: Family<ReasonLabels, Counter>,
-    /// Requests that went to no third server after two had crashed under them.
+    /// Requests stopped because two servers crashed while running them.
     pub requests_stopped: Counter,
-    /// Servers that did not listen any more after a connection to them broke off.
+    /// Servers that stopped listening after a connection to them was interrupted.
     pub servers_down: Family<ServiceLabels, Counter>,
-    /// Answers in which servers said something about the requests that follow, by what they said.
+    /// Responses with a backpressure signal, by kind of signal.
     pub signals: Family<ReasonLabels, Counter>,
-    /// Windows whose usage was not reported, as it may have been before a return of the table service.
+    /// Windows whose usage was not reported, because it may already have been reported before the table
+    /// service was restored from an older copy.
     pub usage_withheld: Counter,
-    /// Returns of the table service from an older copy of its rows.
+    /// Restorations of the table service from an older copy of its rows.
     pub store_returns: Counter,
-    /// Times that the process stood still for a second or more.
+    /// Pauses of the process of a second or more.
     pub pauses: Counter,
     gauges: Gauges,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        let histogram = || Histogram::new(LATENCIES);
+        let histogram = || Histogram::new(LATENCY_BUCKETS);
         let mut metrics = Self {
             registry: Registry::with_prefix("keeljunction"),
             requests: Family::default(),
@@ -246,8 +247,8 @@
         self.gauges.register(registry);
     }
 
-    /// Registers the counter of the bytes of datagrams to nodes of other regions. The link between
-    /// nodes counts them.
+    /// Registers the counter of datagram bytes sent to nodes of other regions, which the peer link
+    /// increments.
     pub(crate) fn register_cross_region_bytes(&mut self, crossed: Family<RegionLabels, Counter>) {
         self.registry.register_with_unit(
             "control_crossed",
@@ -257,19 +258,19 @@
         );
     }
 
-    /// Counts an answer in which a server said something about the requests that follow.
+    /// Counts a response with a backpressure signal.
     pub fn count_signal(&self, signal: &Signal) {
-        let said = [
+        let signals = [
             ("rate_limit", signal.rate_limit.is_some()),
             ("back_off", signal.back_off.is_some()),
             ("leaving", signal.is_leaving),
         ];
-        for (reason, _) in said.into_iter().filter(|(_, is_said)| *is_said) {
+        for (reason, _) in signals.into_iter().filter(|(_, is_set)| *is_set) {
             self.signals.get_or_create(&ReasonLabels { reason: reason.to_owned() }).inc();
         }
     }
 
-    /// Renders all metrics as text.
+    /// Renders all metrics in the OpenMetrics text format.
     pub fn render(&self, node: &Node) -> String {
         self.gauges.update(node);
         let mut text = String::new();
