--- a/crates/gateway/benches/log.rs
+++ b/crates/gateway/benches/log.rs
@@ -1,7 +1,7 @@
-//! What a log line costs the thread that logs it: written, sampled out, and lost to a full queue
-//! while the standard output stands still.
+//! Measures the cost of a log line for the logging thread: written, sampled out, and dropped because
+//! the queue is full while standard output is blocked.
 //!
-//! Results go to standard error, because the lines themselves go to standard output:
+//! Results go to standard error, because the log lines go to standard output:
 //! `cargo bench -p keeljunction-gateway --bench log > /dev/null`.
 
 use std::hint::black_box;
@@ -11,22 +11,22 @@
 use keeljunction_gateway::event::{Event, emit};
 use keeljunction_gateway::log;
 
-/// Lines measured at once: fewer than the queue holds.
-const BATCH: u32 = 2_000;
+/// Lines per batch: fewer than the capacity of the queue.
+const BATCH_LINES: u32 = 2_000;
 const BATCHES: usize = 9;
-/// Longer than the writer gathers lines.
+/// Pause in which the queue drains: longer than the interval between the writer's batches.
 const DRAIN: Duration = Duration::from_millis(250);
-/// Sampled lines a second that are admitted.
-const ADMITTED: u32 = 50;
+/// Limit of routine lines per second.
+const LINES_PER_SECOND: u32 = 50;
 
 fn main() {
-    log::init("info", ADMITTED);
-    report("a failure's line, written", measure(&ended("busy"), DRAIN));
-    report("a usual line, sampled out", measure(&ended("answered"), Duration::ZERO));
-    // While this is held the writer waits, as for a reader that stands still.
+    log::init("info", LINES_PER_SECOND);
+    report("failure line, written", measure(&ended("busy"), DRAIN));
+    report("routine line, sampled out", measure(&ended("answered"), Duration::ZERO));
+    // While this lock is held the writer is blocked, as by a reader that stalls.
     let output = std::io::stdout().lock();
     measure(&ended("busy"), Duration::ZERO);
-    report("a failure's line, lost to a full queue", measure(&ended("busy"), Duration::ZERO));
+    report("failure line, dropped by a full queue", measure(&ended("busy"), Duration::ZERO));
     drop(output);
 }
 
@@ -49,21 +49,22 @@
     }
 }
 
-/// Measures some batches; returns the nanoseconds a line of each, the smallest first.
+/// Measures several batches and returns the nanoseconds per line of each, in ascending order.
 fn measure(event: &Event<'_>, pause: Duration) -> Vec<u128> {
     let batch = |_| {
         let started = Instant::now();
-        (0..BATCH).for_each(|_| emit(black_box(event)));
-        let took = started.elapsed().as_nanos() / u128::from(BATCH);
+        (0..BATCH_LINES).for_each(|_| emit(black_box(event)));
+        let nanoseconds = started.elapsed().as_nanos() / u128::from(BATCH_LINES);
         thread::sleep(pause);
-        took
+        nanoseconds
     };
-    let mut took: Vec<u128> = (0..BATCHES).map(batch).collect();
-    took.sort_unstable();
-    took
+    let mut nanoseconds: Vec<u128> = (0..BATCHES).map(batch).collect();
+    nanoseconds.sort_unstable();
+    nanoseconds
 }
 
-fn report(what: &str, took: Vec<u128>) {
-    let (least, middle, most) = (took[0], took[took.len() / 2], took[took.len() - 1]);
-    eprintln!("{what}: {middle} ns ({least} to {most})");
+fn report(what: &str, nanoseconds: Vec<u128>) {
+    let (min, median, max) =
+        (nanoseconds[0], nanoseconds[nanoseconds.len() / 2], nanoseconds[nanoseconds.len() - 1]);
+    eprintln!("{what}: {median} ns ({min} to {max})");
 }
