--- a/crates/core/tests/core/claim.rs
+++ b/crates/core/tests/core/claim.rs
@@ -1,4 +1,4 @@
-//! Whether a request that must not be repeated may run.
+//! At-most-once execution of non-repeatable requests.
 
 use keeljunction_core::claim::{Answer, Row, Verdict, evaluate, row_key};
 use proptest::prelude::*;
@@ -16,17 +16,17 @@
 }
 
 #[test]
-fn the_row_that_stands_decides() {
+fn the_stored_row_decides() {
     let answer =
         Answer { status: 200, media_type: "text/plain".to_owned(), body: "6f6b".to_owned() };
-    let mine = row("a", "i");
+    let own = row("a", "i");
     let released = |attempt, instance| Row { released: true, ..row(attempt, instance) };
     let cases = [
-        ("my own", row("a", "i"), Verdict::Run),
+        ("the own attempt", row("a", "i"), Verdict::Run),
         ("another attempt", row("b", "i"), Verdict::HeldByOther("node of b".to_owned())),
         ("another instance", row("b", "j"), Verdict::HeldByOther("node of b".to_owned())),
         ("released, this instance", released("b", "i"), Verdict::Released),
-        ("released, my own attempt", released("a", "i"), Verdict::Released),
+        ("released, the own attempt", released("a", "i"), Verdict::Released),
         ("released, an earlier instance", released("b", "j"), Verdict::Available),
         (
             "answered",
@@ -35,18 +35,18 @@
         ),
         ("another request", Row { digest: "x".to_owned(), ..row("a", "i") }, Verdict::Mismatch),
     ];
-    for (name, stands, verdict) in cases {
-        assert_eq!(evaluate(&stands, &mine), verdict, "{name}");
+    for (name, stored, verdict) in cases {
+        assert_eq!(evaluate(&stored, &own), verdict, "{name}");
     }
 }
 
 #[test]
-fn a_key_belongs_to_its_account() {
+fn a_key_is_scoped_to_its_account() {
     assert_eq!(row_key("duty", "k"), "claim/duty/k");
     assert_ne!(row_key("duty", "k"), row_key("branch", "k"));
 }
 
-/// What can happen to one key: attempts of a few instances insert, replace, release and send.
+/// An operation on the claim of one key.
 #[derive(Clone, Debug)]
 enum Step {
     Claim(usize),
@@ -59,20 +59,21 @@
 }
 
 proptest! {
-    /// Whoever is told to run sends at once or releases; over all orders at most one sends.
+    /// An attempt that may run either sends or releases. In any order of operations, at most one attempt
+    /// sends.
     #[test]
     fn at_most_one_attempt_is_ever_sent(steps in steps(), senders in prop::collection::vec(any::<bool>(), 6)) {
         let attempts: Vec<Row> = (0..6).map(|n| row(&format!("a{n}"), &format!("i{}", n / 2))).collect();
-        let mut stands: Option<Row> = None;
+        let mut stored: Option<Row> = None;
         let mut may_run = [false; 6];
         let mut sent = Vec::new();
         for step in steps {
             match step {
                 Step::Claim(n) => {
-                    let verdict = stands.as_ref().map(|stands| evaluate(stands, &attempts[n]));
+                    let verdict = stored.as_ref().map(|stored| evaluate(stored, &attempts[n]));
                     match verdict {
                         None | Some(Verdict::Available) => {
-                            stands = Some(attempts[n].clone());
+                            stored = Some(attempts[n].clone());
                             may_run[n] = true;
                         }
                         Some(Verdict::Run) => may_run[n] = true,
@@ -84,9 +85,9 @@
                 }
                 Step::Release(n) => {
                     let is_unsent = may_run[n] && !sent.contains(&n);
-                    let is_mine = stands.as_ref().is_some_and(|stands| stands.attempt == attempts[n].attempt);
-                    if is_unsent && is_mine {
-                        stands = Some(Row { released: true, ..attempts[n].clone() });
+                    let is_own = stored.as_ref().is_some_and(|stored| stored.attempt == attempts[n].attempt);
+                    if is_unsent && is_own {
+                        stored = Some(Row { released: true, ..attempts[n].clone() });
                         may_run[n] = false;
                     }
                 }
--- a/crates/core/tests/core/main.rs
+++ b/crates/core/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The decisions, by behaviour.
+//! Tests of the decision logic, one module per behaviour.
 
 mod attempt;
 mod bucket;
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -1,4 +1,4 @@
-//! Which nodes live.
+//! Membership: probes, suspicion and refutation.
 
 use keeljunction_core::member::{List, Member, State, Timing};
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_suspect_that_refutes_is_alive_and_stale_news_do_not_harm_it() {
+fn a_suspect_that_refutes_is_alive_and_ignores_stale_updates() {
     let mut list = list();
     list.record_missed_probe(100, "a");
     assert!(list.apply(200, member("a", 2, State::Alive)));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn news_of_its_own_death_are_refuted_with_a_higher_incarnation() {
+fn an_update_of_its_own_death_is_refuted_with_a_higher_incarnation() {
     let mut list = list();
     assert!(list.apply(0, member("me", 4, State::Dead)));
     assert_eq!(list.get_local().incarnation, 5);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_leaving_node_stays_leaving_until_it_is_silent() {
+fn a_leaving_node_stays_leaving_until_it_stops_answering() {
     let mut list = list();
     list.apply(0, member("a", 2, State::Leaving));
     list.record_missed_probe(10, "a");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_list_that_lags_brings_no_dead_node_back() {
+fn a_stale_list_does_not_revive_a_dead_node() {
     let mut list = list();
     list.apply(0, member("a", 9, State::Dead));
     list.seed(10, member("a", 0, State::Alive));
@@ -87,20 +87,20 @@
     }
 }
 
-fn news() -> impl Strategy<Value = Member> {
+fn update() -> impl Strategy<Value = Member> {
     ("[abc]", 0..5u64, 0..4u32).prop_map(|(name, i, s)| member(&name, i, State::from_number(s)))
 }
 
 proptest! {
-    /// In whatever order news come, all lists that heard the same think the same.
+    /// Lists that received the same updates agree, in whatever order the updates arrived.
     #[test]
-    fn lists_that_heard_the_same_news_agree(heard in prop::collection::vec(news(), 0..30), seed in any::<u64>()) {
-        let mut shuffled = heard.clone();
+    fn lists_with_the_same_updates_agree(updates in prop::collection::vec(update(), 0..30), seed in any::<u64>()) {
+        let mut shuffled = updates.clone();
         fastrand::Rng::with_seed(seed).shuffle(&mut shuffled);
         let mut lists = [List::new(member("me", 1, State::Alive), TIMING), List::new(member("me", 1, State::Alive), TIMING)];
-        for (list, order) in lists.iter_mut().zip([heard, shuffled]) {
-            for news in order {
-                list.apply(0, news);
+        for (list, order) in lists.iter_mut().zip([updates, shuffled]) {
+            for update in order {
+                list.apply(0, update);
             }
         }
         let view = |list: &List| list.iter().skip(1).cloned().collect::<Vec<_>>();
--- a/crates/core/tests/core/stream.rs
+++ b/crates/core/tests/core/stream.rs
@@ -1,10 +1,10 @@
-//! Which tokens belong to an answer.
+//! Assembly of a response from tokens.
 
 use keeljunction_core::stream::{Cursor, Disposition};
 use proptest::prelude::*;
 
 #[test]
-fn too_much_that_is_missing_asks_for_the_attempt_again() {
+fn a_full_buffer_requests_the_attempt_again() {
     let mut cursor = Cursor::new("a", 0);
     for offset in 1..65 {
         assert_eq!(cursor.take("a", offset, "x"), Disposition::Buffered);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_was_held_of_one_attempt_does_not_pass_into_another() {
+fn buffered_tokens_of_one_attempt_are_not_used_for_another() {
     let mut cursor = Cursor::new("a", 3);
     assert_eq!(cursor.take("a", 4, "old"), Disposition::Buffered);
     cursor.switch("b");
@@ -24,9 +24,10 @@
 }
 
 proptest! {
-    /// Doubled, foreign and out of order: the answer is the attempt's tokens, each once, in order.
+    /// With duplicate, foreign and reordered tokens, the response is the attempt's tokens, each once and in
+    /// order.
     #[test]
-    fn the_answer_is_whole_and_in_order(
+    fn the_response_is_complete_and_in_order(
         count in 1..60u64,
         noise in prop::collection::vec((0..60u64, any::<bool>()), 0..60),
         seed in any::<u64>(),
@@ -38,14 +39,14 @@
         }
         fastrand::Rng::with_seed(seed).shuffle(&mut events);
         let mut cursor = Cursor::new("a", 0);
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         for (attempt, offset) in events {
             if let Disposition::Accept(tokens) = cursor.take(&attempt, offset, &format!("{attempt}{offset}")) {
-                answer.extend(tokens);
+                response.extend(tokens);
             }
         }
         let expected: Vec<String> = (0..count).map(|offset| format!("a{offset}")).collect();
-        prop_assert_eq!(answer, expected);
+        prop_assert_eq!(response, expected);
         prop_assert!(!cursor.has_gap());
     }
 }
