--- a/crates/core/tests/core/bucket.rs
+++ b/crates/core/tests/core/bucket.rs
@@ -1,10 +1,10 @@
-//! How many calls may be made in a second.
+//! Token buckets as rate limiters.
 
 use keeljunction_core::bucket::TokenBucket;
 use proptest::prelude::*;
 
 #[test]
-fn after_its_burst_a_bucket_says_when_the_next_call_may_come() {
+fn an_exhausted_bucket_returns_the_time_until_the_next_unit() {
     let mut bucket = TokenBucket::full(0, 2);
     assert_eq!([bucket.take(0), bucket.take(0)], [Ok(()), Ok(())]);
     assert_eq!(bucket.take(0), Err(500));
@@ -12,9 +12,9 @@
 }
 
 proptest! {
-    /// Over any window the calls stay under the rate and one burst.
+    /// Over any window, the number of calls is bounded by the rate plus one burst.
     #[test]
-    fn calls_stay_under_the_rate(per_second in 1..200u32, gaps in prop::collection::vec(0..50u64, 1..300)) {
+    fn calls_stay_below_the_rate(per_second in 1..200u32, gaps in prop::collection::vec(0..50u64, 1..300)) {
         let mut bucket = TokenBucket::full(0, per_second);
         let (mut now, mut taken) = (0, 0u64);
         for gap in gaps {
--- a/crates/core/tests/core/bundle.rs
+++ b/crates/core/tests/core/bundle.rs
@@ -1,10 +1,10 @@
-//! What a bundle may say, who signed it, and which roll is newer.
+//! Validation and signatures of bundles, and the adoption of rolls.
 
 use keeljunction_core::ErrorKind;
 use keeljunction_core::bundle::{Adoption, adopt, parse, parse_signing_key, sign, verify};
 use keeljunction_core::error::Context;
 
-const GOOD: &str = "
+const VALID: &str = "
 version: v1
 groups:
   - name: flood
@@ -21,8 +21,8 @@
 ";
 
 #[test]
-fn a_good_bundle_is_read_with_its_defaults() {
-    let bundle = parse(GOOD).expect("it holds");
+fn a_valid_bundle_is_parsed_with_defaults() {
+    let bundle = parse(VALID).expect("a valid bundle");
     assert_eq!(bundle.get_service("hidro-llm").map(|service| service.slots), Some(16));
     assert_eq!(
         bundle.get_model_service("hidro").map(|service| service.name.as_str()),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_fault_is_named_with_its_key() {
+fn each_error_names_the_invalid_key() {
     let cases = [
         ("weight: 3", "weight: 0", ErrorKind::InvalidValue, "groups[0].weight"),
         ("name: flood", "name: ''", ErrorKind::InvalidValue, "groups[0].name"),
@@ -54,15 +54,15 @@
         ("name: gauge-api", "name: hidro-llm", ErrorKind::Conflict, "services"),
     ];
     for (from, to, kind, key) in cases {
-        let error = parse(&GOOD.replace(from, to)).expect_err("it does not hold");
+        let error = parse(&VALID.replace(from, to)).expect_err("an error");
         assert_eq!(error.get_kind(), kind, "{to}: {error}");
         assert!(error.get_context().contains(&Context::Key(key.to_owned())), "{to}: {error}");
     }
 }
 
 #[test]
-fn an_unknown_key_is_refused_and_the_known_ones_are_named() {
-    let error = parse(&GOOD.replace("weight: 3", "wieght: 3")).expect_err("it does not hold");
+fn an_unknown_key_is_rejected_and_the_known_keys_are_listed() {
+    let error = parse(&VALID.replace("weight: 3", "wieght: 3")).expect_err("an error");
     assert_eq!(error.get_kind(), ErrorKind::Malformed);
     assert!(
         error.to_string().contains("wieght") && error.to_string().contains("weight"),
@@ -71,13 +71,13 @@
 }
 
 #[test]
-fn a_signature_holds_for_its_body_and_key_alone() {
-    let key = parse_signing_key(&"11".repeat(32)).expect("it is a key");
+fn a_signature_is_valid_only_for_its_body_and_key() {
+    let key = parse_signing_key(&"11".repeat(32)).expect("a key");
     let signature = sign(&key, b"body");
     let trusted = vec![signature.key.clone()];
     assert_eq!(verify(&trusted, b"body", &signature), Ok(()));
     for (trusted, body) in [(trusted.as_slice(), b"b0dy"), (&[], b"body")] {
-        let error = verify(trusted, body, &signature).expect_err("it does not hold");
+        let error = verify(trusted, body, &signature).expect_err("an error");
         assert_eq!(error.get_kind(), ErrorKind::Untrusted);
     }
 }
--- a/crates/core/tests/core/drain.rs
+++ b/crates/core/tests/core/drain.rs
@@ -1,4 +1,4 @@
-//! What becomes of the streams on a VM that is going away.
+//! Draining of the streams on a VM that is being reclaimed.
 
 use keeljunction_core::drain::{Action, Limits, Stream, plan};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn each_stream_gets_what_the_notice_allows() {
+fn each_stream_gets_the_action_that_the_notice_allows() {
     let streams = [
         stream("short", 1, 500, 20),
         stream("long", 1, 2_000, 1_000),
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn without_export_what_cannot_finish_is_resumed() {
+fn without_export_streams_that_cannot_finish_are_resumed() {
     let limits = Limits { notice: 1_000, export_tokens_per_second: 0 };
     assert_eq!(actions(limits, &[stream("a", 0, 10, 900)]), [("a".to_owned(), Action::Resume)]);
 }
 
 proptest! {
-    /// Every stream gets one action; moves fit into the notice, and finishing ones do too.
+    /// Every stream gets one action, and both moved and finished streams fit into the notice period.
     #[test]
     fn a_plan_covers_all_streams_within_the_notice(
         sizes in prop::collection::vec((0..3u32, 1..20_000u64, 0..2_000u64), 0..30),
@@ -51,15 +51,15 @@
             sizes.iter().enumerate().map(|(n, (p, c, l))| stream(&n.to_string(), *p, *c, *l)).collect();
         let planned = actions(Limits { notice, export_tokens_per_second: export }, &streams);
         prop_assert_eq!(planned.len(), streams.len());
-        let mut spent = 0;
+        let mut used = 0;
         for (attempt, action) in planned {
             let stream = &streams[attempt.parse::<usize>().expect("it is a number")];
             match action {
                 Action::Finish => prop_assert!(stream.tokens_left * stream.gap_ms <= notice),
-                Action::Move => spent += stream.context_tokens * 1000 / export,
+                Action::Move => used += stream.context_tokens * 1000 / export,
                 Action::Resume => {}
             }
         }
-        prop_assert!(spent <= notice);
+        prop_assert!(used <= notice);
     }
 }
--- a/crates/core/tests/core/fleet.rs
+++ b/crates/core/tests/core/fleet.rs
@@ -1,4 +1,4 @@
-//! Which VMs to hold.
+//! Fleet planning.
 
 use keeljunction_core::fleet::{Demand, Offer, count_survivors, plan, price};
 use proptest::prelude::*;
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn the_cheapest_set_that_survives_a_data_centre_is_held() {
+fn the_cheapest_set_that_survives_the_loss_of_a_data_centre_is_planned() {
     let offers = [offer("x", true, 100), offer("y", true, 120), offer("z", false, 400)];
     let demand = Demand { target: 4, after_loss: 2, floor: 0 };
-    let held = plan(0, &offers, &demand);
-    assert_eq!(count_survivors(&offers, &held), 2, "{held:?}");
-    assert_eq!(price(&offers, &held), 2 * 100 + 2 * 120, "{held:?}");
+    let planned = plan(0, &offers, &demand);
+    assert_eq!(count_survivors(&offers, &planned), 2, "{planned:?}");
+    assert_eq!(price(&offers, &planned), 2 * 100 + 2 * 120, "{planned:?}");
 }
 
 #[test]
-fn a_place_that_refused_a_start_is_passed_over_until_its_time() {
+fn an_offer_that_refused_a_start_is_skipped_until_its_time() {
     let refused = Offer { refused_until: Some(500), ..offer("x", true, 100) };
     let offers = [refused, offer("y", true, 120)];
     let demand = Demand { target: 2, after_loss: 0, floor: 0 };
@@ -33,33 +33,33 @@
 }
 
 #[test]
-fn on_demand_vms_fill_in_where_no_second_data_centre_is_left() {
+fn on_demand_vms_fill_in_without_a_second_data_centre() {
     let offers = [offer("x", true, 100), offer("x", false, 400)];
     let demand = Demand { target: 3, after_loss: 1, floor: 0 };
-    let held = plan(0, &offers, &demand);
-    assert!(count_survivors(&offers, &held) >= 1, "{held:?}");
-    assert_eq!(price(&offers, &held), 2 * 100 + 400, "{held:?}");
+    let planned = plan(0, &offers, &demand);
+    assert!(count_survivors(&offers, &planned) >= 1, "{planned:?}");
+    assert_eq!(price(&offers, &planned), 2 * 100 + 400, "{planned:?}");
 }
 
 proptest! {
-    /// Whatever the offers, the plan meets the demand where they suffice, and never holds too many.
+    /// For any offers, the plan meets the demand if they suffice and never exceeds their limits.
     #[test]
-    fn a_plan_meets_the_demand_or_holds_all_there_is(
+    fn a_plan_meets_the_demand_or_uses_all_offers(
         shape in prop::collection::vec((0..4usize, any::<bool>(), 50..500u64, 1..6u32), 1..8),
         target in 0..12u32,
         after_loss in 0..8u32,
     ) {
         let offers: Vec<Offer> = shape
             .iter()
-            .map(|(dc, reclaimable, milli, most)| Offer { max_vms: *most, ..offer(&dc.to_string(), *reclaimable, *milli) })
+            .map(|(dc, reclaimable, milli, max_vms)| Offer { max_vms: *max_vms, ..offer(&dc.to_string(), *reclaimable, *milli) })
             .collect();
-        let held = plan(0, &offers, &Demand { target, after_loss, floor: 0 });
-        let count: u32 = held.values().sum();
+        let planned = plan(0, &offers, &Demand { target, after_loss, floor: 0 });
+        let count: u32 = planned.values().sum();
         let all: u32 = offers.iter().map(|offer| offer.max_vms).sum();
-        prop_assert!(held.iter().all(|(place, count)| *count <= offers[*place].max_vms));
-        prop_assert!(count >= target.min(all), "{held:?}");
-        let everything = offers.iter().enumerate().map(|(place, offer)| (place, offer.max_vms)).collect();
+        prop_assert!(planned.iter().all(|(index, count)| *count <= offers[*index].max_vms));
+        prop_assert!(count >= target.min(all), "{planned:?}");
+        let everything = offers.iter().enumerate().map(|(index, offer)| (index, offer.max_vms)).collect();
         let possible = count_survivors(&offers, &everything);
-        prop_assert!(count_survivors(&offers, &held) >= after_loss.min(possible), "{held:?} of {possible}");
+        prop_assert!(count_survivors(&offers, &planned) >= after_loss.min(possible), "{planned:?} of {possible}");
     }
 }
--- a/crates/core/tests/core/retry.rs
+++ b/crates/core/tests/core/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent to another server, and when to try again.
+//! The retry budget and the retry backoff.
 
 use keeljunction_core::retry::{Allowance, Budget, back_off};
 use proptest::prelude::*;
@@ -7,14 +7,14 @@
     Allowance { ratio: 0.2, min_retries: 50.0, window: 10_000, usable_fraction: 0.7 };
 
 #[test]
-fn an_unused_budget_allows_an_even_part_of_the_fixed_number() {
+fn an_unused_budget_allows_an_equal_share_of_the_fixed_number() {
     let mut budget = Budget::new(ALLOWANCE);
     let taken = (0..100).filter(|_| budget.take(1_000, "llm", 10)).count();
     assert_eq!(taken, 3);
 }
 
 #[test]
-fn requests_add_their_ratio_and_leave_with_the_window() {
+fn requests_add_their_ratio_until_they_leave_the_window() {
     let mut budget = Budget::new(Allowance { min_retries: 0.0, ..ALLOWANCE });
     for _ in 0..100 {
         budget.count_request(1_000, "llm");
@@ -33,8 +33,8 @@
 }
 
 proptest! {
-    /// However the requests fall on the nodes, and whatever the nodes hear of each other, the
-    /// repeats in any window stay within the whole allowance.
+    /// However the requests are distributed over the nodes, and without communication between the nodes,
+    /// the retries in any window stay within the total allowance.
     #[test]
     fn no_window_exceeds_the_allowance(
         arrivals in proptest::collection::vec((0u64..20_000, 0usize..8), 1..400),
@@ -42,54 +42,54 @@
         let mut arrivals = arrivals;
         arrivals.sort_unstable();
         let mut nodes: Vec<Budget> = (0..8).map(|_| Budget::new(ALLOWANCE)).collect();
-        let mut repeats: Vec<u64> = Vec::new();
+        let mut retries: Vec<u64> = Vec::new();
         for (at, node) in &arrivals {
             nodes[*node].count_request(*at, "llm");
             while nodes[*node].take(*at, "llm", 8) {
-                repeats.push(*at);
+                retries.push(*at);
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let in_window = |at: &&u64| **at <= *end && **at + ALLOWANCE.window > *end;
             let requests = arrivals.iter().map(|(at, _)| at).filter(in_window).count();
-            let used = repeats.iter().filter(in_window).count();
+            let used = retries.iter().filter(in_window).count();
             prop_assert!(used as f64 <= 0.2 * requests as f64 + ALLOWANCE.min_retries);
         }
     }
 }
 
 #[test]
-fn a_wave_of_failures_gets_no_more_than_the_share_and_the_burst() {
+fn a_wave_of_failures_is_limited_to_the_ratio_and_the_burst() {
     let allowance =
         Allowance { ratio: 0.1, min_retries: 3.0, window: 10_000, usable_fraction: 1.0 };
     let mut budget = Budget::new(allowance);
     for now in 0..100 {
         budget.count_request(now, "llm");
     }
-    // What was not used is not saved beyond the window.
+    // Unused retries do not accumulate beyond the window.
     assert_eq!((0..100).filter(|_| budget.take(60_000, "llm", 1)).count(), 3);
 }
 
 proptest! {
-    /// Over any order of tries and failures, retries stay within the share and the burst.
+    /// For any order of attempts and failures, retries stay within the ratio plus the burst.
     #[test]
-    fn retries_stay_within_the_share(tries in prop::collection::vec(any::<bool>(), 0..500), share in 0..500u32, burst in 0..10u32) {
+    fn retries_stay_within_the_ratio(attempts in prop::collection::vec(any::<bool>(), 0..500), share in 0..500u32, burst in 0..10u32) {
         let ratio = f64::from(share) / 1_000.0;
         let min_retries = f64::from(burst);
         let mut budget = Budget::new(Allowance { ratio, min_retries, window: 10_000, usable_fraction: 1.0 });
-        let (mut first, mut again) = (0, 0);
-        for is_first in tries {
+        let (mut first, mut retries) = (0, 0);
+        for is_first in attempts {
             if is_first {
                 budget.count_request(0, "llm");
                 first += 1;
             } else {
-                again += u32::from(budget.take(0, "llm", 1));
+                retries += u32::from(budget.take(0, "llm", 1));
             }
         }
-        prop_assert!(again <= burst + first * share / 1_000);
+        prop_assert!(retries <= burst + first * share / 1_000);
     }
 
-    /// A wait lies between half and the whole of its bound.
+    /// A backoff lies between half its bound and its bound.
     #[test]
     fn a_backoff_is_bounded(attempt in 1..40u32, random in 0.0..1.0f64) {
         let wait = back_off(attempt, 100, 5_000, random);
--- a/crates/core/tests/core/shard.rs
+++ b/crates/core/tests/core/shard.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is, whether there is room, and when to come back.
+//! Admission: queues, grants and refusals.
 
 use keeljunction_core::route::LoadReport;
 use keeljunction_core::shard::{
@@ -14,7 +14,7 @@
     queue
 }
 
-fn ask(id: &str, group: &str, priority: u32, deadline: u64) -> GrantRequest {
+fn grant_request(id: &str, group: &str, priority: u32, deadline: u64) -> GrantRequest {
     GrantRequest {
         id: id.to_owned(),
         group: group.to_owned(),
@@ -34,16 +34,23 @@
 }
 
 #[test]
-fn the_group_that_had_least_goes_next_then_priority_then_deadline() {
+fn the_least_served_group_goes_next_then_priority_then_deadline() {
     let mut queue = queue(1, 1);
-    assert!(matches!(queue.submit(0, ask("first", "flood", 0, 900_000)), Decision::Granted(_)));
+    assert!(matches!(
+        queue.submit(0, grant_request("first", "flood", 0, 900_000)),
+        Decision::Granted(_)
+    ));
     for (id, group, priority, deadline) in [
         ("late", "flood", 0, 900_000),
         ("soon", "flood", 0, 800_000),
         ("briefing", "flood", 1, 700_000),
         ("desk", "desk", 1, 900_000),
     ] {
-        assert_eq!(queue.submit(1, ask(id, group, priority, deadline)), Decision::Waiting, "{id}");
+        assert_eq!(
+            queue.submit(1, grant_request(id, group, priority, deadline)),
+            Decision::Waiting,
+            "{id}"
+        );
     }
     let mut order = Vec::new();
     let mut running = "first".to_owned();
@@ -53,65 +60,65 @@
         running = granted(&decided)[0].to_owned();
         order.push(running.clone());
     }
-    // A group that comes from idle starts level with the one that runs; then priority decides.
+    // A group that was idle starts with the counter of the busy group; then priority decides.
     assert_eq!(order, ["soon", "desk", "late", "briefing"]);
 }
 
 #[test]
-fn with_no_server_a_request_is_refused_at_once_with_when_to_come_back() {
+fn without_a_server_a_request_is_refused_at_once_with_a_retry_time() {
     let mut queue = queue(0, 1);
-    let Decision::Refused(refusal) = queue.submit(0, ask("a", "flood", 0, 9_000)) else {
-        panic!("it is refused");
+    let Decision::Refused(refusal) = queue.submit(0, grant_request("a", "flood", 0, 9_000)) else {
+        panic!("expected a refusal");
     };
     assert!(refusal.retry_after > 0);
 }
 
 #[test]
-fn what_cannot_be_served_in_time_is_refused_at_once_and_told_different_times() {
+fn requests_that_cannot_be_served_in_time_are_refused_at_once_with_different_retry_times() {
     let mut queue = queue(1, 1);
-    queue.submit(0, ask("running", "flood", 0, 900_000));
-    let short = |id: &str| GrantRequest { wait: 40, ..ask(id, "flood", 0, 900_000) };
+    queue.submit(0, grant_request("running", "flood", 0, 900_000));
+    let short = |id: &str| GrantRequest { wait: 40, ..grant_request(id, "flood", 0, 900_000) };
     let times: Vec<u64> = (0..5)
         .map(|n| match queue.submit(1, short(&format!("r{n}"))) {
             Decision::Refused(refusal) => refusal.retry_after,
-            other => panic!("it is refused: {other:?}"),
+            other => panic!("expected a refusal: {other:?}"),
         })
         .collect();
     assert!(times.windows(2).all(|pair| pair[0] <= pair[1]), "{times:?}");
-    assert!(times[4] > times[0], "those who come back do not come all at once: {times:?}");
+    assert!(times[4] > times[0], "retries are spread over time: {times:?}");
 }
 
 #[test]
-fn a_request_whose_turn_does_not_come_is_refused_when_its_wait_is_over() {
+fn a_request_that_is_not_granted_is_refused_when_its_wait_is_over() {
     let mut queue = queue(1, 1);
-    queue.submit(0, ask("running", "flood", 0, 900_000));
-    let patient = GrantRequest { wait: 500, ..ask("a", "flood", 0, 900_000) };
+    queue.submit(0, grant_request("running", "flood", 0, 900_000));
+    let patient = GrantRequest { wait: 500, ..grant_request("a", "flood", 0, 900_000) };
     assert_eq!(queue.submit(0, patient), Decision::Waiting);
     assert_eq!(queue.poll(499), []);
     assert!(matches!(queue.poll(500).as_slice(), [(id, Decision::Refused(_))] if id == "a"));
 }
 
 #[test]
-fn a_server_that_leaves_gets_no_grant_and_a_new_owner_learns_the_grants_that_are_out() {
+fn a_leaving_server_gets_no_grant_and_a_new_owner_restores_outstanding_grants() {
     let mut old = queue(2, 1);
-    let Decision::Granted(grant) = old.submit(0, ask("a", "flood", 0, 900_000)) else {
-        panic!("there is room")
+    let Decision::Granted(grant) = old.submit(0, grant_request("a", "flood", 0, 900_000)) else {
+        panic!("expected a grant")
     };
     let mut new = queue(2, 1);
     new.restore(grant.clone());
     new.restore(grant.clone());
-    let Decision::Granted(second) = new.submit(0, ask("b", "flood", 0, 900_000)) else {
-        panic!("there is room")
+    let Decision::Granted(second) = new.submit(0, grant_request("b", "flood", 0, 900_000)) else {
+        panic!("expected a grant")
     };
     assert_ne!(grant.server, second.server);
     let names = [grant.server.as_str(), second.server.as_str()];
     new.set_servers(names.map(|name| (name, "127.0.0.1:1", "x", name == grant.server)).into_iter());
     new.release(1, "a", None);
-    assert_eq!(new.submit(1, ask("c", "flood", 0, 900_000)), Decision::Waiting);
+    assert_eq!(new.submit(1, grant_request("c", "flood", 0, 900_000)), Decision::Waiting);
 }
 
 #[test]
-fn failures_lower_a_servers_limit_and_successes_raise_it_again() {
+fn failures_lower_the_limit_of_a_server_and_successes_raise_it() {
     let mut queue = queue(1, 10);
     queue.record_failure(0, "s0");
     assert_eq!(queue.get_servers()[0].limit, 7);
@@ -122,30 +129,30 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_gets_nothing_until_it_can_again() {
+fn an_unreachable_server_is_skipped_for_a_while() {
     let mut queue = queue(1, 4);
     queue.record_unreachable(1_000, "s0");
-    assert_eq!(queue.submit(1_500, ask("a", "flood", 0, 900_000)), Decision::Waiting);
+    assert_eq!(queue.submit(1_500, grant_request("a", "flood", 0, 900_000)), Decision::Waiting);
     queue.record_unreachable(1_900, "s0");
     assert_eq!(queue.poll(2_800), []);
     assert_eq!(granted(&queue.poll(2_900)), ["a"]);
 }
 
 #[test]
-fn a_queue_that_decides_alone_uses_its_part_though_others_use_theirs() {
+fn a_queue_that_shares_servers_uses_its_share_independently_of_others() {
     let mut queue = Queue::new(8, 1_000).shared_by(4);
     queue.set_servers([("s0", "127.0.0.1:1", "x", false)].into_iter());
     queue.report("s0", LoadReport { at: 0, requests: 6, queued_tokens: 0 });
     for id in ["a", "b"] {
         assert!(
-            matches!(queue.submit(0, ask(id, "flood", 0, 900_000)), Decision::Granted(_)),
+            matches!(queue.submit(0, grant_request(id, "flood", 0, 900_000)), Decision::Granted(_)),
             "{id}"
         );
     }
     assert_eq!(
-        queue.submit(0, ask("c", "flood", 0, 900_000)),
+        queue.submit(0, grant_request("c", "flood", 0, 900_000)),
         Decision::Waiting,
-        "its part is used"
+        "its share is used up"
     );
     queue.release(1, "a", None);
     queue.report("s0", LoadReport { at: 1, requests: 8, queued_tokens: 0 });
@@ -153,7 +160,7 @@
 }
 
 #[test]
-fn six_hundred_servers_make_shards_of_about_sixteen() {
+fn six_hundred_servers_form_shards_of_about_sixteen() {
     let count = shard_count(600);
     assert_eq!(count, 38);
     let mut sizes = vec![0; count as usize];
@@ -163,10 +170,10 @@
     assert!(sizes.iter().all(|size| *size <= 2 * MAX_SHARD_SERVERS), "{sizes:?}");
 }
 
-/// What can happen at a queue.
+/// An operation on a queue.
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { group: usize, priority: u32, wait: u64 },
+    Submit { group: usize, priority: u32, wait: u64 },
     Release(usize),
     Cancel(usize),
     Pass(u64),
@@ -175,7 +182,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        4 => (0..2usize, 0..3u32, 0..500u64).prop_map(|(group, priority, wait)| Step::Offer { group, priority, wait }),
+        4 => (0..2usize, 0..3u32, 0..500u64).prop_map(|(group, priority, wait)| Step::Submit { group, priority, wait }),
         3 => (0..50usize).prop_map(Step::Release),
         1 => (0..50usize).prop_map(Step::Cancel),
         2 => (1..200u64).prop_map(Step::Pass),
@@ -185,32 +192,32 @@
 }
 
 proptest! {
-    /// Each request is decided exactly once, limits hold, and nothing new goes to a leaving server.
+    /// Each request is decided exactly once, limits are kept, and a leaving server gets no new requests.
     #[test]
     fn a_queue_decides_each_request_once_within_its_limits(steps in steps()) {
         let mut queue = queue(3, 2);
         let groups = ["flood", "desk"];
         let mut now = 0;
-        let (mut offered, mut waiting, mut out): (usize, Vec<String>, Vec<(String, String)>) = (0, vec![], vec![]);
+        let (mut submitted, mut waiting, mut outstanding): (usize, Vec<String>, Vec<(String, String)>) = (0, vec![], vec![]);
         let mut leaving = [false; 3];
         for step in steps {
             match step {
-                Step::Offer { group, priority, wait } => {
-                    let id = format!("r{offered}");
-                    offered += 1;
-                    let ask = GrantRequest { wait, ..ask(&id, groups[group], priority, now + 1_000) };
-                    match queue.submit(now, ask) {
+                Step::Submit { group, priority, wait } => {
+                    let id = format!("r{submitted}");
+                    submitted += 1;
+                    let grant_request = GrantRequest { wait, ..grant_request(&id, groups[group], priority, now + 1_000) };
+                    match queue.submit(now, grant_request) {
                         Decision::Granted(grant) => {
-                            let place: usize = grant.server[1..].parse().expect("it is a number");
-                            prop_assert!(!leaving[place]);
-                            out.push((id, grant.server));
+                            let index: usize = grant.server[1..].parse().expect("a number");
+                            prop_assert!(!leaving[index]);
+                            outstanding.push((id, grant.server));
                         }
                         Decision::Waiting => waiting.push(id),
                         Decision::Refused(refusal) => prop_assert!(refusal.retry_after > 0),
                     }
                 }
-                Step::Release(n) if !out.is_empty() => {
-                    let (id, _) = out.remove(n % out.len());
+                Step::Release(n) if !outstanding.is_empty() => {
+                    let (id, _) = outstanding.remove(n % outstanding.len());
                     queue.release(now, &id, Some(5));
                 }
                 Step::Cancel(n) if !waiting.is_empty() => {
@@ -218,25 +225,25 @@
                     queue.cancel(&id);
                 }
                 Step::Pass(ms) => now += ms,
-                Step::Leave(place) => {
-                    leaving[place] = true;
+                Step::Leave(index) => {
+                    leaving[index] = true;
                     let names = ["s0", "s1", "s2"];
                     queue.set_servers(names.iter().enumerate().map(|(n, name)| (*name, "127.0.0.1:1", "x", leaving[n])));
                 }
                 _ => {}
             }
             for (id, decision) in queue.poll(now) {
-                let place = waiting.iter().position(|known| *known == id);
-                prop_assert!(place.is_some(), "{id} was decided twice");
-                waiting.remove(place.expect("it waits"));
+                let index = waiting.iter().position(|known| *known == id);
+                prop_assert!(index.is_some(), "{id} was decided twice");
+                waiting.remove(index.expect("a waiting request"));
                 if let Decision::Granted(grant) = decision {
-                    let place: usize = grant.server[1..].parse().expect("it is a number");
-                    prop_assert!(!leaving[place]);
-                    out.push((id, grant.server));
+                    let index: usize = grant.server[1..].parse().expect("a number");
+                    prop_assert!(!leaving[index]);
+                    outstanding.push((id, grant.server));
                 }
             }
             for server in queue.get_servers() {
-                let there = out.iter().filter(|(_, name)| *name == server.name).count() as u32;
+                let there = outstanding.iter().filter(|(_, name)| *name == server.name).count() as u32;
                 prop_assert_eq!(server.in_flight, there);
                 prop_assert!(there <= 2);
             }
@@ -244,7 +251,7 @@
         }
     }
 
-    /// With both groups always waiting, each is served in proportion to its weight.
+    /// While both groups are always waiting, each is served in proportion to its weight.
     #[test]
     fn shares_are_kept_while_both_groups_wait(tokens in prop::collection::vec(1..200u64, 40..120)) {
         let mut queue = queue(1, 1);
@@ -253,14 +260,14 @@
         let mut running: Option<(String, usize, u64)> = None;
         for turn in 0..400u64 {
             for (group, name) in ["flood", "desk"].iter().enumerate() {
-                let cost = *costs.next().expect("it cycles");
+                let cost = *costs.next().expect("a cost");
                 let id = format!("{group}-{turn}-{cost}");
-                let ask = GrantRequest { output_tokens: cost, prompt_tokens: 0, ..ask(&id, name, 0, u64::MAX / 2) };
-                if let Decision::Granted(grant) = queue.submit(turn, ask) {
+                let grant_request = GrantRequest { output_tokens: cost, prompt_tokens: 0, ..grant_request(&id, name, 0, u64::MAX / 2) };
+                if let Decision::Granted(grant) = queue.submit(turn, grant_request) {
                     running = Some((grant.id.clone(), group, grant.cost));
                 }
             }
-            let (id, group, cost) = running.take().expect("one runs");
+            let (id, group, cost) = running.take().expect("a running request");
             served[group] += cost;
             queue.release(turn, &id, None);
             for (id, decision) in queue.poll(turn) {
