--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -65,18 +65,16 @@
     /// Records the row's version and returns `true` if the lease has certainly expired.
     ///
     /// The lease is measured from when this watcher first saw the version, so no clocks are compared.
-    /// `max_order_duration` is added where servers do not check fencing tokens.
+    /// `order_timeout` is added where servers do not check fencing tokens.
     pub fn is_lapsed(
         &mut self,
         now: Millis,
         version: u64,
         row: &Row,
-        max_order_duration: Millis,
+        order_timeout: Millis,
     ) -> bool {
         match self.seen {
-            Some((seen, since)) if seen == version => {
-                now >= since + row.length_ms + max_order_duration
-            }
+            Some((seen, since)) if seen == version => now >= since + row.length_ms + order_timeout,
             _ => {
                 self.seen = Some((version, now));
                 false
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -89,11 +89,9 @@
         let mut servers = Vec::new();
         for (name, address, data_centre, is_leaving) in listed {
             let known = self.servers.iter().find(|s| s.name == name && s.address == address);
-            let limit = (self.slots / self.sharers).max(MIN_LIMIT);
-            let fresh = || Server {
-                capacity: self.slots,
-                ..Server::new(name, address, data_centre, limit)
-            };
+            let cap = (self.slots / self.sharers).max(MIN_LIMIT);
+            let fresh =
+                || Server { capacity: self.slots, ..Server::new(name, address, data_centre, cap) };
             let server = known.cloned().unwrap_or_else(fresh);
             servers.push(Server { is_leaving, ..server });
         }
@@ -278,23 +276,17 @@
     fn try_grant(&mut self, now: Millis, request: &GrantRequest) -> Option<Grant> {
         let avoid =
             if self.has_server_besides(&request.avoid) { request.avoid.as_slice() } else { &[] };
-        let route_request = Request {
+        let query = Request {
             prompt_tokens: request.prompt_tokens,
             prefix: &request.prefix,
             priority: request.priority,
             avoid,
         };
-        let (servers, prefill_per_second) = (&self.servers, self.prefill_per_second);
+        let (servers, prefill) = (&self.servers, self.prefill_per_second);
         let choice = match self.policy {
-            Policy::Expected => {
-                route::choose(now, servers, &self.index, prefill_per_second, &route_request)
-            }
-            Policy::TwoChoices => {
-                route::choose_less_loaded(now, servers, &route_request, &mut self.random)
-            }
-            Policy::RoundRobin => {
-                route::choose_round_robin(now, servers, &route_request, self.last)
-            }
+            Policy::Expected => route::choose(now, servers, &self.index, prefill, &query),
+            Policy::TwoChoices => route::choose_less_loaded(now, servers, &query, &mut self.random),
+            Policy::RoundRobin => route::choose_round_robin(now, servers, &query, self.last),
         }?;
         self.last = choice.index;
         let server = &mut self.servers[choice.index];
@@ -331,12 +323,10 @@
     }
 
     /// Returns the number of waiting requests of the same group that are ahead of this one.
-    fn count_ahead(&self, request: &GrantRequest) -> usize {
-        let same = self.waiting.iter().filter(|waiter| waiter.request.group == request.group);
-        same.filter(|w| {
-            (w.request.priority, w.request.deadline) <= (request.priority, request.deadline)
-        })
-        .count()
+    fn count_ahead(&self, own: &GrantRequest) -> usize {
+        let same = self.waiting.iter().filter(|waiter| waiter.request.group == own.group);
+        same.filter(|w| (w.request.priority, w.request.deadline) <= (own.priority, own.deadline))
+            .count()
     }
 
     fn expected_wait(&self, group: &str, ahead: usize) -> Millis {
