--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -14,7 +14,7 @@
 
 use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
-use crate::event::{self, CrashSuspect, Event};
+use crate::event::{self, Event};
 use crate::metrics::ServiceLabels;
 use crate::runtime::{self, lock};
 
@@ -68,7 +68,7 @@
     node.with(|state| state.health.record_connect_failure(now, &server.id));
     let labels = ServiceLabels { service: server.service.clone() };
     node.metrics.servers_down.get_or_create(&labels).inc();
-    let running = attempts.iter().map(|attempt| CrashSuspect {
+    let running = attempts.iter().map(|attempt| event::InterruptedRequest {
         fingerprint: attempt.fingerprint.to_string(),
         ran_ms: attempt.get_duration(),
     });
