--- a/crates/core/src/serving/backpressure/rate_limits.rs
+++ b/crates/core/src/serving/backpressure/rate_limits.rs
@@ -5,13 +5,13 @@
 use super::{InstanceKey, Observation};
 use crate::Millis;
 
-/// How long a limit is kept after the last response that reported it, in milliseconds. A response
-/// without a limit ends it at once, but a server that gets no requests sends no responses.
-const LIMIT_TTL: Millis = 600_000;
+/// How long a limit is kept after the last response that reported it. A response without a limit
+/// ends it at once, but a server that gets no requests sends no responses.
+const LIMIT_TTL_MS: Millis = 600_000;
 /// How long the end of a limit is remembered, in milliseconds, so that late observations do not
 /// restore the limit.
-const ENDED_TTL: Millis = 60_000;
-/// The relative change of a rate above which it is news for other nodes. Owners learn of smaller
+const ENDED_TTL_MS: Millis = 60_000;
+/// The relative change of a rate above which other nodes are told. Owners learn of smaller
 /// changes with the next request for a permit.
 const MIN_CHANGE_RATIO: f64 = 0.25;
 /// One report in this many carries observations, for nodes that just started or missed the news.
@@ -86,12 +86,12 @@
     /// Returns the rate limit of a server, or `None` if the server has none.
     pub fn get(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
         let record = self.get_record(key).filter(|record| record.rate.is_some())?;
-        Some(record.to_observation(now, key.server))
+        Some(record.get_observation(now, key.server))
     }
 
     /// Returns the latest observation of a server, including the end of a limit.
     pub fn get_latest(&self, now: Millis, key: InstanceKey) -> Option<Observation> {
-        self.get_record(key).map(|record| record.to_observation(now, key.server))
+        self.get_record(key).map(|record| record.get_observation(now, key.server))
     }
 
     /// Returns `true` if nothing is known of any server.
@@ -122,7 +122,7 @@
         let count = limited().count();
         let first = (turn / GOSSIP_TURNS * GOSSIP_BATCH_SIZE).checked_rem(count).unwrap_or(0);
         let next = limited().cycle().skip(first).take(count.min(GOSSIP_BATCH_SIZE));
-        next.map(|(server, record)| record.to_observation(now, *server)).collect()
+        next.map(|(server, record)| record.get_observation(now, *server)).collect()
     }
 
     /// Returns the number of rate-limited servers.
@@ -133,7 +133,7 @@
     /// Removes expired records.
     pub fn expire(&mut self, now: Millis) {
         self.servers.retain(|_, record| {
-            let ttl = if record.rate.is_some() { LIMIT_TTL } else { ENDED_TTL };
+            let ttl = if record.rate.is_some() { LIMIT_TTL_MS } else { ENDED_TTL_MS };
             now < record.seen_at.saturating_add(ttl)
         });
     }
@@ -146,7 +146,7 @@
 }
 
 impl Record {
-    fn to_observation(&self, now: Millis, server: u64) -> Observation {
+    fn get_observation(&self, now: Millis, server: u64) -> Observation {
         let key = InstanceKey { server, incarnation: self.incarnation };
         Observation { key, rate: self.rate, age: now.saturating_sub(self.seen_at) }
     }
