--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -180,7 +180,7 @@
         /// Requests of this node that may have caused the crash.
         running: Vec<InterruptedRequest>,
     },
-    /// A verdict on whether a request crashes servers, made by this node as the keeper of the service, or
+    /// A verdict on whether a request crashes servers, made by this node as the owner of the service, or
     /// by another node.
     RequestJudged {
         /// The fingerprint of the request's content.
