--- a/crates/standin/src/harness/cluster.rs
+++ b/crates/standin/src/harness/cluster.rs
@@ -1,4 +1,4 @@
-//! A platform, entry nodes and backend servers, each a process of its own.
+//! A test cluster: the platform, entry nodes and backend servers, each in a separate process.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,44 +14,44 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use super::call::{ask, get};
+use super::call::{get_json, post_json};
 use super::documents;
 use super::process::{Process, binary};
 
-/// The credential of the account `duty` in the group `flood`, which has the larger share.
-pub const DUTY: &str = "duty-credential";
-/// The credential of the account `branch` in the group `desk`.
-pub const BRANCH: &str = "branch-credential";
+/// The credential of the client account `duty` in the group `flood`, which has the larger weight.
+pub const DUTY_CREDENTIAL: &str = "duty-credential";
+/// The credential of the client account `branch` in the group `desk`.
+pub const BRANCH_CREDENTIAL: &str = "branch-credential";
 const DATA_CENTRES: [&str; 4] = ["hall-norte", "hall-sur", "hall-oriente", "hall-occidente"];
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What to start.
+/// The processes to start and their settings.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Entry nodes.
+pub struct ClusterConfig {
+    /// Number of entry nodes.
     pub nodes: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain servers of `gauge-api`, which does not de-duplicate.
+    /// Number of servers of the plain service `gauge-api`, which does not deduplicate requests.
     pub services: usize,
-    /// Arguments of each engine.
+    /// Additional command-line arguments of each engine.
     pub engine_arguments: Vec<String>,
-    /// Lag of the VM list, in milliseconds.
+    /// Propagation delay of the VM list, in milliseconds.
     pub vm_lag_ms: u64,
-    /// Settings of the nodes that go over the defaults, as JSON, by section.
+    /// Node settings that override the defaults, as JSON by section.
     pub settings: Value,
-    /// Whether nodes get the first node's address besides the VM list.
-    pub seeded: bool,
-    /// Lines to add to the model service, and to the end of the bundle.
-    pub extra: (String, String),
-    /// Requests that one engine takes at the same time.
+    /// Whether nodes get the first node's address as a seed, in addition to the VM list.
+    pub uses_seed_address: bool,
+    /// YAML to append to the model service and to the end of the bundle.
+    pub extra_yaml: (String, String),
+    /// Concurrent requests per engine.
     pub slots: u32,
-    /// KV cache tokens that one engine sends in a second; 0 where it cannot.
+    /// KV cache tokens that an engine exports per second; 0 disables export.
     pub export_per_second: u64,
 }
 
-impl Default for Plan {
+impl Default for ClusterConfig {
     fn default() -> Self {
         Self {
             nodes: 3,
@@ -60,157 +60,157 @@
             engine_arguments: Vec::new(),
             vm_lag_ms: 100,
             settings: json!({}),
-            seeded: false,
-            extra: Default::default(),
+            uses_seed_address: false,
+            extra_yaml: Default::default(),
             slots: 16,
             export_per_second: 50_000,
         }
     }
 }
 
-/// One entry node.
+/// An entry node.
 #[derive(Debug)]
-pub struct Entry {
-    /// Its name.
+pub struct EntryNode {
+    /// The name of the node.
     pub name: String,
-    /// Its process.
+    /// The process of the node.
     pub process: Process,
 }
 
-impl Entry {
-    /// Returns where callers reach it.
-    pub fn caller(&self) -> SocketAddr {
+impl EntryNode {
+    /// Returns the address for client requests.
+    pub fn get_client_address(&self) -> SocketAddr {
         self.process.address("caller")
     }
 
-    /// Returns where operators reach it.
-    pub fn operator(&self) -> SocketAddr {
+    /// Returns the address for operators.
+    pub fn get_operator_address(&self) -> SocketAddr {
         self.process.address("operator")
     }
 
-    /// Returns where peers reach it.
-    pub fn peer(&self) -> SocketAddr {
+    /// Returns the address for other nodes.
+    pub fn get_peer_address(&self) -> SocketAddr {
         self.process.address("peer")
     }
 }
 
-/// A platform, entry nodes and backend servers.
+/// A running cluster of a platform, entry nodes and backend servers.
 pub struct Cluster {
-    /// The folder of settings, keys and logs.
+    /// The directory of settings, keys and logs.
     pub folder: TempDir,
-    /// The client for calls.
+    /// The HTTP client for requests to the cluster.
     pub client: Client,
-    /// The platform.
+    /// The platform process.
     pub platform: Process,
     /// The entry nodes.
-    pub nodes: Vec<Entry>,
-    /// The backend servers by name.
+    pub nodes: Vec<EntryNode>,
+    /// The backend server processes by name.
     pub servers: BTreeMap<String, Process>,
-    plan: Plan,
+    config: ClusterConfig,
 }
 
 impl Cluster {
-    /// Starts everything, rolls the first bundle, and waits until all nodes know each other.
+    /// Starts all processes, rolls out the first bundle and waits until the nodes are ready.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, or says what did not come up in time.
-    pub async fn start(plan: Plan) -> io::Result<Self> {
+    /// Returns an I/O error, or an error if the nodes are not ready within the timeout.
+    pub async fn start(config: ClusterConfig) -> io::Result<Self> {
         let folder = tempfile::tempdir()?;
-        let lag = plan.vm_lag_ms.to_string();
-        let arguments = strings(&["platform", "--vm-lag-ms", &lag]);
+        let lag = config.vm_lag_ms.to_string();
+        let arguments = to_strings(&["platform", "--vm-lag-ms", &lag]);
         let platform = Process::start("standin", &arguments, &folder.path().join("platform.log"))?;
         let client = Client::new(Duration::from_secs(1));
         let mut cluster =
-            Self { folder, client, platform, nodes: Vec::new(), servers: BTreeMap::new(), plan };
-        for number in 0..cluster.plan.engines {
+            Self { folder, client, platform, nodes: Vec::new(), servers: BTreeMap::new(), config };
+        for number in 0..cluster.config.engines {
             cluster.start_engine(&format!("hidro-{number}"), number).await?;
         }
-        for number in 0..cluster.plan.services {
+        for number in 0..cluster.config.services {
             cluster.start_service(&format!("gauge-{number}"), number).await?;
         }
         cluster.roll_version("v1")?;
-        for number in 0..cluster.plan.nodes {
+        for number in 0..cluster.config.nodes {
             cluster.start_node(&format!("entry-{number}"), number).await?;
         }
-        cluster.settled().await?;
+        cluster.wait_until_ready().await?;
         Ok(cluster)
     }
 
-    /// Starts one more engine, in the data centre of its number.
+    /// Starts an engine; `number` selects its data centre.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns an I/O error if the process cannot be started.
     pub async fn start_engine(&mut self, name: &str, number: usize) -> io::Result<()> {
-        let export = self.plan.export_per_second.to_string();
-        let slots = self.plan.slots.to_string();
-        let mut arguments = strings(&["engine", "--export", &export, "--slots", &slots]);
-        arguments.extend(self.plan.engine_arguments.iter().cloned());
+        let export = self.config.export_per_second.to_string();
+        let slots = self.config.slots.to_string();
+        let mut arguments = to_strings(&["engine", "--export", &export, "--slots", &slots]);
+        arguments.extend(self.config.engine_arguments.iter().cloned());
         self.start_server(name, "hidro-llm", number, &arguments).await
     }
 
-    /// Starts one more plain server, in the data centre of its number.
+    /// Starts a server of the plain service; `number` selects its data centre.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns an I/O error if the process cannot be started.
     pub async fn start_service(&mut self, name: &str, number: usize) -> io::Result<()> {
-        self.start_server(name, "gauge-api", number, &strings(&["service"])).await
+        self.start_server(name, "gauge-api", number, &to_strings(&["service"])).await
     }
 
-    /// Starts one more node, in the data centre of its number.
+    /// Starts an entry node; `number` selects its data centre.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns an I/O error if the process cannot be started.
     pub async fn start_node(&mut self, name: &str, number: usize) -> io::Result<()> {
         let settings = self.folder.path().join(format!("{name}.yaml"));
-        fs::write(&settings, self.settings_of(name, number)?)?;
+        fs::write(&settings, self.build_settings(name, number)?)?;
         let log = self.folder.path().join(format!("{name}.log"));
-        let arguments = strings(&["serve", "--settings", &settings.display().to_string()]);
+        let arguments = to_strings(&["serve", "--settings", &settings.display().to_string()]);
         let process = Process::start("keeljunction", &arguments, &log)?;
         let peer = process.address("peer");
-        self.nodes.push(Entry { name: name.to_owned(), process });
+        self.nodes.push(EntryNode { name: name.to_owned(), process });
         self.register(name, Role::Entry, peer, number).await;
         Ok(())
     }
 
-    /// Returns the path of a file in the cluster's folder.
+    /// Returns the path of a file in the cluster's directory.
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// Writes, signs and rolls a version of the bundle with the operators' client.
+    /// Writes, signs and rolls out a bundle version with the `keeljunction` command-line client.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, or what the client said.
+    /// Returns an I/O error, or the error output of the command-line client.
     pub fn roll_version(&self, version: &str) -> io::Result<String> {
         let file = self.write_version(version)?;
-        self.keeljunction(&["bundle", "roll", &file, "--platform", &self.platform_address()])
+        self.run_cli(&["bundle", "roll", &file, "--platform", &self.get_platform_address()])
     }
 
-    /// Writes and signs a version of the bundle, and returns its file.
+    /// Writes and signs a bundle version and returns the path of its file.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, or what the client said.
+    /// Returns an I/O error, or the error output of the command-line client.
     pub fn write_version(&self, version: &str) -> io::Result<String> {
         let file = self.path(&format!("{version}.yaml")).display().to_string();
-        fs::write(&file, documents::bundle(&self.plan, version))?;
-        let key = self.key_path();
-        self.keeljunction(&["bundle", "key", "--key", &key])?;
-        self.keeljunction(&["bundle", "sign", &file, "--key", &key])?;
+        fs::write(&file, documents::bundle(&self.config, version))?;
+        let key = self.get_key_path();
+        self.run_cli(&["bundle", "key", "--key", &key])?;
+        self.run_cli(&["bundle", "sign", &file, "--key", &key])?;
         Ok(file)
     }
 
-    /// Runs the operators' client and returns what it printed.
+    /// Runs the `keeljunction` command-line client and returns its standard output.
     ///
     /// # Errors
     ///
-    /// Returns what it said where it failed.
-    pub fn keeljunction(&self, arguments: &[&str]) -> io::Result<String> {
+    /// Returns the error output of the client if it fails.
+    pub fn run_cli(&self, arguments: &[&str]) -> io::Result<String> {
         let output = Command::new(binary("keeljunction")?).args(arguments).output()?;
         if output.status.success() {
             return Ok(String::from_utf8_lossy(&output.stdout).into_owned());
@@ -218,65 +218,72 @@
         Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()))
     }
 
-    /// Returns where the platform is, for the operators' client.
-    pub fn platform_address(&self) -> String {
+    /// Returns the address of the platform, for the command-line client.
+    pub fn get_platform_address(&self) -> String {
         self.platform.address("address").to_string()
     }
 
-    /// Sets a fault of the platform.
-    pub async fn fault(&self, target: &str, mode: &str, ms: u64, count: Option<u32>) {
+    /// Sets a scripted fault in the platform.
+    pub async fn set_platform_fault(&self, target: &str, mode: &str, ms: u64, count: Option<u32>) {
         let fault = json!({ "target": target, "mode": mode, "ms": ms, "count": count });
-        ask(&self.client, self.platform.address("address"), "/faults", &fault).await;
+        post_json(&self.client, self.platform.address("address"), "/faults", &fault).await;
     }
 
-    /// Gives notice of a reclaim.
+    /// Issues a reclaim notice for a VM.
     pub async fn give_notice(&self, vm: &str, left_ms: u64) {
         let notice = json!({ "vm": vm, "left_ms": left_ms });
-        ask(&self.client, self.platform.address("address"), "/notices", &notice).await;
+        post_json(&self.client, self.platform.address("address"), "/notices", &notice).await;
     }
 
-    /// Lets the VM list show that a VM leaves.
-    pub async fn leave(&self, vm: &str) {
-        ask(&self.client, self.platform.address("address"), "/vms/leave", &json!({ "vm": vm }))
-            .await;
+    /// Marks a VM as leaving in the VM list.
+    pub async fn mark_leaving(&self, vm: &str) {
+        post_json(
+            &self.client,
+            self.platform.address("address"),
+            "/vms/leave",
+            &json!({ "vm": vm }),
+        )
+        .await;
     }
 
-    /// Sets a fault of a backend server.
-    pub async fn server_fault(&self, server: &str, fault: &Value) {
+    /// Sets a scripted fault in a backend server.
+    pub async fn set_server_fault(&self, server: &str, fault: &Value) {
         if let Some(server) = self.servers.get(server) {
-            ask(&self.client, server.address("address"), "/faults", fault).await;
+            post_json(&self.client, server.address("address"), "/faults", fault).await;
         }
     }
 
-    /// Reads the log of what really ran on all backend servers that live, with the servers' names.
-    pub async fn ran(&self) -> Vec<(String, Value)> {
-        let mut ran = Vec::new();
+    /// Returns the execution log of every reachable backend server, with the server's name.
+    pub async fn get_executions(&self) -> Vec<(String, Value)> {
+        let mut executions = Vec::new();
         for (name, server) in &self.servers {
-            let log = get(&self.client, server.address("address"), "/ran").await;
+            let log = get_json(&self.client, server.address("address"), "/ran").await;
             let entries = log.as_ref().and_then(Value::as_array).cloned().unwrap_or_default();
-            ran.extend(entries.into_iter().map(|entry| (name.clone(), entry)));
+            executions.extend(entries.into_iter().map(|entry| (name.clone(), entry)));
         }
-        ran
+        executions
     }
 
-    /// Counts how often a request key ran.
-    pub async fn ran_times(&self, key: &str) -> usize {
-        self.ran().await.iter().filter(|(_, entry)| entry["key"] == key).count()
+    /// Counts how often the backend servers ran a request key.
+    pub async fn count_executions(&self, key: &str) -> usize {
+        self.get_executions().await.iter().filter(|(_, entry)| entry["key"] == key).count()
     }
 
-    /// Reads the resident memory of each node, in megabytes.
-    pub fn memory_mb(&self) -> Vec<f64> {
-        let resident = self.nodes.iter().filter_map(|node| node.process.resident_kb());
+    /// Returns the resident memory of each node, in megabytes.
+    pub fn get_memory_mb(&self) -> Vec<f64> {
+        let resident = self.nodes.iter().filter_map(|node| node.process.get_resident_kb());
         resident.map(|kb| kb as f64 / 1024.0).collect()
     }
 
-    /// Reads a node's status.
+    /// Fetches the status of a node.
     pub async fn status(&self, node: usize) -> Value {
-        get(&self.client, self.nodes[node].operator(), "/status").await.unwrap_or_default()
+        get_json(&self.client, self.nodes[node].get_operator_address(), "/status")
+            .await
+            .unwrap_or_default()
     }
 
-    /// Sums a count over all nodes that answer.
-    pub async fn count(&self, name: &str) -> u64 {
+    /// Returns the sum of a counter over all reachable nodes.
+    pub async fn sum_counter(&self, name: &str) -> u64 {
         let mut sum = 0;
         for node in 0..self.nodes.len() {
             sum += self.status(node).await["counts"][name].as_u64().unwrap_or(0);
@@ -284,10 +291,16 @@
         sum
     }
 
-    /// Waits until a check on the status of each node holds; returns the time it took.
-    pub async fn until(&self, time: Duration, check: impl Fn(&Value) -> bool) -> Option<Duration> {
+    /// Waits until `check` holds for the status of every node.
+    ///
+    /// Returns the time that passed, or `None` after `timeout`.
+    pub async fn wait_for_status(
+        &self,
+        timeout: Duration,
+        check: impl Fn(&Value) -> bool,
+    ) -> Option<Duration> {
         let started = Instant::now();
-        while started.elapsed() < time {
+        while started.elapsed() < timeout {
             let mut is_met = true;
             for node in 0..self.nodes.len() {
                 is_met &= check(&self.status(node).await);
@@ -295,29 +308,29 @@
             if is_met {
                 return Some(started.elapsed());
             }
-            runtime::sleep(LOOK).await;
+            runtime::sleep(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// Waits until all nodes have a bundle and know each other and all backend servers.
+    /// Waits until each node is ready and knows all other nodes and all backend servers.
     ///
     /// # Errors
     ///
-    /// Says so where that takes too long.
-    pub async fn settled(&self) -> io::Result<()> {
+    /// Returns an error if this takes longer than the timeout.
+    pub async fn wait_until_ready(&self) -> io::Result<()> {
         let (nodes, servers) = (self.nodes.len(), self.servers.len());
-        let is_settled = move |status: &Value| {
+        let is_ready = move |status: &Value| {
             let alive = status["members"]
                 .as_object()
                 .map_or(0, |members| members.values().filter(|state| *state == "alive").count());
             let known = status["servers"].as_object().map_or(0, serde_json::Map::len);
             status["ready"] == true && alive >= nodes && known >= servers
         };
-        let settled = self.until(READY_WITHIN, is_settled).await;
-        settled
+        let elapsed = self.wait_for_status(READY_TIMEOUT, is_ready).await;
+        elapsed
             .map(|_| ())
-            .ok_or_else(|| io::Error::other("the nodes did not find each other in time"))
+            .ok_or_else(|| io::Error::other("the nodes were not ready within the timeout"))
     }
 
     async fn start_server(
@@ -344,27 +357,27 @@
             state: VmState::Live,
         };
         let vm = serde_json::to_value(vm).unwrap_or_default();
-        ask(&self.client, self.platform.address("address"), "/vms", &vm).await;
+        post_json(&self.client, self.platform.address("address"), "/vms", &vm).await;
     }
 
-    fn settings_of(&self, name: &str, number: usize) -> io::Result<String> {
-        let key = self.keeljunction(&["bundle", "key", "--key", &self.key_path()])?;
+    fn build_settings(&self, name: &str, number: usize) -> io::Result<String> {
+        let key = self.run_cli(&["bundle", "key", "--key", &self.get_key_path()])?;
         let mut settings = json!({
             "node": { "name": name, "data_centre": DATA_CENTRES[number % DATA_CENTRES.len()] },
-            "platform": { "address": self.platform_address() },
+            "platform": { "address": self.get_platform_address() },
             "trusted_keys": [key.trim()],
         });
-        if let Some(first) = self.nodes.first().filter(|_| self.plan.seeded) {
-            settings["seeds"] = json!([first.peer()]);
+        if let Some(first) = self.nodes.first().filter(|_| self.config.uses_seed_address) {
+            settings["seeds"] = json!([first.get_peer_address()]);
         }
-        documents::settings(&self.plan, &settings)
+        documents::settings(&self.config, &settings)
     }
 
-    fn key_path(&self) -> String {
+    fn get_key_path(&self) -> String {
         self.path("operator.key").display().to_string()
     }
 }
 
-fn strings(words: &[&str]) -> Vec<String> {
-    words.iter().map(|word| (*word).to_owned()).collect()
+fn to_strings(arguments: &[&str]) -> Vec<String> {
+    arguments.iter().map(|argument| (*argument).to_owned()).collect()
 }
--- a/crates/standin/src/harness/documents.rs
+++ b/crates/standin/src/harness/documents.rs
@@ -1,16 +1,19 @@
-//! The settings and bundles that a cluster is started with.
+//! Generates the settings and bundles of a test cluster.
 
 use std::io;
 
 use keeljunction_core::bundle;
 use serde_json::{Value, json};
 
-use super::cluster::{BRANCH, DUTY, Plan};
+use super::cluster::{BRANCH_CREDENTIAL, ClusterConfig, DUTY_CREDENTIAL};
 
 const PEER_CREDENTIAL: &str = "between-nodes-only-0123456789";
 
-/// Writes the settings of a node: quick times for tests, the plan's own, and the node's own over them.
-pub(super) fn settings(plan: &Plan, own: &Value) -> io::Result<String> {
+/// Generates the settings of a node.
+///
+/// The base has short intervals for tests. The cluster's settings override it, and the node's settings
+/// override both.
+pub(super) fn settings(config: &ClusterConfig, node_settings: &Value) -> io::Result<String> {
     let mut settings = json!({
         "listen": { "caller": "127.0.0.1:0", "peer": "127.0.0.1:0", "operator": "127.0.0.1:0" },
         "platform": { "call_ms": 500, "calls_per_second": 500 },
@@ -18,16 +21,17 @@
         "membership": { "probe_ms": 100, "answer_ms": 100, "suspicion_ms": 500 },
         "times": { "roll_poll_ms": 200, "vm_poll_ms": 200, "stop_grace_ms": 300 },
     });
-    merge(&mut settings, &plan.settings);
-    merge(&mut settings, own);
+    merge(&mut settings, &config.settings);
+    merge(&mut settings, node_settings);
     serde_saphyr::to_string(&settings).map_err(io::Error::other)
 }
 
-/// Writes a version of the bundle.
-pub(super) fn bundle(plan: &Plan, version: &str) -> String {
-    let (service_extra, end_extra) = &plan.extra;
-    let (slots, export) = (plan.slots, plan.export_per_second);
-    let (duty, branch) = (bundle::digest(DUTY.as_bytes()), bundle::digest(BRANCH.as_bytes()));
+/// Generates a bundle version.
+pub(super) fn bundle(config: &ClusterConfig, version: &str) -> String {
+    let (service_extra, end_extra) = &config.extra_yaml;
+    let (slots, export) = (config.slots, config.export_per_second);
+    let (duty, branch) =
+        (bundle::digest(DUTY_CREDENTIAL.as_bytes()), bundle::digest(BRANCH_CREDENTIAL.as_bytes()));
     format!(
         "version: {version}
 groups:
@@ -57,14 +61,14 @@
     )
 }
 
-/// Puts the values of one JSON object over those of another, section by section.
-fn merge(into: &mut Value, over: &Value) {
-    match (into, over) {
-        (Value::Object(into), Value::Object(over)) => {
-            for (key, value) in over {
-                merge(into.entry(key.clone()).or_insert(Value::Null), value);
+/// Merges `source` into `target` recursively; values of `source` take precedence.
+fn merge(target: &mut Value, source: &Value) {
+    match (target, source) {
+        (Value::Object(target), Value::Object(source)) => {
+            for (key, value) in source {
+                merge(target.entry(key.clone()).or_insert(Value::Null), value);
             }
         }
-        (into, over) => *into = over.clone(),
+        (target, source) => *target = source.clone(),
     }
 }
--- a/crates/standin/src/harness/mod.rs
+++ b/crates/standin/src/harness/mod.rs
@@ -1,10 +1,10 @@
-//! Starts processes, for tests, the demo and measurements. The product itself starts none.
+//! Starts processes for tests, the demo and measurements. keeljunction itself starts no processes.
 
 mod call;
 mod cluster;
 mod documents;
 mod process;
 
-pub use call::{Answer, Call, Stream, ask, get};
-pub use cluster::{BRANCH, Cluster, DUTY, Entry, Plan};
+pub use call::{Call, Response, Stream, get_json, post_json};
+pub use cluster::{BRANCH_CREDENTIAL, Cluster, ClusterConfig, DUTY_CREDENTIAL, EntryNode};
 pub use process::{Process, binary};
--- a/crates/standin/src/harness/process.rs
+++ b/crates/standin/src/harness/process.rs
@@ -1,4 +1,4 @@
-//! One process that the harness started, ended by its id at the latest when dropped.
+//! A child process of the harness, killed by its process id when dropped.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -10,34 +10,34 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-/// A process that the harness started.
+/// A child process of the harness.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// What it printed once it listened.
-    pub listening: Value,
+    /// The JSON line with its listen addresses that the process printed at startup.
+    pub startup_info: Value,
 }
 
-/// Finds one of the workspace's binaries beside the running program.
+/// Returns the path of a workspace binary, in the build directory of the running program.
 ///
 /// # Errors
 ///
-/// Returns the system's error where the running program cannot be found.
+/// Returns an I/O error if the path of the running program is unknown.
 pub fn binary(name: &str) -> io::Result<PathBuf> {
-    let mut folder = std::env::current_exe()?;
-    folder.pop();
-    if folder.ends_with("deps") {
-        folder.pop();
+    let mut directory = std::env::current_exe()?;
+    directory.pop();
+    if directory.ends_with("deps") {
+        directory.pop();
     }
-    Ok(folder.join(name))
+    Ok(directory.join(name))
 }
 
 impl Process {
-    /// Starts a program, with its log in a file, and waits until it says where it listens.
+    /// Starts a program that logs to a file, and waits until it prints its listen addresses.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, or says that the program ended early.
+    /// Returns an I/O error, or the program's output if it does not print a JSON line.
     pub fn start(name: &str, arguments: &[String], log: &Path) -> io::Result<Self> {
         let log_file = File::create(log)?;
         let mut child = Command::new(binary(name)?)
@@ -46,27 +46,28 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::from(log_file))
             .spawn()?;
-        let output = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
+        let output =
+            child.stdout.take().ok_or_else(|| io::Error::other("stdout is not captured"))?;
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
-        let listening = serde_json::from_str(&line).map_err(|_| {
+        let startup_info = serde_json::from_str(&line).map_err(|_| {
             let text = std::fs::read_to_string(log).unwrap_or_default();
             io::Error::other(format!("{name} did not start: {line}{text}"))
         });
-        let mut process = Self { child, listening: Value::Null };
-        process.listening = listening?;
+        let mut process = Self { child, startup_info: Value::Null };
+        process.startup_info = startup_info?;
         Ok(process)
     }
 
-    /// Returns an address that the process printed.
+    /// Returns the listen address that the process printed under `key`.
     ///
     /// # Panics
     ///
-    /// Panics where it printed none under this key.
+    /// Panics if there is no valid address under `key`.
     pub fn address(&self, key: &str) -> std::net::SocketAddr {
-        let printed = self.listening[key].as_str().and_then(|address| address.parse().ok());
+        let printed = self.startup_info[key].as_str().and_then(|address| address.parse().ok());
         #[allow(clippy::expect_used)]
-        printed.expect("the process printed no such address")
+        printed.expect("the process printed no valid address under this key")
     }
 
     /// Returns the process id.
@@ -74,31 +75,31 @@
         self.child.id()
     }
 
-    /// Ends the process at once.
+    /// Kills the process with `SIGKILL`.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks the process to stop.
-    pub fn stop(&self) {
+    /// Requests a graceful stop with `SIGTERM`.
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Freezes the process.
-    pub fn freeze(&self) {
+    /// Suspends the process with `SIGSTOP`.
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
-    pub fn thaw(&self) {
+    /// Resumes a suspended process with `SIGCONT`.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the process to end; `None` where it has not ended in time.
-    pub async fn wait(&mut self, time: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + time;
-        while Instant::now() < until {
+    /// Waits for the process to exit; returns `None` after `timeout`.
+    pub async fn wait(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status);
             }
@@ -107,15 +108,15 @@
         None
     }
 
-    /// Reads the resident memory, in kilobytes.
-    pub fn resident_kb(&self) -> Option<u64> {
+    /// Returns the resident memory, in kilobytes.
+    pub fn get_resident_kb(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.id())).ok()?;
         let line = text.lines().find(|line| line.starts_with("VmRSS:"))?;
         line.split_whitespace().nth(1)?.parse().ok()
     }
 
-    /// Reads the processor time spent, in milliseconds.
-    pub fn cpu_ms(&self) -> Option<u64> {
+    /// Returns the CPU time used, in milliseconds.
+    pub fn get_cpu_ms(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).ok()?;
         let fields: Vec<&str> = text.rsplit(')').next()?.split_whitespace().collect();
         let ticks: u64 =
@@ -132,7 +133,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.thaw();
+        self.resume();
         self.kill();
     }
 }
--- a/crates/standin/src/load/run.rs
+++ b/crates/standin/src/load/run.rs
@@ -11,7 +11,7 @@
 
 use super::summary::Summary;
 use crate::engine::answer_of;
-use crate::harness::{Answer, Call};
+use crate::harness::{Call, Response};
 
 /// One kind of call, and how often it is made.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
         let (client, summaries, due_at) = (client.clone(), summaries.clone(), started + due);
         calls.push(runtime::spawn_with_handle(async move {
             let call =
-                Call::model(&kind.credential, &kind.class, &kind.model, &prompt, kind.tokens);
+                Call::completion(&kind.credential, &kind.class, &kind.model, &prompt, kind.tokens);
             let late = due_at.elapsed();
             let mut answer = call.send(&client, target).await.ok();
             let wait = answer.as_ref().and_then(retry_after).filter(|_| is_followed);
@@ -84,7 +84,7 @@
             if wait.is_some() {
                 summary.returned += 1;
                 summary.admitted +=
-                    u64::from(answer.as_ref().is_some_and(|answer| answer.is_whole));
+                    u64::from(answer.as_ref().is_some_and(|answer| answer.is_complete));
             }
             note(summary, answer, &prompt, kind.tokens, late);
         }));
@@ -98,19 +98,25 @@
 }
 
 /// Reads the `Retry-After` of a refusal.
-fn retry_after(answer: &Answer) -> Option<Duration> {
-    if answer.is_whole || answer.outcome() != "not_run" {
+fn retry_after(answer: &Response) -> Option<Duration> {
+    if answer.is_complete || answer.outcome() != "not_run" {
         return None;
     }
     answer.json()["retry_after_ms"].as_u64().map(Duration::from_millis)
 }
 
-fn note(summary: &mut Summary, answer: Option<Answer>, prompt: &str, tokens: u64, late: Duration) {
+fn note(
+    summary: &mut Summary,
+    answer: Option<Response>,
+    prompt: &str,
+    tokens: u64,
+    late: Duration,
+) {
     let Some(answer) = answer else {
         summary.failed += 1;
         return;
     };
-    if !answer.is_whole {
+    if !answer.is_complete {
         if answer.outcome() == "not_run" {
             summary.refused += 1
         } else {
@@ -119,13 +125,13 @@
         return;
     }
     summary.done += 1;
-    summary.tokens += answer.times.len() as u64;
+    summary.tokens += answer.token_times.len() as u64;
     if answer.body != answer_of(prompt, tokens) {
         summary.wrong += 1;
     }
-    let first = answer.times.first().copied().unwrap_or(answer.head) + late;
+    let first = answer.token_times.first().copied().unwrap_or(answer.head_time) + late;
     let _ = summary.first.record(first.as_micros() as u64);
-    for pair in answer.times.windows(2) {
+    for pair in answer.token_times.windows(2) {
         let _ = summary.gap.record((pair[1] - pair[0]).as_micros().max(1) as u64);
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -125,7 +125,7 @@
                 .arg(
                     Arg::new("credential")
                         .long("credential")
-                        .default_value(standin::harness::DUTY)
+                        .default_value(standin::harness::DUTY_CREDENTIAL)
                         .help("The caller's credential"),
                 )
                 .arg(
--- a/crates/standin/src/measure/policy.rs
+++ b/crates/standin/src/measure/policy.rs
@@ -10,7 +10,7 @@
 
 use super::plot::{self, Line};
 use super::spread::Spread;
-use crate::harness::{BRANCH, Cluster, DUTY, Plan};
+use crate::harness::{BRANCH_CREDENTIAL, Cluster, ClusterConfig, DUTY_CREDENTIAL};
 use crate::load::{self, Kind, Summary};
 
 const RUNS: u64 = 3;
@@ -94,14 +94,14 @@
             "--cache-blocks",
             "600",
         ];
-        let plan = Plan {
+        let plan = ClusterConfig {
             nodes: 4,
             engines: ENGINES,
             services: 0,
             slots: SLOTS,
             engine_arguments: arguments.map(str::to_owned).to_vec(),
             settings: json!({ "routing": { "owners": way.owners, "policy": way.policy } }),
-            ..Plan::default()
+            ..ClusterConfig::default()
         };
         let cluster = Cluster::start(plan).await?;
         let summaries = load::run(&cluster.client, &load_of(&cluster, load_percent, seed)).await;
@@ -122,7 +122,7 @@
     figures.long_95.push(long.first_ms(0.95));
     let sent = all.done + all.refused + all.failed;
     figures.refused.push((all.refused + all.failed) as f64 * 100.0 / sent.max(1) as f64);
-    let ran = cluster.ran().await;
+    let ran = cluster.get_executions().await;
     let prefill: u64 = ran.iter().filter_map(|(_, entry)| entry["prefill"].as_u64()).sum();
     figures.prefill.push(prefill as f64 / all.done.max(1) as f64);
     let flood = of("flood-urgent").tokens + of("flood-long").tokens;
@@ -148,10 +148,10 @@
         };
     // Four of five calls are short and urgent; the fifth shares a long start with others.
     let kinds = vec![
-        kind("flood-urgent", DUTY, "urgent", 4, 40, 0, 0, 24),
-        kind("flood-long", DUTY, "briefing", 1, 60, 12, 1_600, 60),
-        kind("desk-urgent", BRANCH, "urgent", 4, 40, 0, 0, 24),
-        kind("desk-long", BRANCH, "briefing", 1, 60, 12, 1_600, 60),
+        kind("flood-urgent", DUTY_CREDENTIAL, "urgent", 4, 40, 0, 0, 24),
+        kind("flood-long", DUTY_CREDENTIAL, "briefing", 1, 60, 12, 1_600, 60),
+        kind("desk-urgent", BRANCH_CREDENTIAL, "urgent", 4, 40, 0, 0, 24),
+        kind("desk-long", BRANCH_CREDENTIAL, "briefing", 1, 60, 12, 1_600, 60),
     ];
     // By slots: a call holds one for its tokens, and for its prompt as if nothing were cached.
     let held =
@@ -159,7 +159,7 @@
     let mean = 0.8 * held(24, 40) + 0.2 * held(60, 1_660);
     let capacity = ENGINES as f64 * f64::from(SLOTS) / mean;
     load::Plan {
-        targets: cluster.nodes.iter().map(|node| node.caller()).collect(),
+        targets: cluster.nodes.iter().map(|node| node.get_client_address()).collect(),
         rate: capacity * load_percent as f64 / 100.0,
         time: TIME,
         seed,
--- a/crates/standin/src/measure/shares.rs
+++ b/crates/standin/src/measure/shares.rs
@@ -7,7 +7,7 @@
 use keeljunction::runtime;
 
 use super::spread::Spread;
-use crate::harness::{BRANCH, Cluster, DUTY, Plan};
+use crate::harness::{BRANCH_CREDENTIAL, Cluster, ClusterConfig, DUTY_CREDENTIAL};
 use crate::load::{self, Kind, Summary};
 
 const RUNS: u64 = 3;
@@ -56,13 +56,13 @@
 
 /// Runs the load once, with some servers killed before, and returns both groups' summaries.
 async fn measure(lost: usize, seed: u64) -> io::Result<(Summary, Summary)> {
-    let plan = Plan {
+    let plan = ClusterConfig {
         nodes: 4,
         engines: ENGINES,
         services: 0,
         slots: SLOTS,
         engine_arguments: ["--gap-ms", &GAP_MS.to_string()].map(str::to_owned).to_vec(),
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
     let mut cluster = Cluster::start(plan).await?;
     for number in 0..lost {
@@ -92,11 +92,11 @@
     let slots = (ENGINES - lost) as f64 * f64::from(SLOTS);
     let capacity = slots * 1000.0 / (TOKENS * GAP_MS) as f64;
     load::Plan {
-        targets: cluster.nodes.iter().map(|node| node.caller()).collect(),
+        targets: cluster.nodes.iter().map(|node| node.get_client_address()).collect(),
         rate: 2.0 * capacity,
         time: TIME,
         seed,
-        kinds: vec![kind("flood", DUTY), kind("desk", BRANCH)],
+        kinds: vec![kind("flood", DUTY_CREDENTIAL), kind("desk", BRANCH_CREDENTIAL)],
         is_followed: true,
     }
 }
--- a/crates/standin/src/measure/size.rs
+++ b/crates/standin/src/measure/size.rs
@@ -9,7 +9,7 @@
 
 use super::plot::{self, Line};
 use super::spread::Spread;
-use crate::harness::{Cluster, Plan, get};
+use crate::harness::{Cluster, ClusterConfig, get_json};
 
 const SIZES: [usize; 5] = [4, 8, 16, 32, 64];
 const ROLLS: usize = 3;
@@ -34,13 +34,19 @@
             "times": { "roll_poll_ms": 1000, "vm_poll_ms": 1000 },
             "platform": { "calls_per_second": 100 },
         });
-        let plan = Plan { nodes: size, engines: 4, services: 0, settings, ..Plan::default() };
+        let plan = ClusterConfig {
+            nodes: size,
+            engines: 4,
+            services: 0,
+            settings,
+            ..ClusterConfig::default()
+        };
         let cluster = Cluster::start(plan).await?;
         runtime::sleep(SETTLE).await;
         let calls_before = calls(&cluster).await;
         let (cpu, sent, received) = watch(&cluster).await;
         let calls_a_second = (calls(&cluster).await - calls_before) as f64 / WATCH.as_secs_f64();
-        let memory = cluster.memory_mb();
+        let memory = cluster.get_memory_mb();
         let spread = Spread::of(&rolls(&cluster).await?);
         let (cpu, sent, received) = (Spread::of(&cpu), Spread::of(&sent), Spread::of(&received));
         println!(
@@ -66,7 +72,7 @@
 
 /// Reads how many calls the platform has had.
 async fn calls(cluster: &Cluster) -> u64 {
-    let answer = get(&cluster.client, cluster.platform.address("address"), "/calls").await;
+    let answer = get_json(&cluster.client, cluster.platform.address("address"), "/calls").await;
     answer.and_then(|answer| answer["calls"].as_u64()).unwrap_or(0)
 }
 
@@ -89,7 +95,7 @@
     let mut figures = Vec::new();
     for node in 0..cluster.nodes.len() {
         let bytes = cluster.status(node).await["peer_bytes"].clone();
-        let cpu = cluster.nodes[node].process.cpu_ms().unwrap_or(0);
+        let cpu = cluster.nodes[node].process.get_cpu_ms().unwrap_or(0);
         figures.push((cpu, bytes[0].as_u64().unwrap_or(0), bytes[1].as_u64().unwrap_or(0)));
     }
     figures
@@ -101,8 +107,9 @@
     for number in 0..ROLLS {
         cluster.roll_version(&format!("roll-{number}"))?;
         let roll = number as u64 + 2;
-        let spread =
-            cluster.until(SPREAD_WITHIN, |status| status["roll"].as_u64() >= Some(roll)).await;
+        let spread = cluster
+            .wait_for_status(SPREAD_WITHIN, |status| status["roll"].as_u64() >= Some(roll))
+            .await;
         let spread = spread.ok_or_else(|| io::Error::other("the roll did not spread in time"))?;
         times.push(spread.as_secs_f64() * 1000.0);
     }
--- a/crates/standin/tests/faults/at_most_once.rs
+++ b/crates/standin/tests/faults/at_most_once.rs
@@ -4,18 +4,19 @@
 
 use keeljunction::runtime;
 use serde_json::json;
-use standin::harness::{Call, DUTY, Plan};
+use standin::harness::{Call, ClusterConfig, DUTY_CREDENTIAL};
 
 use super::support::{alert, eventually, on_cluster, send};
 
 #[test]
 fn the_same_key_at_all_nodes_at_once_runs_once() {
-    on_cluster(Plan { services: 2, ..Plan::default() }, async |cluster| {
+    on_cluster(ClusterConfig { services: 2, ..ClusterConfig::default() }, async |cluster| {
         for round in 0..10 {
             let key = format!("a-{round}");
             let calls: Vec<_> = (0..6)
                 .map(|number| {
-                    let (client, to) = (cluster.client.clone(), cluster.nodes[number % 3].caller());
+                    let (client, to) =
+                        (cluster.client.clone(), cluster.nodes[number % 3].get_client_address());
                     let call = alert(&key);
                     runtime::spawn_with_handle(async move {
                         call.send(&client, to).await.expect("there is a response")
@@ -26,10 +27,10 @@
             for call in calls {
                 let answer = call.await;
                 assert!(["done", "unknown"].contains(&answer.outcome().as_str()), "{answer:?}");
-                done += u32::from(answer.is_whole);
+                done += u32::from(answer.is_complete);
             }
             assert!(done >= 1);
-            assert_eq!(cluster.ran_times(&key).await, 1, "{key}");
+            assert_eq!(cluster.count_executions(&key).await, 1, "{key}");
         }
     });
 }
@@ -43,77 +44,77 @@
         ("table", "down", 0, "not_run", 0),
         ("commit", "slow", 200, "done", 1),
     ];
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         for (target, mode, ms, outcome, times) in cases {
             let key = format!("a-{target}-{mode}");
-            cluster.fault(target, mode, ms, None).await;
+            cluster.set_platform_fault(target, mode, ms, None).await;
             let started = Instant::now();
             let first = send(&cluster, 0, &alert(&key)).await;
             assert_eq!(first.outcome(), outcome, "{key}: {first:?}");
             assert!(started.elapsed() < Duration::from_secs(3), "{key}: at once");
-            assert_eq!(cluster.ran_times(&key).await, times, "{key}");
-            cluster.fault(target, "none", 0, None).await;
+            assert_eq!(cluster.count_executions(&key).await, times, "{key}");
+            cluster.set_platform_fault(target, "none", 0, None).await;
             eventually("the caller who asks again gets it done", async || {
                 send(&cluster, 1, &alert(&key)).await.outcome() == "done"
             })
             .await;
             runtime::sleep(Duration::from_millis(600)).await;
-            assert_eq!(cluster.ran_times(&key).await, 1, "{key}: once in the end");
+            assert_eq!(cluster.count_executions(&key).await, 1, "{key}: once in the end");
         }
     });
 }
 
 #[test]
 fn a_lost_answer_of_the_service_is_unknown_and_never_run_again() {
-    on_cluster(Plan::default(), async |cluster| {
-        cluster.server_fault("gauge-0", &json!({ "lose": true })).await;
+    on_cluster(ClusterConfig::default(), async |cluster| {
+        cluster.set_server_fault("gauge-0", &json!({ "lose": true })).await;
         let first = send(&cluster, 0, &alert("a-1")).await;
         assert_eq!(first.outcome(), "unknown", "{first:?}");
-        cluster.server_fault("gauge-0", &json!({})).await;
+        cluster.set_server_fault("gauge-0", &json!({})).await;
         for node in 0..3 {
             let again = send(&cluster, node, &alert("a-1")).await;
             assert_eq!(again.outcome(), "unknown", "{again:?}");
         }
-        assert_eq!(cluster.ran_times("a-1").await, 1);
+        assert_eq!(cluster.count_executions("a-1").await, 1);
     });
 }
 
 #[test]
 fn a_node_killed_after_the_claim_leaves_it_run_at_most_once() {
-    on_cluster(Plan::default(), async |mut cluster| {
-        cluster.server_fault("gauge-0", &json!({ "slow_ms": 500 })).await;
-        let (client, to) = (cluster.client.clone(), cluster.nodes[0].caller());
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
+        cluster.set_server_fault("gauge-0", &json!({ "slow_ms": 500 })).await;
+        let (client, to) = (cluster.client.clone(), cluster.nodes[0].get_client_address());
         let calling =
             runtime::spawn_with_handle(async move { alert("a-1").send(&client, to).await });
-        eventually("it runs", async || cluster.ran_times("a-1").await == 1).await;
+        eventually("it runs", async || cluster.count_executions("a-1").await == 1).await;
         cluster.nodes[0].process.kill();
         assert!(calling.await.is_err(), "the answer is lost with the node");
-        cluster.server_fault("gauge-0", &json!({})).await;
+        cluster.set_server_fault("gauge-0", &json!({})).await;
         for node in [1, 2, 1, 2] {
             let again = send(&cluster, node, &alert("a-1")).await;
             assert_eq!(again.outcome(), "unknown", "{again:?}");
         }
         runtime::sleep(Duration::from_secs(2)).await;
-        assert_eq!(cluster.ran_times("a-1").await, 1);
+        assert_eq!(cluster.count_executions("a-1").await, 1);
     });
 }
 
 #[test]
 fn a_frozen_node_that_wakes_runs_nothing_again() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         for round in 0..5 {
             let key = format!("a-{round}");
             let (client, to, call) =
-                (cluster.client.clone(), cluster.nodes[0].caller(), alert(&key));
+                (cluster.client.clone(), cluster.nodes[0].get_client_address(), alert(&key));
             let calling = runtime::spawn_with_handle(async move { call.send(&client, to).await });
             runtime::sleep(Duration::from_millis(round * 2)).await;
-            cluster.nodes[0].process.freeze();
+            cluster.nodes[0].process.suspend();
             let elsewhere = send(&cluster, 1, &alert(&key)).await;
             runtime::sleep(Duration::from_millis(800)).await;
-            cluster.nodes[0].process.thaw();
+            cluster.nodes[0].process.resume();
             let first = calling.await.expect("there is a response");
             runtime::sleep(Duration::from_millis(300)).await;
-            let times = cluster.ran_times(&key).await;
+            let times = cluster.count_executions(&key).await;
             assert!(times <= 1, "{key}: {times}");
             for answer in [first, elsewhere] {
                 assert!(
@@ -127,39 +128,46 @@
 
 #[test]
 fn a_recorded_answer_is_given_again_whole_after_all_nodes_were_replaced() {
-    on_cluster(Plan::default(), async |mut cluster| {
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
         let first = send(&cluster, 0, &alert("a-1")).await;
         assert_eq!(first.status, 200);
-        eventually("the answer is recorded", async || cluster.count("claims_settled").await == 1)
-            .await;
+        eventually("the answer is recorded", async || {
+            cluster.sum_counter("claims_settled").await == 1
+        })
+        .await;
         for mut node in std::mem::take(&mut cluster.nodes) {
             node.process.kill();
         }
         for number in 0..2 {
             cluster.start_node(&format!("fresh-{number}"), number).await.expect("it starts");
         }
-        cluster.settled().await.expect("the nodes find each other");
+        cluster.wait_until_ready().await.expect("the nodes find each other");
         eventually("the recorded answer comes", async || {
             let again = send(&cluster, 1, &alert("a-1")).await;
             again.status == 200 && again.body == first.body
         })
         .await;
-        assert_eq!(cluster.ran_times("a-1").await, 1);
+        assert_eq!(cluster.count_executions("a-1").await, 1);
     });
 }
 
 #[test]
 fn an_unrepeatable_model_request_survives_a_reclaim_as_one_run_that_goes_on() {
-    on_cluster(Plan { engines: 2, ..Plan::default() }, async |cluster| {
-        let call = Call::model(DUTY, "alert", "hidro", "an alert that moves", 250).key("a-1");
+    on_cluster(ClusterConfig { engines: 2, ..ClusterConfig::default() }, async |cluster| {
+        let call = Call::completion(DUTY_CREDENTIAL, "alert", "hidro", "an alert that moves", 250)
+            .key("a-1");
         let stream = super::support::open(&cluster, 0, &call, 20).await;
         let server = super::support::server_of(&cluster, "a-1").await;
         cluster.give_notice(&server, 1_000).await;
         let answer = super::support::finish(stream).await;
-        assert!(answer.is_whole, "{:?}", answer.problem);
+        assert!(answer.is_complete, "{:?}", answer.problem);
         assert_eq!(answer.body, standin::engine::answer_of("an alert that moves", 250));
-        let ran: Vec<_> =
-            cluster.ran().await.into_iter().filter(|(_, entry)| entry["key"] == "a-1").collect();
+        let ran: Vec<_> = cluster
+            .get_executions()
+            .await
+            .into_iter()
+            .filter(|(_, entry)| entry["key"] == "a-1")
+            .collect();
         let begun = ran.iter().filter(|(_, entry)| entry["resumed_from"] == 0).count();
         assert_eq!((ran.len(), begun), (2, 1), "begun once, gone on with once: {ran:?}");
     });
@@ -167,8 +175,9 @@
 
 #[test]
 fn an_unrepeatable_model_request_is_followed_but_not_run_again() {
-    on_cluster(Plan::default(), async |mut cluster| {
-        let call = Call::model(DUTY, "alert", "hidro", "an alert summary", 100).key("a-1");
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
+        let call =
+            Call::completion(DUTY_CREDENTIAL, "alert", "hidro", "an alert summary", 100).key("a-1");
         let stream = super::support::open(&cluster, 0, &call, 10).await;
         let server = super::support::server_of(&cluster, "a-1").await;
         cluster.servers.get_mut(&server).expect("it runs").kill();
@@ -176,6 +185,6 @@
         assert_eq!(answer.outcome(), "unknown", "{answer:?}");
         let again = send(&cluster, 1, &call).await;
         assert_eq!(again.outcome(), "unknown", "{again:?}");
-        assert_eq!(cluster.ran_times("a-1").await, 0, "the other engine never saw it");
+        assert_eq!(cluster.count_executions("a-1").await, 0, "the other engine never saw it");
     });
 }
--- a/crates/standin/tests/faults/control.rs
+++ b/crates/standin/tests/faults/control.rs
@@ -5,28 +5,30 @@
 
 use keeljunction::runtime;
 use serde_json::Value;
-use standin::harness::{Cluster, Plan, get};
+use standin::harness::{Cluster, ClusterConfig, get_json};
 
 use super::support::{eventually, on_cluster};
 
 /// Three VMs of class a, in the cheaper data centres first; one must survive a data centre.
-fn buying() -> Plan {
+fn buying() -> ClusterConfig {
     let service = "    vm_class: a\n    floor: 3\n    after_loss: 1\n".to_owned();
     let prices = "prices:
   - { data_centre: hall-oriente, vm_class: a, reclaimable: true, per_hour_milli: 100 }
   - { data_centre: hall-occidente, vm_class: a, reclaimable: true, per_hour_milli: 120 }
 "
     .to_owned();
-    Plan { extra: (service, prices), ..Plan::default() }
+    ClusterConfig { extra_yaml: (service, prices), ..ClusterConfig::default() }
 }
 
 async fn started(cluster: &Cluster) -> BTreeMap<String, Value> {
-    let started = get(&cluster.client, cluster.platform.address("address"), "/cloud/started").await;
+    let started =
+        get_json(&cluster.client, cluster.platform.address("address"), "/cloud/started").await;
     serde_json::from_value(started.unwrap_or_default()).unwrap_or_default()
 }
 
 async fn orders(cluster: &Cluster, server: &str) -> Vec<Value> {
-    let orders = get(&cluster.client, cluster.servers[server].address("address"), "/orders").await;
+    let orders =
+        get_json(&cluster.client, cluster.servers[server].address("address"), "/orders").await;
     orders.as_ref().and_then(Value::as_array).cloned().unwrap_or_default()
 }
 
@@ -41,7 +43,7 @@
 
 #[test]
 fn every_engine_is_ordered_once_for_each_roll_with_fences_that_rise() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         cluster.roll_version("v2").expect("it is accepted");
         for server in ["hidro-0", "hidro-1"] {
             eventually("roll 2 is ordered", async || {
@@ -67,26 +69,32 @@
 #[test]
 fn a_paused_holder_that_wakes_sends_no_order() {
     for arguments in [Vec::new(), vec!["--unfenced".to_owned()]] {
-        on_cluster(Plan { engine_arguments: arguments, ..Plan::default() }, async |cluster| {
-            eventually("an order was sent", async || !orders(&cluster, "hidro-0").await.is_empty())
+        on_cluster(
+            ClusterConfig { engine_arguments: arguments, ..ClusterConfig::default() },
+            async |cluster| {
+                eventually("an order was sent", async || {
+                    !orders(&cluster, "hidro-0").await.is_empty()
+                })
                 .await;
-            let paused = holder(&cluster).await;
-            cluster.nodes[paused].process.freeze();
-            cluster.roll_version("v2").expect("it is accepted");
-            eventually("another node orders roll 2", async || {
-                orders(&cluster, "hidro-0").await.last().is_some_and(|order| order["roll"] == 2)
-            })
-            .await;
-            let before = orders(&cluster, "hidro-0").await.len();
-            cluster.nodes[paused].process.thaw();
-            runtime::sleep(Duration::from_secs(1)).await;
-            let after = orders(&cluster, "hidro-0").await;
-            let name = cluster.nodes[paused].name.as_str();
-            let late: Vec<_> =
-                after[before..].iter().filter(|order| order["node"] == name).collect();
-            let newest = after[..before].iter().filter_map(|order| order["fence"].as_u64()).max();
-            assert!(late.iter().all(|order| order["fence"].as_u64() > newest), "{late:?}");
-        });
+                let paused = holder(&cluster).await;
+                cluster.nodes[paused].process.suspend();
+                cluster.roll_version("v2").expect("it is accepted");
+                eventually("another node orders roll 2", async || {
+                    orders(&cluster, "hidro-0").await.last().is_some_and(|order| order["roll"] == 2)
+                })
+                .await;
+                let before = orders(&cluster, "hidro-0").await.len();
+                cluster.nodes[paused].process.resume();
+                runtime::sleep(Duration::from_secs(1)).await;
+                let after = orders(&cluster, "hidro-0").await;
+                let name = cluster.nodes[paused].name.as_str();
+                let late: Vec<_> =
+                    after[before..].iter().filter(|order| order["node"] == name).collect();
+                let newest =
+                    after[..before].iter().filter_map(|order| order["fence"].as_u64()).max();
+                assert!(late.iter().all(|order| order["fence"].as_u64() > newest), "{late:?}");
+            },
+        );
     }
 }
 
@@ -108,7 +116,7 @@
 fn lost_answers_and_refused_starts_start_nothing_twice() {
     for (mode, count) in [("lost", 4), ("down", 2), ("late", 3)] {
         on_cluster(buying(), async |cluster| {
-            cluster.fault("cloud", mode, 300, Some(count)).await;
+            cluster.set_platform_fault("cloud", mode, 300, Some(count)).await;
             eventually(mode, async || started(&cluster).await.len() >= 3).await;
             runtime::sleep(Duration::from_secs(1)).await;
             assert_eq!(started(&cluster).await.len(), 3, "{mode}");
@@ -119,12 +127,12 @@
 #[test]
 fn a_holder_killed_between_intent_and_answer_starts_nothing_twice() {
     on_cluster(buying(), async |mut cluster| {
-        cluster.fault("cloud", "lost", 0, None).await;
+        cluster.set_platform_fault("cloud", "lost", 0, None).await;
         eventually("one is asked for", async || !started(&cluster).await.is_empty()).await;
         let holder = holder(&cluster).await;
         cluster.nodes[holder].process.kill();
         cluster.nodes.remove(holder);
-        cluster.fault("cloud", "none", 0, None).await;
+        cluster.set_platform_fault("cloud", "none", 0, None).await;
         eventually("three are started", async || started(&cluster).await.len() >= 3).await;
         runtime::sleep(Duration::from_secs(1)).await;
         assert_eq!(started(&cluster).await.len(), 3);
--- a/crates/standin/tests/faults/departure.rs
+++ b/crates/standin/tests/faults/departure.rs
@@ -4,7 +4,7 @@
 
 use keeljunction::runtime;
 use serde_json::json;
-use standin::harness::{Cluster, Plan};
+use standin::harness::{Cluster, ClusterConfig};
 
 use super::support::{briefing, on_cluster, send};
 
@@ -20,7 +20,7 @@
         let _ = send(cluster, node, &briefing(&format!("request {number}"), 2)).await;
         number += 1;
     }
-    let ran = cluster.ran().await;
+    let ran = cluster.get_executions().await;
     let last = ran.iter().filter(|(name, _)| name == server);
     let last = last.filter_map(|(_, entry)| entry["unix_ms"].as_u64()).max().unwrap_or(0);
     let after = last.saturating_sub(left_at);
@@ -31,7 +31,7 @@
 
 #[test]
 fn after_a_notice_nothing_new_goes_there() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         cluster.give_notice("hidro-0", 60_000).await;
         expect_none_after(&cluster, "hidro-0", &[0, 1, 2]).await;
     });
@@ -39,8 +39,8 @@
 
 #[test]
 fn the_vm_list_alone_is_enough_even_when_it_lags() {
-    on_cluster(Plan { vm_lag_ms: 1_000, ..Plan::default() }, async |cluster| {
-        cluster.leave("hidro-0").await;
+    on_cluster(ClusterConfig { vm_lag_ms: 1_000, ..ClusterConfig::default() }, async |cluster| {
+        cluster.mark_leaving("hidro-0").await;
         expect_none_after(&cluster, "hidro-0", &[0, 1, 2]).await;
     });
 }
@@ -49,13 +49,19 @@
 fn a_notice_that_one_node_saw_before_it_was_killed_reaches_the_others() {
     let settings = json!({ "times": { "vm_poll_ms": 60_000 } });
     on_cluster(
-        Plan { nodes: 2, settings, seeded: true, vm_lag_ms: 0, ..Plan::default() },
+        ClusterConfig {
+            nodes: 2,
+            settings,
+            uses_seed_address: true,
+            vm_lag_ms: 0,
+            ..ClusterConfig::default()
+        },
         async |mut cluster| {
             // A node that has just been started reads the notices at once, the others not for a minute.
             cluster.give_notice("hidro-0", 60_000).await;
             cluster.start_node("entry-2", 2).await.expect("it starts");
             let knows = |status: &serde_json::Value| status["servers"]["hidro-0"] == "leaving";
-            let spread = cluster.until(FEW_SECONDS, knows).await.expect("all nodes know");
+            let spread = cluster.wait_for_status(FEW_SECONDS, knows).await.expect("all nodes know");
             println!("all nodes knew {} ms after one had read the notice", spread.as_millis());
             cluster.nodes[2].process.kill();
             cluster.nodes.truncate(2);
--- a/crates/standin/tests/faults/planned_stop.rs
+++ b/crates/standin/tests/faults/planned_stop.rs
@@ -10,29 +10,29 @@
 use keeljunction::http::{Body, Client};
 use keeljunction::runtime::{self, lock};
 use standin::engine::answer_of;
-use standin::harness::{Cluster, Plan};
+use standin::harness::{Cluster, ClusterConfig};
 
 use super::support::{briefing, finish, on_cluster, open};
 
 #[test]
 fn a_stopped_node_finishes_its_streams_and_exits_with_success() {
-    on_cluster(Plan::default(), async |mut cluster| {
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
         let mut reading = Vec::new();
         for number in 0..8 {
             let prompt = format!("in flight {number}");
             let stream = open(&cluster, 0, &briefing(&prompt, 150), 3).await;
             reading.push((prompt, runtime::spawn_with_handle(finish(stream))));
         }
-        cluster.nodes[0].process.stop();
+        cluster.nodes[0].process.terminate();
         for (prompt, answer) in reading {
             let answer = answer.await;
-            assert!(answer.is_whole, "{:?}", answer.problem);
+            assert!(answer.is_complete, "{:?}", answer.problem);
             assert_eq!(answer.body, answer_of(&prompt, 150));
         }
         let status = cluster.nodes[0].process.wait(Duration::from_secs(15)).await;
         assert!(status.is_some_and(|status| status.success()));
         cluster.nodes.remove(0);
-        let taken_over = cluster.count("requests_taken_over").await;
+        let taken_over = cluster.sum_counter("requests_taken_over").await;
         assert_eq!(taken_over, 0, "there was time, so the node finished all by itself");
     });
 }
@@ -42,7 +42,8 @@
 
 /// Asks all nodes for their readiness again and again, as a balancer does.
 fn balance(cluster: &Cluster, ready: &Ready) -> Task<()> {
-    let operators: Vec<SocketAddr> = cluster.nodes.iter().map(|node| node.operator()).collect();
+    let operators: Vec<SocketAddr> =
+        cluster.nodes.iter().map(|node| node.get_operator_address()).collect();
     let (client, ready) = (cluster.client.clone(), ready.clone());
     runtime::spawn_with_handle(async move {
         loop {
@@ -72,7 +73,7 @@
         let to = callers[places[(number + done) % places.len()]];
         let prompt = format!("caller {number} call {done}");
         let answer = briefing(&prompt, 30).send(&client, to).await.expect("no connection is cut");
-        assert!(answer.is_whole, "not one is refused or cut off: {answer:?}");
+        assert!(answer.is_complete, "not one is refused or cut off: {answer:?}");
         assert_eq!(answer.body, answer_of(&prompt, 30));
         done += 1;
     }
@@ -81,31 +82,38 @@
 
 #[test]
 fn stopping_nodes_in_turn_behind_a_balancer_cuts_and_refuses_nothing() {
-    on_cluster(Plan { nodes: 4, engines: 3, ..Plan::default() }, async |mut cluster| {
-        let ready: Ready = Arc::new(Mutex::new(vec![true; 4]));
-        let is_over: Arc<AtomicBool> = Arc::default();
-        let balancer = balance(&cluster, &ready);
-        let callers: Vec<SocketAddr> = cluster.nodes.iter().map(|node| node.caller()).collect();
-        let calling: Vec<_> = (0..6)
-            .map(|number| {
-                runtime::spawn_with_handle(call_on(
-                    number,
-                    callers.clone(),
-                    ready.clone(),
-                    is_over.clone(),
-                ))
-            })
-            .collect();
-        for node in 0..3 {
-            runtime::sleep(Duration::from_millis(500)).await;
-            cluster.nodes[node].process.stop();
-            let status = cluster.nodes[node].process.wait(Duration::from_secs(20)).await;
-            assert!(status.is_some_and(|status| status.success()), "node {node} ends by itself");
-        }
-        is_over.store(true, Ordering::SeqCst);
-        for caller in calling {
-            assert!(caller.await > 3);
-        }
-        drop(balancer);
-    });
+    on_cluster(
+        ClusterConfig { nodes: 4, engines: 3, ..ClusterConfig::default() },
+        async |mut cluster| {
+            let ready: Ready = Arc::new(Mutex::new(vec![true; 4]));
+            let is_over: Arc<AtomicBool> = Arc::default();
+            let balancer = balance(&cluster, &ready);
+            let callers: Vec<SocketAddr> =
+                cluster.nodes.iter().map(|node| node.get_client_address()).collect();
+            let calling: Vec<_> = (0..6)
+                .map(|number| {
+                    runtime::spawn_with_handle(call_on(
+                        number,
+                        callers.clone(),
+                        ready.clone(),
+                        is_over.clone(),
+                    ))
+                })
+                .collect();
+            for node in 0..3 {
+                runtime::sleep(Duration::from_millis(500)).await;
+                cluster.nodes[node].process.terminate();
+                let status = cluster.nodes[node].process.wait(Duration::from_secs(20)).await;
+                assert!(
+                    status.is_some_and(|status| status.success()),
+                    "node {node} ends by itself"
+                );
+            }
+            is_over.store(true, Ordering::SeqCst);
+            for caller in calling {
+                assert!(caller.await > 3);
+            }
+            drop(balancer);
+        },
+    );
 }
--- a/crates/standin/tests/faults/reclaim.rs
+++ b/crates/standin/tests/faults/reclaim.rs
@@ -5,7 +5,7 @@
 use keeljunction::runtime;
 use serde_json::json;
 use standin::engine::answer_of;
-use standin::harness::Plan;
+use standin::harness::ClusterConfig;
 
 use super::support::{briefing, come_back, eventually, finish, on_cluster, open, server_of};
 
@@ -15,7 +15,7 @@
 /// returns the tokens that were recomputed.
 fn reclaim_server(export_per_second: u64, notice_ms: u64) -> u64 {
     let mut recomputed = 0;
-    let plan = Plan { engines: 3, export_per_second, ..Plan::default() };
+    let plan = ClusterConfig { engines: 3, export_per_second, ..ClusterConfig::default() };
     on_cluster(plan, async |mut cluster| {
         let prompt = "flood briefing ".repeat(200);
         let call = briefing(&prompt, TOKENS).key("b-1");
@@ -26,9 +26,9 @@
         runtime::sleep(Duration::from_millis(notice_ms)).await;
         cluster.servers.get_mut(&server).expect("it runs").kill();
         let answer = reading.await;
-        assert!(answer.is_whole, "{:?}", answer.problem);
+        assert!(answer.is_complete, "{:?}", answer.problem);
         assert_eq!(answer.body, answer_of(&prompt, TOKENS));
-        recomputed = cluster.count("tokens_recomputed").await;
+        recomputed = cluster.sum_counter("tokens_recomputed").await;
     });
     recomputed
 }
@@ -49,7 +49,7 @@
 
 #[test]
 fn streams_survive_the_reclaim_of_two_servers_at_once() {
-    on_cluster(Plan { engines: 3, ..Plan::default() }, async |mut cluster| {
+    on_cluster(ClusterConfig { engines: 3, ..ClusterConfig::default() }, async |mut cluster| {
         let prompts: Vec<String> =
             (0..9).map(|n| format!("briefing number {n} for the basin")).collect();
         let mut streams = Vec::new();
@@ -66,7 +66,7 @@
         cluster.servers.get_mut("hidro-1").expect("it runs").kill();
         for (answer, prompt) in reading.into_iter().zip(&prompts) {
             let answer = answer.await;
-            assert!(answer.is_whole, "{:?}", answer.problem);
+            assert!(answer.is_complete, "{:?}", answer.problem);
             assert_eq!(answer.body, answer_of(prompt, TOKENS));
         }
     });
@@ -74,7 +74,7 @@
 
 #[test]
 fn the_caller_of_a_reclaimed_node_gets_the_rest_at_another() {
-    on_cluster(Plan::default(), async |mut cluster| {
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
         let call = briefing("the node itself is reclaimed", 400).key("b-1");
         let stream = open(&cluster, 0, &call, 10).await;
         cluster.give_notice("entry-0", 1_500).await;
@@ -82,7 +82,7 @@
         runtime::sleep(Duration::from_millis(1_700)).await;
         cluster.nodes[0].process.kill();
         let so_far = reading.await;
-        assert!(!so_far.is_whole, "the notice was shorter than the answer");
+        assert!(!so_far.is_complete, "the notice was shorter than the answer");
         let whole = come_back(&cluster, 1, &call, &so_far).await;
         assert_eq!(whole.body, answer_of("the node itself is reclaimed", 400));
     });
@@ -90,14 +90,14 @@
 
 #[test]
 fn the_caller_of_a_node_killed_halfway_through_its_drain_gets_the_rest_at_another() {
-    on_cluster(Plan::default(), async |mut cluster| {
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
         let call = briefing("killed while draining", 300).key("b-1");
         let stream = open(&cluster, 0, &call, 10).await;
-        cluster.nodes[0].process.stop();
+        cluster.nodes[0].process.terminate();
         runtime::sleep(Duration::from_millis(700)).await;
         cluster.nodes[0].process.kill();
         let so_far = finish(stream).await;
-        assert!(!so_far.is_whole);
+        assert!(!so_far.is_complete);
         let whole = come_back(&cluster, 2, &call, &so_far).await;
         assert_eq!(whole.body, answer_of("killed while draining", 300));
     });
@@ -105,14 +105,16 @@
 
 #[test]
 fn a_killed_nodes_request_is_taken_over_without_its_caller() {
-    on_cluster(Plan::default(), async |mut cluster| {
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
         let call = briefing("nobody comes back yet", 60).key("b-1");
         let stream = open(&cluster, 0, &call, 10).await;
         cluster.nodes[0].process.kill();
         let so_far = finish(stream).await;
         cluster.nodes.remove(0);
-        eventually("a holder takes over", async || cluster.count("requests_taken_over").await == 1)
-            .await;
+        eventually("a holder takes over", async || {
+            cluster.sum_counter("requests_taken_over").await == 1
+        })
+        .await;
         let whole = come_back(&cluster, 0, &call, &so_far).await;
         assert_eq!(whole.body, answer_of("nobody comes back yet", 60));
     });
@@ -120,7 +122,7 @@
 
 #[test]
 fn requests_survive_the_reclaim_of_a_whole_data_centre() {
-    let plan = Plan { nodes: 4, engines: 4, ..Plan::default() };
+    let plan = ClusterConfig { nodes: 4, engines: 4, ..ClusterConfig::default() };
     on_cluster(plan, async |mut cluster| {
         let prompts: Vec<String> = (0..8).map(|n| format!("dossier {n} of the branch")).collect();
         let calls: Vec<_> = prompts
@@ -141,7 +143,7 @@
         cluster.nodes[0].process.kill();
         for (number, answer) in reading.into_iter().enumerate() {
             let mut answer = answer.await;
-            if !answer.is_whole {
+            if !answer.is_complete {
                 assert_eq!(number % 4, 0, "only callers of the reclaimed node are cut");
                 answer = come_back(&cluster, 1 + number % 3, &calls[number], &answer).await;
             }
@@ -153,14 +155,17 @@
 #[test]
 fn a_stream_goes_on_when_its_server_dies_without_notice() {
     on_cluster(
-        Plan { settings: json!({ "routing": { "retry_burst": 5 } }), ..Plan::default() },
+        ClusterConfig {
+            settings: json!({ "routing": { "retry_burst": 5 } }),
+            ..ClusterConfig::default()
+        },
         async |mut cluster| {
             let call = briefing("no notice at all", TOKENS).key("b-1");
             let stream = open(&cluster, 0, &call, 10).await;
             let server = server_of(&cluster, "b-1").await;
             cluster.servers.get_mut(&server).expect("it runs").kill();
             let answer = finish(stream).await;
-            assert!(answer.is_whole, "{:?}", answer.problem);
+            assert!(answer.is_complete, "{:?}", answer.problem);
             assert_eq!(answer.body, answer_of("no notice at all", TOKENS));
         },
     );
--- a/crates/standin/tests/faults/retries.rs
+++ b/crates/standin/tests/faults/retries.rs
@@ -3,18 +3,20 @@
 use keeljunction::runtime;
 use serde_json::json;
 use standin::engine::answer_of;
-use standin::harness::Plan;
+use standin::harness::ClusterConfig;
 
 use super::support::{briefing, on_cluster, send};
 
 #[test]
 fn when_half_of_the_servers_vanish_extra_dispatches_stay_within_the_share() {
     let settings = json!({ "routing": { "retry_per_mille": 100, "retry_burst": 3 } });
-    let plan = Plan { nodes: 2, engines: 4, settings, slots: 32, ..Plan::default() };
+    let plan =
+        ClusterConfig { nodes: 2, engines: 4, settings, slots: 32, ..ClusterConfig::default() };
     on_cluster(plan, async |mut cluster| {
         let calls: Vec<_> = (0..80)
             .map(|number| {
-                let (client, to) = (cluster.client.clone(), cluster.nodes[number % 2].caller());
+                let (client, to) =
+                    (cluster.client.clone(), cluster.nodes[number % 2].get_client_address());
                 let call = briefing(&format!("wave {number}"), 200).key(&format!("w-{number}"));
                 runtime::spawn_with_handle(async move {
                     call.send(&client, to).await.expect("there is a response")
@@ -29,10 +31,10 @@
         let mut keys = Vec::new();
         for call in calls {
             let answer = call.await;
-            if !answer.is_whole {
+            if !answer.is_complete {
                 keys.push(answer.key.clone());
             }
-            if answer.is_whole {
+            if answer.is_complete {
                 done += 1;
                 continue;
             }
@@ -44,7 +46,7 @@
             );
         }
         let (retries, denied) =
-            (cluster.count("retries").await, cluster.count("retries_denied").await);
+            (cluster.sum_counter("retries").await, cluster.sum_counter("retries_denied").await);
         println!(
             "80 requests: {done} done, {given_up} given up, {retries} retries, {denied} denied"
         );
@@ -64,7 +66,7 @@
                 runtime::sleep(std::time::Duration::from_millis(wait)).await;
                 again = send(&cluster, number % 2, &call).await;
             }
-            assert!(again.is_whole, "asked again when it was told to, it is served: {again:?}");
+            assert!(again.is_complete, "asked again when it was told to, it is served: {again:?}");
             assert_eq!(again.body, answer_of(&prompt, 200));
         }
     });
--- a/crates/standin/tests/faults/rolls.rs
+++ b/crates/standin/tests/faults/rolls.rs
@@ -4,7 +4,7 @@
 
 use keeljunction::runtime;
 use serde_json::Value;
-use standin::harness::{Cluster, Plan};
+use standin::harness::{Cluster, ClusterConfig};
 
 use super::support::{SOON, on_cluster};
 
@@ -12,7 +12,7 @@
 
 async fn in_force(cluster: &Cluster, roll: u64, version: &str) -> Duration {
     let spread = cluster
-        .until(WITHIN, |status| status["roll"] == roll && status["version"] == version)
+        .wait_for_status(WITHIN, |status| status["roll"] == roll && status["version"] == version)
         .await;
     let spread = spread.expect("the roll is in force everywhere");
     println!(
@@ -25,52 +25,54 @@
 
 #[test]
 fn a_roll_is_in_force_on_all_nodes_within_seconds_and_a_rollback_is_a_higher_roll() {
-    on_cluster(Plan { nodes: 8, engines: 1, services: 0, ..Plan::default() }, async |cluster| {
-        cluster.roll_version("v2").expect("it is accepted");
-        in_force(&cluster, 2, "v2").await;
-        let platform = cluster.platform_address();
-        cluster
-            .keeljunction(&["bundle", "rollback", "--to", "1", "--platform", &platform])
-            .expect("it is accepted");
-        in_force(&cluster, 3, "v1").await;
-        let audit = cluster
-            .keeljunction(&["audit", "--json", "--platform", &platform])
-            .expect("there is a trail");
-        let audit: Value = serde_json::from_str(&audit).expect("it is JSON");
-        let actions: Vec<_> =
-            audit.as_array().into_iter().flatten().map(|row| &row["action"]).collect();
-        assert_eq!(actions, ["roll", "roll", "rollback"]);
-        let shown = cluster
-            .keeljunction(&["bundle", "show", "2", "--platform", &platform])
-            .expect("it is there");
-        assert!(
-            shown.contains("# roll 2, version v2") && shown.contains("\nversion: v2\n"),
-            "{shown}"
-        );
-        let listed = cluster
-            .keeljunction(&["bundle", "list", "--platform", &platform])
-            .expect("it is there");
-        assert_eq!(listed.lines().count(), 4, "a heading and three rolls: {listed}");
-        let operator = cluster.nodes[0].operator().to_string();
-        let status =
-            cluster.keeljunction(&["status", "--json", "--node", &operator]).expect("it answers");
-        let status: Value = serde_json::from_str(&status).expect("it is JSON");
-        assert_eq!(
-            (&status[0]["roll"], &status[0]["ready"]),
-            (&Value::from(3), &Value::from(true))
-        );
-    });
+    on_cluster(
+        ClusterConfig { nodes: 8, engines: 1, services: 0, ..ClusterConfig::default() },
+        async |cluster| {
+            cluster.roll_version("v2").expect("it is accepted");
+            in_force(&cluster, 2, "v2").await;
+            let platform = cluster.get_platform_address();
+            cluster
+                .run_cli(&["bundle", "rollback", "--to", "1", "--platform", &platform])
+                .expect("it is accepted");
+            in_force(&cluster, 3, "v1").await;
+            let audit = cluster
+                .run_cli(&["audit", "--json", "--platform", &platform])
+                .expect("there is a trail");
+            let audit: Value = serde_json::from_str(&audit).expect("it is JSON");
+            let actions: Vec<_> =
+                audit.as_array().into_iter().flatten().map(|row| &row["action"]).collect();
+            assert_eq!(actions, ["roll", "roll", "rollback"]);
+            let shown = cluster
+                .run_cli(&["bundle", "show", "2", "--platform", &platform])
+                .expect("it is there");
+            assert!(
+                shown.contains("# roll 2, version v2") && shown.contains("\nversion: v2\n"),
+                "{shown}"
+            );
+            let listed =
+                cluster.run_cli(&["bundle", "list", "--platform", &platform]).expect("it is there");
+            assert_eq!(listed.lines().count(), 4, "a heading and three rolls: {listed}");
+            let operator = cluster.nodes[0].get_operator_address().to_string();
+            let status =
+                cluster.run_cli(&["status", "--json", "--node", &operator]).expect("it answers");
+            let status: Value = serde_json::from_str(&status).expect("it is JSON");
+            assert_eq!(
+                (&status[0]["roll"], &status[0]["ready"]),
+                (&Value::from(3), &Value::from(true))
+            );
+        },
+    );
 }
 
 #[test]
 fn of_racing_operators_one_wins_and_the_other_is_told_who() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         let files = [cluster.write_version("left"), cluster.write_version("right")];
         let files: Vec<String> =
             files.into_iter().map(|file| file.expect("it is signed")).collect();
-        let platform = cluster.platform_address();
+        let platform = cluster.get_platform_address();
         // Both have read the roll in force before either's transaction is carried out.
-        cluster.fault("commit", "slow", 500, Some(2)).await;
+        cluster.set_platform_fault("commit", "slow", 500, Some(2)).await;
         let results: Vec<_> = std::thread::scope(|scope| {
             let rolling = files.iter().zip(["ana", "luis"]).map(|(file, operator)| {
                 let arguments = [
@@ -85,7 +87,7 @@
                     "1",
                 ];
                 let cluster = &cluster;
-                scope.spawn(move || cluster.keeljunction(&arguments))
+                scope.spawn(move || cluster.run_cli(&arguments))
             });
             let rolling: Vec<_> = rolling.collect();
             rolling.into_iter().map(|roll| roll.join().expect("it ends")).collect()
@@ -103,8 +105,8 @@
 
 #[test]
 fn a_roll_whose_answer_was_lost_is_found_by_its_id_and_made_once() {
-    on_cluster(Plan::default(), async |cluster| {
-        cluster.fault("commit", "lost", 0, Some(1)).await;
+    on_cluster(ClusterConfig::default(), async |cluster| {
+        cluster.set_platform_fault("commit", "lost", 0, Some(1)).await;
         let said = cluster.roll_version("v2").expect("it is accepted");
         assert!(said.contains("roll 2: version v2 was accepted"), "{said}");
         in_force(&cluster, 2, "v2").await;
@@ -113,12 +115,12 @@
 
 #[test]
 fn a_roll_is_refused_with_a_clear_error_while_the_platform_is_down() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         for target in ["table", "store"] {
-            cluster.fault(target, "down", 0, None).await;
+            cluster.set_platform_fault(target, "down", 0, None).await;
             let error = cluster.roll_version("v2").expect_err("it is refused").to_string();
             assert!(error.contains("the platform refused the call"), "{error}");
-            cluster.fault(target, "none", 0, None).await;
+            cluster.set_platform_fault(target, "none", 0, None).await;
         }
         assert!(cluster.status(0).await["roll"] == 1);
         cluster.roll_version("v2").expect("it is accepted");
@@ -129,25 +131,25 @@
 #[test]
 fn with_the_platform_down_after_the_commit_the_roll_spreads_from_one_node() {
     let settings = serde_json::json!({ "times": { "roll_poll_ms": 60_000 } });
-    on_cluster(Plan { nodes: 6, settings, ..Plan::default() }, async |cluster| {
+    on_cluster(ClusterConfig { nodes: 6, settings, ..ClusterConfig::default() }, async |cluster| {
         let file = cluster.write_version("v2").expect("it is signed");
         let (platform, node) =
-            (cluster.platform_address(), cluster.nodes[0].operator().to_string());
+            (cluster.get_platform_address(), cluster.nodes[0].get_operator_address().to_string());
         let roll = ["bundle", "roll", &file, "--platform", &platform, "--node", &node];
-        cluster.keeljunction(&roll).expect("it is accepted");
-        cluster.fault("table", "down", 0, None).await;
-        cluster.fault("store", "down", 0, None).await;
+        cluster.run_cli(&roll).expect("it is accepted");
+        cluster.set_platform_fault("table", "down", 0, None).await;
+        cluster.set_platform_fault("store", "down", 0, None).await;
         in_force(&cluster, 2, "v2").await;
     });
 }
 
 #[test]
 fn a_fresh_node_gets_the_bundle_from_peers_during_an_outage() {
-    on_cluster(Plan::default(), async |mut cluster| {
+    on_cluster(ClusterConfig::default(), async |mut cluster| {
         cluster.roll_version("v2").expect("it is accepted");
         in_force(&cluster, 2, "v2").await;
-        cluster.fault("table", "down", 0, None).await;
-        cluster.fault("store", "down", 0, None).await;
+        cluster.set_platform_fault("table", "down", 0, None).await;
+        cluster.set_platform_fault("store", "down", 0, None).await;
         cluster.start_node("fresh", 3).await.expect("it starts");
         in_force(&cluster, 2, "v2").await;
     });
@@ -159,19 +161,19 @@
 /// blocked the thread of one test held up the tasks of all. `runtime` of the gateway's tests shows it.
 #[test]
 fn a_node_that_slept_through_a_roll_takes_it_and_never_serves_an_older_one_again() {
-    on_cluster(Plan::default(), async |cluster| {
-        cluster.nodes[0].process.freeze();
+    on_cluster(ClusterConfig::default(), async |cluster| {
+        cluster.nodes[0].process.suspend();
         cluster.roll_version("v2").expect("it is accepted");
         runtime::sleep(Duration::from_secs(2)).await;
         cluster.roll_version("v3").expect("it is accepted");
-        cluster.nodes[0].process.thaw();
+        cluster.nodes[0].process.resume();
         in_force(&cluster, 3, "v3").await;
         let alive = |status: &Value| {
             status["members"]
                 .as_object()
                 .is_some_and(|members| members.values().all(|m| m == "alive"))
         };
-        cluster.until(SOON, alive).await.expect("the woken node is alive to all again");
+        cluster.wait_for_status(SOON, alive).await.expect("the woken node is alive to all again");
         for _ in 0..20 {
             for node in 0..3 {
                 assert_eq!(cluster.status(node).await["roll"], 3);
@@ -183,16 +185,14 @@
 
 #[test]
 fn an_unsigned_or_altered_bundle_is_refused_by_every_node() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         let other = cluster.path("other.key").display().to_string();
-        cluster.keeljunction(&["bundle", "key", "--key", &other]).expect("it is made");
+        cluster.run_cli(&["bundle", "key", "--key", &other]).expect("it is made");
         let file = cluster.write_version("v2").expect("it is signed");
+        cluster.run_cli(&["bundle", "sign", &file, "--key", &other]).expect("it is signed anew");
+        let platform = cluster.get_platform_address();
         cluster
-            .keeljunction(&["bundle", "sign", &file, "--key", &other])
-            .expect("it is signed anew");
-        let platform = cluster.platform_address();
-        cluster
-            .keeljunction(&["bundle", "roll", &file, "--platform", &platform])
+            .run_cli(&["bundle", "roll", &file, "--platform", &platform])
             .expect("the table takes it");
         runtime::sleep(Duration::from_secs(1)).await;
         for node in 0..3 {
@@ -200,7 +200,7 @@
         }
         let text = std::fs::read_to_string(&file).expect("it is there");
         std::fs::write(&file, text.replace("weight: 3", "weight: 30")).expect("it is altered");
-        let error = cluster.keeljunction(&["bundle", "roll", &file, "--platform", &platform]);
+        let error = cluster.run_cli(&["bundle", "roll", &file, "--platform", &platform]);
         let error = error.expect_err("it is refused").to_string();
         assert!(error.contains("the signature does not hold"), "{error}");
     });
--- a/crates/standin/tests/faults/support.rs
+++ b/crates/standin/tests/faults/support.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use keeljunction::runtime;
-use standin::harness::{Answer, Call, Cluster, DUTY, Plan, Stream};
+use standin::harness::{Call, Cluster, ClusterConfig, DUTY_CREDENTIAL, Response, Stream};
 
 /// Bound on anything that must come to pass.
 pub const SOON: Duration = Duration::from_secs(15);
 
 /// Starts a cluster and runs a test on it.
-pub fn on_cluster<F, Fut>(plan: Plan, test: F)
+pub fn on_cluster<F, Fut>(plan: ClusterConfig, test: F)
 where
     F: FnOnce(Cluster) -> Fut,
     Fut: Future<Output = ()>,
@@ -23,39 +23,50 @@
 
 /// Asks for a stream of a briefing.
 pub fn briefing(prompt: &str, tokens: u64) -> Call {
-    Call::model(DUTY, "briefing", "hidro", prompt, tokens)
+    Call::completion(DUTY_CREDENTIAL, "briefing", "hidro", prompt, tokens)
 }
 
 /// Posts an alert, which is not to be repeated.
 pub fn alert(key: &str) -> Call {
-    Call::plain(DUTY, "alert", hyper::Method::POST, "/services/gauge-api/alerts", "{\"level\":3}")
-        .key(key)
+    Call::plain(
+        DUTY_CREDENTIAL,
+        "alert",
+        hyper::Method::POST,
+        "/services/gauge-api/alerts",
+        "{\"level\":3}",
+    )
+    .key(key)
 }
 
 /// Sends a call to a node, by its place.
-pub async fn send(cluster: &Cluster, node: usize, call: &Call) -> Answer {
-    let answer = call.send(&cluster.client, cluster.nodes[node].caller()).await;
+pub async fn send(cluster: &Cluster, node: usize, call: &Call) -> Response {
+    let answer = call.send(&cluster.client, cluster.nodes[node].get_client_address()).await;
     answer.expect("there is a response")
 }
 
 /// Opens a stream at a node and reads its first tokens.
 pub async fn open(cluster: &Cluster, node: usize, call: &Call, tokens: usize) -> Stream {
-    let opened = call.open(&cluster.client, cluster.nodes[node].caller()).await;
+    let opened = call.open(&cluster.client, cluster.nodes[node].get_client_address()).await;
     let mut stream = opened.expect("there is a response");
     stream.read_tokens(tokens).await;
-    assert_eq!(stream.answer.times.len(), tokens, "the first tokens come: {:?}", stream.answer);
+    assert_eq!(
+        stream.response.token_times.len(),
+        tokens,
+        "the first tokens come: {:?}",
+        stream.response
+    );
     stream
 }
 
 /// Reads a stream to its end, or as far as it comes.
-pub async fn finish(mut stream: Stream) -> Answer {
+pub async fn finish(mut stream: Stream) -> Response {
     while stream.next().await {}
-    stream.answer
+    stream.response
 }
 
 /// Finds the server on which a request key ran last.
 pub async fn server_of(cluster: &Cluster, key: &str) -> String {
-    let ran = cluster.ran().await;
+    let ran = cluster.get_executions().await;
     let runs = ran.iter().filter(|(_, entry)| entry["key"] == key);
     let last = runs.max_by_key(|(_, entry)| entry["unix_ms"].as_u64());
     last.map(|(server, _)| server.clone()).expect("the request ran somewhere")
@@ -76,18 +87,18 @@
 }
 
 /// Comes back for the rest of an answer at another node, until a node knows it.
-pub async fn come_back(cluster: &Cluster, node: usize, call: &Call, so_far: &Answer) -> Answer {
-    let last = so_far.last_id.expect("some tokens came");
+pub async fn come_back(cluster: &Cluster, node: usize, call: &Call, so_far: &Response) -> Response {
+    let last = so_far.last_offset.expect("some tokens came");
     let call = call.clone().header("last-event-id", &last.to_string());
     let mut rest = send(cluster, node, &call).await;
     for _ in 0..20 {
-        if rest.is_whole {
+        if rest.is_complete {
             break;
         }
         runtime::sleep(Duration::from_millis(250)).await;
         rest = send(cluster, node, &call).await;
     }
-    assert!(rest.is_whole, "the rest comes: {rest:?}");
+    assert!(rest.is_complete, "the rest comes: {rest:?}");
     let body = format!("{}{}", so_far.body, rest.body);
-    Answer { body, ..rest }
+    Response { body, ..rest }
 }
--- a/crates/standin/tests/faults/whole_answer.rs
+++ b/crates/standin/tests/faults/whole_answer.rs
@@ -3,7 +3,7 @@
 use keeljunction::runtime;
 use serde_json::json;
 use standin::engine::answer_of;
-use standin::harness::{BRANCH, Call, DUTY, Plan};
+use standin::harness::{BRANCH_CREDENTIAL, Call, ClusterConfig, DUTY_CREDENTIAL};
 
 use super::support::{briefing, finish, on_cluster, open, send};
 
@@ -16,12 +16,12 @@
         ("cut off", json!({ "cut_after": 17 })),
         ("all at once", json!({ "double": true, "foreign": true, "cut_after": 23 })),
     ];
-    on_cluster(Plan { engines: 1, ..Plan::default() }, async |cluster| {
+    on_cluster(ClusterConfig { engines: 1, ..ClusterConfig::default() }, async |cluster| {
         for (name, fault) in faults {
-            cluster.server_fault("hidro-0", &fault).await;
+            cluster.set_server_fault("hidro-0", &fault).await;
             let prompt = format!("events that are {name}");
             let answer = send(&cluster, 0, &briefing(&prompt, 60)).await;
-            assert!(answer.is_whole, "{name}: {:?}", answer.problem);
+            assert!(answer.is_complete, "{name}: {:?}", answer.problem);
             assert_eq!(answer.body, answer_of(&prompt, 60), "{name}");
         }
     });
@@ -29,10 +29,11 @@
 
 #[test]
 fn many_callers_at_once_each_get_their_own() {
-    on_cluster(Plan { engines: 3, ..Plan::default() }, async |cluster| {
+    on_cluster(ClusterConfig { engines: 3, ..ClusterConfig::default() }, async |cluster| {
         let answers: Vec<_> = (0..60)
             .map(|number| {
-                let (client, to) = (cluster.client.clone(), cluster.nodes[number % 3].caller());
+                let (client, to) =
+                    (cluster.client.clone(), cluster.nodes[number % 3].get_client_address());
                 let prompt = format!("caller {number} asks");
                 runtime::spawn_with_handle(async move {
                     let answer = briefing(&prompt, 30).send(&client, to).await;
@@ -42,7 +43,7 @@
             .collect();
         for answer in answers {
             let (prompt, answer) = answer.await;
-            assert!(answer.is_whole, "{:?}", answer.problem);
+            assert!(answer.is_complete, "{:?}", answer.problem);
             assert_eq!(answer.body, answer_of(&prompt, 30));
         }
     });
@@ -50,7 +51,7 @@
 
 #[test]
 fn a_whole_document_holds_the_same_text_as_the_stream() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         let body = json!({ "model": "hidro", "prompt": "not streamed", "max_tokens": 12 });
         let call = briefing("", 0).body(body.to_string());
         let answer = send(&cluster, 1, &call).await;
@@ -62,43 +63,45 @@
 
 #[test]
 fn a_second_caller_with_the_same_key_gets_the_same_answer_at_any_node() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         let call = briefing("asked twice", 120).key("b-1");
         let first = open(&cluster, 0, &call, 5).await;
         let second = send(&cluster, 1, &call).await;
         let third = send(&cluster, 2, &call).await;
         let first = finish(first).await;
         for answer in [first, second, third] {
-            assert!(answer.is_whole, "{:?}", answer.problem);
+            assert!(answer.is_complete, "{:?}", answer.problem);
             assert_eq!(answer.body, answer_of("asked twice", 120));
         }
-        assert_eq!(cluster.ran_times("b-1").await, 1);
+        assert_eq!(cluster.count_executions("b-1").await, 1);
     });
 }
 
 #[test]
 fn a_key_belongs_to_its_account_and_to_one_body() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         let first = send(&cluster, 0, &briefing("the first body", 10).key("k")).await;
-        assert!(first.is_whole);
+        assert!(first.is_complete);
         for node in 0..3 {
             let other_body = send(&cluster, node, &briefing("another body", 10).key("k")).await;
             assert_eq!((other_body.status, other_body.outcome().as_str()), (422, "not_run"));
         }
-        let call = Call::model(BRANCH, "briefing", "hidro", "another body", 10).key("k");
+        let call =
+            Call::completion(BRANCH_CREDENTIAL, "briefing", "hidro", "another body", 10).key("k");
         let other_account = send(&cluster, 1, &call).await;
         assert_eq!(other_account.body, answer_of("another body", 10));
-        let again = Call::model(DUTY, "briefing", "hidro", "the first body", 10).key("k");
+        let again =
+            Call::completion(DUTY_CREDENTIAL, "briefing", "hidro", "the first body", 10).key("k");
         assert_eq!(send(&cluster, 2, &again).await.body, answer_of("the first body", 10));
     });
 }
 
 #[test]
 fn an_answer_that_nobody_knows_is_not_begun_in_the_middle() {
-    on_cluster(Plan::default(), async |cluster| {
+    on_cluster(ClusterConfig::default(), async |cluster| {
         let call = briefing("never asked before", 10).key("k").header("last-event-id", "4");
         let answer = send(&cluster, 0, &call).await;
         assert_eq!((answer.status, answer.outcome().as_str()), (409, "unknown"));
-        assert_eq!(cluster.ran_times("k").await, 0);
+        assert_eq!(cluster.count_executions("k").await, 0);
     });
 }
