--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -5,7 +5,7 @@
 
 use hyper::Method;
 
-use crate::engine::answer_of;
+use crate::engine::expected_output;
 use crate::harness::{BRANCH_CREDENTIAL, Call, Cluster, ClusterConfig, DUTY_CREDENTIAL};
 
 /// Runs the demo and prints a row for each step.
@@ -36,7 +36,7 @@
     for node in 0..cluster.nodes.len() {
         let prompt = format!("basin flood briefing for reach {node}");
         let answer = stream(cluster, node, &prompt, 40).await?;
-        expect(answer.body == answer_of(&prompt, 40), "the stream is the whole answer")?;
+        expect(answer.body == expected_output(&prompt, 40), "the stream is the whole answer")?;
         let first = answer.token_times.first().copied().unwrap_or_default();
         row(&format!("node {node} streams 40 tokens; first token"), first);
     }
@@ -124,7 +124,7 @@
     cluster.give_notice(&server, 1_000).await;
     while open.next().await {}
     let answer = open.response;
-    expect(answer.body == answer_of(prompt, 200), "the answer has no seam")?;
+    expect(answer.body == expected_output(prompt, 200), "the answer has no seam")?;
     row(&format!("{server} is reclaimed mid-answer; the rest comes after"), started.elapsed());
     let recomputed = cluster.sum_counter("tokens_recomputed").await;
     println!("{:<58} {recomputed:>9}", "  tokens recomputed for that");
@@ -142,7 +142,7 @@
     let started = Instant::now();
     cluster.nodes[2].process.terminate();
     while open.next().await {}
-    expect(open.response.body == answer_of(prompt, 60), "the planned stop cut nothing")?;
+    expect(open.response.body == expected_output(prompt, 60), "the planned stop cut nothing")?;
     let status = cluster.nodes[2].process.wait(Duration::from_secs(10)).await;
     expect(status.is_some_and(|status| status.success()), "the node stopped by itself")?;
     row("node 2 is stopped while it streams, and cuts nothing", started.elapsed());
--- a/crates/standin/src/engine/attempt.rs
+++ b/crates/standin/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and their tokens.
+//! Attempts at requests and their generated tokens.
 
 use std::sync::Mutex;
 
@@ -6,10 +6,10 @@
 use keeljunction::runtime::lock;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One attempt at a request, which goes on whether or not somebody reads it.
+/// An attempt at a request; generation continues even if no client reads the tokens.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The prompt.
+    /// The prompt of the request.
     pub prompt: String,
     state: Mutex<State>,
     changed: Event,
@@ -23,45 +23,47 @@
 }
 
 impl Attempt {
-    /// Starts with the tokens that are already there.
+    /// Creates an attempt that continues after `tokens`.
     pub fn new(prompt: &str, tokens: Vec<String>) -> Self {
         let state = State { tokens, ..State::default() };
         Self { prompt: prompt.to_owned(), state: Mutex::new(state), changed: Event::new() }
     }
 
-    /// Adds the next token.
-    pub fn push(&self) {
+    /// Generates the next token.
+    pub fn push_token(&self) {
         let mut state = lock(&self.state);
-        let next = token_of(&self.prompt, state.tokens.len() as u64);
+        let next = expected_token(&self.prompt, state.tokens.len() as u64);
         state.tokens.push(next);
         drop(state);
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes that all tokens are there.
+    /// Marks the output as complete.
     pub fn finish(&self) {
         lock(&self.state).is_done = true;
         self.changed.notify(usize::MAX);
     }
 
-    /// Ends it early.
+    /// Cancels the attempt.
     pub fn cancel(&self) {
         lock(&self.state).is_cancelled = true;
         self.changed.notify(usize::MAX);
     }
 
-    /// Returns `true` if it was ended early.
+    /// Returns `true` if the attempt was cancelled.
     pub fn is_cancelled(&self) -> bool {
         lock(&self.state).is_cancelled
     }
 
-    /// Returns the tokens so far.
+    /// Returns the tokens generated so far.
     pub fn get_tokens(&self) -> Vec<String> {
         lock(&self.state).tokens.clone()
     }
 
-    /// Waits for tokens from an offset on; `None` where it was ended early, and whether they are the last.
-    pub async fn beyond(&self, offset: usize) -> Option<(Vec<String>, bool)> {
+    /// Waits for tokens from `offset` on.
+    ///
+    /// Returns the tokens and whether the output is complete, or `None` if the attempt was cancelled.
+    pub async fn wait_for_tokens(&self, offset: usize) -> Option<(Vec<String>, bool)> {
         loop {
             let changed = self.changed.listen();
             {
@@ -79,12 +81,12 @@
     }
 }
 
-/// Computes the token at an offset of the answer to a prompt.
-pub fn token_of(prompt: &str, offset: u64) -> String {
+/// Returns the token at an offset of the output for a prompt.
+pub fn expected_token(prompt: &str, offset: u64) -> String {
     format!(" t{:05}", xxh3_64_with_seed(prompt.as_bytes(), offset) % 100_000)
 }
 
-/// Computes the whole answer to a prompt.
-pub fn answer_of(prompt: &str, tokens: u64) -> String {
-    (0..tokens).map(|offset| token_of(prompt, offset)).collect()
+/// Returns the complete output for a prompt.
+pub fn expected_output(prompt: &str, tokens: u64) -> String {
+    (0..tokens).map(|offset| expected_token(prompt, offset)).collect()
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,9 +1,9 @@
 //! A stand-in for a model engine.
 //!
-//! It reads prompts one after another at a rate, the most urgent first, then gives a token of
-//! each stream every few milliseconds. The answer follows from the prompt alone, so that a whole
-//! answer differs visibly from one with a seam. It caches prompt prefixes in limited memory, reports
-//! that late and with gaps, and reports its load with a lag.
+//! The engine prefills one prompt at a time at a fixed rate, in order of priority, and then emits a
+//! token of each stream at a fixed interval. The output is a function of the prompt alone, so tests
+//! can detect a missing, repeated or foreign token. The engine caches prompt prefixes up to a limit
+//! and publishes cache events, some of which can be lost. Its load reports are delayed.
 
 mod attempt;
 mod cache;
@@ -11,6 +11,6 @@
 mod prefill;
 mod serve;
 
-pub use attempt::{answer_of, token_of};
+pub use attempt::{expected_output, expected_token};
 pub use options::Options;
-pub use serve::{Fault, Ran, serve};
+pub use serve::{Execution, Fault, serve};
--- a/crates/standin/src/engine/options.rs
+++ b/crates/standin/src/engine/options.rs
@@ -1,36 +1,38 @@
-//! How an engine behaves.
+//! Configuration of an engine.
 
-/// How an engine behaves.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Prompt tokens that it reads in a second.
-    pub prefill_per_second: u64,
-    /// Time between two tokens of a stream, in milliseconds.
-    pub gap_ms: u64,
-    /// Streams at the same time.
+    /// Prompt tokens that the engine prefills per second.
+    pub prefill_tokens_per_second: u64,
+    /// Interval between two tokens of a stream, in milliseconds.
+    pub token_interval_ms: u64,
+    /// Number of concurrent streams.
     pub slots: usize,
-    /// Blocks that its cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Age of the load reports, in milliseconds.
+    /// Interval at which the load report is refreshed, in milliseconds.
+    ///
+    /// A report is up to this old when it is read.
     pub report_lag_ms: u64,
-    /// Every so many cache events one is left out; 0 for none.
-    pub event_gap: u64,
-    /// Tokens of KV cache that it sends away in a second; 0 where it cannot.
-    pub export_per_second: u64,
-    /// Whether it refuses orders with an old fence.
+    /// Drops one of every `event_loss_interval` cache events; 0 drops none.
+    pub event_loss_interval: u64,
+    /// KV cache tokens that the engine exports per second; 0 disables export.
+    pub export_tokens_per_second: u64,
+    /// Whether the engine rejects orders with an outdated fencing token.
     pub checks_fences: bool,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            prefill_per_second: 8_000,
-            gap_ms: 10,
+            prefill_tokens_per_second: 8_000,
+            token_interval_ms: 10,
             slots: 16,
             cache_blocks: 4_096,
             report_lag_ms: 200,
-            event_gap: 0,
-            export_per_second: 50_000,
+            event_loss_interval: 0,
+            export_tokens_per_second: 50_000,
             checks_fences: true,
         }
     }
--- a/crates/standin/src/engine/prefill.rs
+++ b/crates/standin/src/engine/prefill.rs
@@ -1,4 +1,4 @@
-//! Reads prompts one after another, the most urgent first.
+//! Prefills one prompt at a time, in order of priority.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use async_channel::Sender;
 use keeljunction::runtime::{self, lock};
 
-/// The one place where prompts are read.
+/// A priority queue for the prefill stage, which processes one prompt at a time.
 #[derive(Debug, Default)]
 pub struct Prefill {
     queue: Mutex<Queue>,
@@ -21,23 +21,23 @@
 }
 
 impl Prefill {
-    /// Reads so many tokens when the turn comes.
-    pub async fn read(&self, tokens: u64, per_second: u64, priority: u32) {
+    /// Waits for its turn and prefills `tokens` tokens.
+    pub async fn run(&self, tokens: u64, tokens_per_second: u64, priority: u32) {
         lock(&self.queue).queued_tokens += tokens;
-        if let Some(turn) = self.join(priority) {
+        if let Some(turn) = self.enqueue(priority) {
             let _ = turn.recv().await;
         }
-        let micros = tokens * 1_000_000 / per_second.max(1);
+        let micros = tokens * 1_000_000 / tokens_per_second.max(1);
         runtime::sleep(Duration::from_micros(micros)).await;
-        self.leave(tokens);
+        self.release(tokens);
     }
 
-    /// Returns how many tokens wait or are being read.
-    pub fn queued_tokens(&self) -> u64 {
+    /// Returns the number of tokens that are waiting or being prefilled.
+    pub fn get_queued_tokens(&self) -> u64 {
         lock(&self.queue).queued_tokens
     }
 
-    fn join(&self, priority: u32) -> Option<async_channel::Receiver<()>> {
+    fn enqueue(&self, priority: u32) -> Option<async_channel::Receiver<()>> {
         let mut queue = lock(&self.queue);
         if !queue.is_busy {
             queue.is_busy = true;
@@ -50,13 +50,13 @@
         Some(receiver)
     }
 
-    fn leave(&self, tokens: u64) {
+    fn release(&self, tokens: u64) {
         let mut queue = lock(&self.queue);
         queue.queued_tokens -= tokens;
         let next = (0..queue.waiting.len())
-            .min_by_key(|place| (queue.waiting[*place].0, queue.waiting[*place].1));
+            .min_by_key(|index| (queue.waiting[*index].0, queue.waiting[*index].1));
         match next {
-            Some(place) => drop(queue.waiting.remove(place).2.try_send(())),
+            Some(index) => drop(queue.waiting.remove(index).2.try_send(())),
             None => queue.is_busy = false,
         }
     }
--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -1,4 +1,4 @@
-//! The engine's calls, over HTTP.
+//! The HTTP interface of the engine.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,98 +23,100 @@
 use super::prefill::Prefill;
 use crate::reply;
 
-const DEFAULT_TOKENS: u64 = 16;
-const SLOT_LOOK: Duration = Duration::from_millis(1);
+const DEFAULT_MAX_TOKENS: u64 = 16;
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// One attempt that really ran here.
+/// An entry of the execution log: an attempt that this engine ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
-    /// The request key.
+pub struct Execution {
+    /// The idempotency key of the request.
     pub key: String,
-    /// The attempt.
+    /// The attempt id.
     pub attempt: String,
-    /// Tokens that were already there.
+    /// Number of output tokens that the request supplied to resume from.
     pub resumed_from: usize,
-    /// Tokens that had to be computed before the first new one.
+    /// Number of tokens computed before the first new one.
     pub prefill: u64,
-    /// When it arrived, in milliseconds since the Unix epoch.
+    /// Arrival time, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub unix_ms: u64,
 }
 
-/// A scripted fault of the streams that start from now on.
+/// A scripted fault that applies to streams started after it is set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Give every token twice.
+    /// Sends every token twice.
     pub double: bool,
-    /// Give tokens of another attempt in between.
+    /// Inserts tokens of another attempt.
     pub foreign: bool,
-    /// Swap every second pair of tokens.
+    /// Swaps every second pair of tokens.
     pub reorder: bool,
-    /// Cut the stream after so many tokens; 0 for never.
+    /// Resets the connection after this many tokens; 0 disables this.
     pub cut_after: usize,
-    /// Refuse new requests with status 503.
+    /// Rejects new requests with status 503.
     pub refuse: bool,
 }
 
 struct Engine {
     options: Options,
     attempts: Mutex<HashMap<String, Arc<Attempt>>>,
-    ran: Mutex<Vec<Ran>>,
+    executions: Mutex<Vec<Execution>>,
     orders: Mutex<Vec<Value>>,
-    fence: Mutex<u64>,
+    highest_fence: Mutex<u64>,
     cache: Mutex<Cache>,
     prefill: Prefill,
-    running: AtomicUsize,
-    requests: AtomicUsize,
-    report: Mutex<(Instant, Load)>,
+    used_slots: AtomicUsize,
+    in_flight: AtomicUsize,
+    load_report: Mutex<(Instant, Load)>,
     fault: Mutex<Fault>,
     http: http::Client,
 }
 
 /// Serves an engine until the process ends.
-pub async fn serve(port: u16, options: Options, started: impl FnOnce(SocketAddr)) {
-    let load = Load { requests: 0, queued_tokens: 0, age_ms: 0 };
+pub async fn serve(port: u16, options: Options, on_listening: impl FnOnce(SocketAddr)) {
+    let initial_load = Load { requests: 0, queued_tokens: 0, age_ms: 0 };
     let engine = Arc::new(Engine {
         attempts: Mutex::default(),
-        ran: Mutex::default(),
+        executions: Mutex::default(),
         orders: Mutex::default(),
-        fence: Mutex::default(),
-        cache: Mutex::new(Cache::new(options.cache_blocks, options.event_gap)),
+        highest_fence: Mutex::default(),
+        cache: Mutex::new(Cache::new(options.cache_blocks, options.event_loss_interval)),
         prefill: Prefill::default(),
-        running: AtomicUsize::new(0),
-        requests: AtomicUsize::new(0),
-        report: Mutex::new((Instant::now(), load)),
+        used_slots: AtomicUsize::new(0),
+        in_flight: AtomicUsize::new(0),
+        load_report: Mutex::new((Instant::now(), initial_load)),
         fault: Mutex::default(),
         http: http::Client::new(Duration::from_millis(500)),
         options,
     });
-    let reporting = engine.clone();
-    let lag = Duration::from_millis(reporting.options.report_lag_ms.max(1));
-    runtime::spawn_periodic(lag, move || {
-        let engine = reporting.clone();
-        async move { *lock(&engine.report) = (Instant::now(), engine.load()) }
+    let reporting_engine = engine.clone();
+    let report_interval = Duration::from_millis(reporting_engine.options.report_lag_ms.max(1));
+    runtime::spawn_periodic(report_interval, move || {
+        let engine = reporting_engine.clone();
+        async move { *lock(&engine.load_report) = (Instant::now(), engine.get_load()) }
     });
-    reply::serve(port, started, move |request| answer(engine.clone(), request)).await;
+    reply::serve(port, on_listening, move |request| handle_request(engine.clone(), request)).await;
 }
 
-async fn answer(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
-        (&Method::POST, "/v1/completions" | "/v1/chat/completions") => start(engine, request).await,
+        (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
+            start_completion(engine, request).await
+        }
         (&Method::GET, "/load") => {
-            let (at, load) = *lock(&engine.report);
-            reply::json(&Load { age_ms: at.elapsed().as_millis() as u64, ..load })
+            let (updated_at, load) = *lock(&engine.load_report);
+            reply::json(&Load { age_ms: updated_at.elapsed().as_millis() as u64, ..load })
         }
         (&Method::GET, "/cache/events") => {
             let from = reply::query(&request, "from").and_then(|n| n.parse().ok()).unwrap_or(0);
-            reply::json(&Events { events: lock(&engine.cache).events_from(from) })
+            reply::json(&Events { events: lock(&engine.cache).get_events_from(from) })
         }
-        (&Method::GET, "/ran") => reply::json(&*lock(&engine.ran)),
+        (&Method::GET, "/ran") => reply::json(&*lock(&engine.executions)),
         (&Method::GET, "/orders") => reply::json(&*lock(&engine.orders)),
-        (&Method::POST, "/orders") => order(&engine, request).await,
-        (&Method::POST, "/kv/import") => import(engine, request).await,
+        (&Method::POST, "/orders") => accept_order(&engine, request).await,
+        (&Method::POST, "/kv/import") => import_cache(engine, request).await,
         (&Method::POST, "/faults") => {
             *lock(&engine.fault) = reply::read_json(request.into_body()).await.unwrap_or_default();
             reply::json(&json!({}))
@@ -123,14 +125,14 @@
             match (method, path.strip_prefix("/attempts/"), path.strip_prefix("/kv/")) {
                 (&Method::GET, Some(id), _) => attach(&engine, id, &request),
                 (&Method::DELETE, Some(id), _) => cancel(&engine, id),
-                (&Method::GET, _, Some(id)) => export(&engine, id).await,
+                (&Method::GET, _, Some(id)) => export_cache(&engine, id).await,
                 _ => reply::status(StatusCode::NOT_FOUND),
             }
         }
     }
 }
 
-async fn start(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
+async fn start_completion(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     if lock(&engine.fault).refuse {
         return reply::status(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -141,16 +143,16 @@
     let Some(body) = reply::read_json::<Value>(request.into_body()).await else {
         return reply::status(StatusCode::BAD_REQUEST);
     };
-    let prompt = prompt_of(&body);
+    let prompt = get_prompt(&body);
     let tokens: Vec<String> =
         serde_json::from_value(body["resume"]["tokens"].clone()).unwrap_or_default();
-    let most = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS) as usize;
+    let max_tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS) as usize;
     let context = format!("{prompt}{}", tokens.concat());
     let blocks = route::hash_blocks(&context);
-    let held = lock(&engine.cache).held_tokens(&blocks);
-    let prefill = route::count_tokens(&context).saturating_sub(held);
+    let cached = lock(&engine.cache).count_cached_tokens(&blocks);
+    let prefill = route::count_tokens(&context).saturating_sub(cached);
     let unix_ms = runtime::unix_ms();
-    lock(&engine.ran).push(Ran {
+    lock(&engine.executions).push(Execution {
         key,
         attempt: id.clone(),
         resumed_from: tokens.len(),
@@ -160,17 +162,18 @@
     let from = tokens.len();
     let attempt = Arc::new(Attempt::new(&prompt, tokens));
     lock(&engine.attempts).insert(id.clone(), attempt.clone());
-    engine.requests.fetch_add(1, Ordering::SeqCst);
-    let (running, generated) = (engine.clone(), attempt.clone());
+    engine.in_flight.fetch_add(1, Ordering::SeqCst);
+    let (generating_engine, generated_attempt) = (engine.clone(), attempt.clone());
     runtime::spawn(async move {
-        generate(&running, &generated, priority, prefill, &blocks, most).await
+        generate(&generating_engine, &generated_attempt, priority, prefill, &blocks, max_tokens)
+            .await
     });
-    let mut response = stream(&engine, attempt, id, from);
+    let mut response = stream_tokens(&engine, attempt, id, from);
     response.headers_mut().insert(PREFILL, prefill.into());
     response
 }
 
-fn prompt_of(body: &Value) -> String {
+fn get_prompt(body: &Value) -> String {
     let mut prompt = body["prompt"].as_str().unwrap_or_default().to_owned();
     for message in body["messages"].as_array().into_iter().flatten() {
         prompt.push_str(message["content"].as_str().unwrap_or_default());
@@ -185,41 +188,46 @@
     priority: u32,
     prefill: u64,
     blocks: &[u64],
-    most: usize,
+    max_tokens: usize,
 ) {
-    while engine.running.load(Ordering::SeqCst) >= engine.options.slots {
-        runtime::sleep(SLOT_LOOK).await;
+    while engine.used_slots.load(Ordering::SeqCst) >= engine.options.slots {
+        runtime::sleep(SLOT_POLL_INTERVAL).await;
     }
-    engine.running.fetch_add(1, Ordering::SeqCst);
-    engine.prefill.read(prefill, engine.options.prefill_per_second, priority).await;
+    engine.used_slots.fetch_add(1, Ordering::SeqCst);
+    engine.prefill.run(prefill, engine.options.prefill_tokens_per_second, priority).await;
     lock(&engine.cache).store(blocks);
     let mut generated = attempt.get_tokens().len();
-    while generated < most && !attempt.is_cancelled() {
-        attempt.push();
+    while generated < max_tokens && !attempt.is_cancelled() {
+        attempt.push_token();
         generated += 1;
-        runtime::sleep(Duration::from_millis(engine.options.gap_ms)).await;
+        runtime::sleep(Duration::from_millis(engine.options.token_interval_ms)).await;
     }
     attempt.finish();
     let context = format!("{}{}", attempt.prompt, attempt.get_tokens().concat());
     lock(&engine.cache).store(&route::hash_blocks(&context));
-    engine.running.fetch_sub(1, Ordering::SeqCst);
-    engine.requests.fetch_sub(1, Ordering::SeqCst);
+    engine.used_slots.fetch_sub(1, Ordering::SeqCst);
+    engine.in_flight.fetch_sub(1, Ordering::SeqCst);
 }
 
-/// Writes an attempt's tokens from an offset on, with the faults that are set.
-fn stream(engine: &Engine, attempt: Arc<Attempt>, id: String, from: usize) -> Response<Body> {
+/// Streams the tokens of an attempt from an offset on, applying the scripted faults.
+fn stream_tokens(
+    engine: &Engine,
+    attempt: Arc<Attempt>,
+    id: String,
+    from: usize,
+) -> Response<Body> {
     let (sender, receiver) = async_channel::bounded(16);
     let fault = lock(&engine.fault).clone();
     runtime::spawn(async move {
         let mut writer = Writer { sender, id, fault, offset: from, held_back: None, written: 0 };
-        while let Some((tokens, is_last)) = attempt.beyond(writer.offset).await {
+        while let Some((tokens, is_last)) = attempt.wait_for_tokens(writer.offset).await {
             for token in tokens {
-                if writer.token(&token).await.is_none() {
+                if writer.write_token(&token).await.is_none() {
                     return;
                 }
             }
             if is_last {
-                writer.last().await;
+                writer.write_done().await;
                 return;
             }
         }
@@ -244,11 +252,11 @@
 }
 
 impl Writer {
-    async fn token(&mut self, text: &str) -> Option<()> {
-        let event = event(&self.id, self.offset, text);
+    async fn write_token(&mut self, text: &str) -> Option<()> {
+        let event = format_event(&self.id, self.offset, text);
         self.offset += 1;
         if self.fault.foreign {
-            self.write(super::serve::event("another", self.offset - 1, " foreign")).await?;
+            self.write(super::serve::format_event("another", self.offset - 1, " foreign")).await?;
         }
         if self.fault.reorder && self.offset % 4 == 1 && self.held_back.is_none() {
             self.held_back = Some(event);
@@ -263,14 +271,14 @@
         }
         self.written += 1;
         if self.fault.cut_after > 0 && self.written >= self.fault.cut_after {
-            let cut = Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset));
-            let _ = self.sender.send(cut).await;
+            let reset = Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset));
+            let _ = self.sender.send(reset).await;
             return None;
         }
         Some(())
     }
 
-    async fn last(&mut self) {
+    async fn write_done(&mut self) {
         if let Some(earlier) = self.held_back.take() {
             let _ = self.write(earlier).await;
         }
@@ -282,7 +290,7 @@
     }
 }
 
-fn event(id: &str, offset: usize, text: &str) -> String {
+fn format_event(id: &str, offset: usize, text: &str) -> String {
     let data = json!({ "choices": [{ "index": 0, "text": text }] });
     format!("id: {id}/{offset}\ndata: {data}\n\n")
 }
@@ -291,7 +299,7 @@
     let from = reply::query(request, "from").and_then(|n| n.parse().ok()).unwrap_or(0);
     let attempt = lock(&engine.attempts).get(id).cloned();
     match attempt {
-        Some(attempt) => stream(engine, attempt, id.to_owned(), from),
+        Some(attempt) => stream_tokens(engine, attempt, id.to_owned(), from),
         None => reply::status(StatusCode::NOT_FOUND),
     }
 }
@@ -303,19 +311,20 @@
     reply::json(&json!({}))
 }
 
-/// Gives an attempt's KV cache away, as its blocks, after the time that it takes to send.
-async fn export(engine: &Engine, id: &str) -> Response<Body> {
+/// Returns the KV cache blocks of an attempt, after the time that the transfer takes.
+async fn export_cache(engine: &Engine, id: &str) -> Response<Body> {
     let attempt = lock(&engine.attempts).get(id).cloned();
-    let Some(attempt) = attempt.filter(|_| engine.options.export_per_second > 0) else {
+    let Some(attempt) = attempt.filter(|_| engine.options.export_tokens_per_second > 0) else {
         return reply::status(StatusCode::NOT_FOUND);
     };
     let context = format!("{}{}", attempt.prompt, attempt.get_tokens().concat());
-    let micros = route::count_tokens(&context) * 1_000_000 / engine.options.export_per_second;
+    let micros =
+        route::count_tokens(&context) * 1_000_000 / engine.options.export_tokens_per_second;
     runtime::sleep(Duration::from_micros(micros)).await;
     reply::json(&json!({ "blocks": route::hash_blocks(&context) }))
 }
 
-async fn import(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
+async fn import_cache(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let Some(order) = reply::read_json::<Value>(request.into_body()).await else {
         return reply::status(StatusCode::BAD_REQUEST);
     };
@@ -327,9 +336,9 @@
     let Ok(response) = engine.http.send(from, request).await else {
         return reply::status(StatusCode::BAD_GATEWAY);
     };
-    let content = http::read_body(response.into_body(), 16 << 20).await.unwrap_or_default();
-    let sent: Value = serde_json::from_slice(&content).unwrap_or_default();
-    match serde_json::from_value::<Vec<u64>>(sent["blocks"].clone()) {
+    let body = http::read_body(response.into_body(), 16 << 20).await.unwrap_or_default();
+    let exported: Value = serde_json::from_slice(&body).unwrap_or_default();
+    match serde_json::from_value::<Vec<u64>>(exported["blocks"].clone()) {
         Ok(blocks) => {
             lock(&engine.cache).store(&blocks);
             reply::json(&json!({}))
@@ -338,26 +347,26 @@
     }
 }
 
-/// Takes an order, unless its fence is older than one that was seen.
-async fn order(engine: &Engine, request: Request<Incoming>) -> Response<Body> {
+/// Accepts an order unless its fencing token is lower than the highest one seen.
+async fn accept_order(engine: &Engine, request: Request<Incoming>) -> Response<Body> {
     let Some(order) = reply::read_json::<Value>(request.into_body()).await else {
         return reply::status(StatusCode::BAD_REQUEST);
     };
-    let number = order["fence"].as_u64().unwrap_or(0);
-    let mut fence = lock(&engine.fence);
-    if engine.options.checks_fences && number < *fence {
+    let token = order["fence"].as_u64().unwrap_or(0);
+    let mut highest_fence = lock(&engine.highest_fence);
+    if engine.options.checks_fences && token < *highest_fence {
         return reply::status(StatusCode::CONFLICT);
     }
-    *fence = number.max(*fence);
+    *highest_fence = token.max(*highest_fence);
     lock(&engine.orders).push(order);
     reply::json(&json!({}))
 }
 
 impl Engine {
-    fn load(&self) -> Load {
+    fn get_load(&self) -> Load {
         Load {
-            requests: self.requests.load(Ordering::SeqCst) as u32,
-            queued_tokens: self.prefill.queued_tokens(),
+            requests: self.in_flight.load(Ordering::SeqCst) as u32,
+            queued_tokens: self.prefill.get_queued_tokens(),
             age_ms: 0,
         }
     }
--- a/crates/standin/src/harness/cluster.rs
+++ b/crates/standin/src/harness/cluster.rs
@@ -48,7 +48,7 @@
     /// Concurrent requests per engine.
     pub slots: u32,
     /// KV cache tokens that an engine exports per second; 0 disables export.
-    pub export_per_second: u64,
+    pub export_tokens_per_second: u64,
 }
 
 impl Default for ClusterConfig {
@@ -63,7 +63,7 @@
             uses_seed_address: false,
             extra_yaml: Default::default(),
             slots: 16,
-            export_per_second: 50_000,
+            export_tokens_per_second: 50_000,
         }
     }
 }
@@ -143,7 +143,7 @@
     ///
     /// Returns an I/O error if the process cannot be started.
     pub async fn start_engine(&mut self, name: &str, number: usize) -> io::Result<()> {
-        let export = self.config.export_per_second.to_string();
+        let export = self.config.export_tokens_per_second.to_string();
         let slots = self.config.slots.to_string();
         let mut arguments = to_strings(&["engine", "--export", &export, "--slots", &slots]);
         arguments.extend(self.config.engine_arguments.iter().cloned());
--- a/crates/standin/src/harness/documents.rs
+++ b/crates/standin/src/harness/documents.rs
@@ -29,7 +29,7 @@
 /// Generates a bundle version.
 pub(super) fn bundle(config: &ClusterConfig, version: &str) -> String {
     let (service_extra, end_extra) = &config.extra_yaml;
-    let (slots, export) = (config.slots, config.export_per_second);
+    let (slots, export) = (config.slots, config.export_tokens_per_second);
     let (duty, branch) =
         (bundle::digest(DUTY_CREDENTIAL.as_bytes()), bundle::digest(BRANCH_CREDENTIAL.as_bytes()));
     format!(
--- a/crates/standin/src/load/run.rs
+++ b/crates/standin/src/load/run.rs
@@ -10,7 +10,7 @@
 use keeljunction::runtime::{self, lock};
 
 use super::summary::Summary;
-use crate::engine::answer_of;
+use crate::engine::expected_output;
 use crate::harness::{Call, Response};
 
 /// One kind of call, and how often it is made.
@@ -126,7 +126,7 @@
     }
     summary.done += 1;
     summary.tokens += answer.token_times.len() as u64;
-    if answer.body != answer_of(prompt, tokens) {
+    if answer.body != expected_output(prompt, tokens) {
         summary.wrong += 1;
     }
     let first = answer.token_times.first().copied().unwrap_or(answer.head_time) + late;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -174,13 +174,13 @@
 
 fn options(matches: &ArgMatches) -> Options {
     Options {
-        prefill_per_second: number(matches, "prefill"),
-        gap_ms: number(matches, "gap-ms"),
+        prefill_tokens_per_second: number(matches, "prefill"),
+        token_interval_ms: number(matches, "gap-ms"),
         slots: number(matches, "slots") as usize,
         cache_blocks: number(matches, "cache-blocks") as usize,
         report_lag_ms: number(matches, "report-lag-ms"),
-        event_gap: number(matches, "event-gap"),
-        export_per_second: number(matches, "export"),
+        event_loss_interval: number(matches, "event-gap"),
+        export_tokens_per_second: number(matches, "export"),
         checks_fences: !matches.get_flag("unfenced"),
     }
 }
--- a/crates/standin/tests/faults/at_most_once.rs
+++ b/crates/standin/tests/faults/at_most_once.rs
@@ -161,7 +161,7 @@
         cluster.give_notice(&server, 1_000).await;
         let answer = super::support::finish(stream).await;
         assert!(answer.is_complete, "{:?}", answer.problem);
-        assert_eq!(answer.body, standin::engine::answer_of("an alert that moves", 250));
+        assert_eq!(answer.body, standin::engine::expected_output("an alert that moves", 250));
         let ran: Vec<_> = cluster
             .get_executions()
             .await
--- a/crates/standin/tests/faults/planned_stop.rs
+++ b/crates/standin/tests/faults/planned_stop.rs
@@ -9,7 +9,7 @@
 use hyper::Request;
 use keeljunction::http::{Body, Client};
 use keeljunction::runtime::{self, lock};
-use standin::engine::answer_of;
+use standin::engine::expected_output;
 use standin::harness::{Cluster, ClusterConfig};
 
 use super::support::{briefing, finish, on_cluster, open};
@@ -27,7 +27,7 @@
         for (prompt, answer) in reading {
             let answer = answer.await;
             assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, answer_of(&prompt, 150));
+            assert_eq!(answer.body, expected_output(&prompt, 150));
         }
         let status = cluster.nodes[0].process.wait(Duration::from_secs(15)).await;
         assert!(status.is_some_and(|status| status.success()));
@@ -74,7 +74,7 @@
         let prompt = format!("caller {number} call {done}");
         let answer = briefing(&prompt, 30).send(&client, to).await.expect("no connection is cut");
         assert!(answer.is_complete, "not one is refused or cut off: {answer:?}");
-        assert_eq!(answer.body, answer_of(&prompt, 30));
+        assert_eq!(answer.body, expected_output(&prompt, 30));
         done += 1;
     }
     done
--- a/crates/standin/tests/faults/reclaim.rs
+++ b/crates/standin/tests/faults/reclaim.rs
@@ -4,7 +4,7 @@
 
 use keeljunction::runtime;
 use serde_json::json;
-use standin::engine::answer_of;
+use standin::engine::expected_output;
 use standin::harness::ClusterConfig;
 
 use super::support::{briefing, come_back, eventually, finish, on_cluster, open, server_of};
@@ -13,9 +13,9 @@
 
 /// Reclaims the server of a stream with a short notice, kills it when the notice is over, and
 /// returns the tokens that were recomputed.
-fn reclaim_server(export_per_second: u64, notice_ms: u64) -> u64 {
+fn reclaim_server(export_tokens_per_second: u64, notice_ms: u64) -> u64 {
     let mut recomputed = 0;
-    let plan = ClusterConfig { engines: 3, export_per_second, ..ClusterConfig::default() };
+    let plan = ClusterConfig { engines: 3, export_tokens_per_second, ..ClusterConfig::default() };
     on_cluster(plan, async |mut cluster| {
         let prompt = "flood briefing ".repeat(200);
         let call = briefing(&prompt, TOKENS).key("b-1");
@@ -27,7 +27,7 @@
         cluster.servers.get_mut(&server).expect("it runs").kill();
         let answer = reading.await;
         assert!(answer.is_complete, "{:?}", answer.problem);
-        assert_eq!(answer.body, answer_of(&prompt, TOKENS));
+        assert_eq!(answer.body, expected_output(&prompt, TOKENS));
         recomputed = cluster.sum_counter("tokens_recomputed").await;
     });
     recomputed
@@ -67,7 +67,7 @@
         for (answer, prompt) in reading.into_iter().zip(&prompts) {
             let answer = answer.await;
             assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, answer_of(prompt, TOKENS));
+            assert_eq!(answer.body, expected_output(prompt, TOKENS));
         }
     });
 }
@@ -84,7 +84,7 @@
         let so_far = reading.await;
         assert!(!so_far.is_complete, "the notice was shorter than the answer");
         let whole = come_back(&cluster, 1, &call, &so_far).await;
-        assert_eq!(whole.body, answer_of("the node itself is reclaimed", 400));
+        assert_eq!(whole.body, expected_output("the node itself is reclaimed", 400));
     });
 }
 
@@ -99,7 +99,7 @@
         let so_far = finish(stream).await;
         assert!(!so_far.is_complete);
         let whole = come_back(&cluster, 2, &call, &so_far).await;
-        assert_eq!(whole.body, answer_of("killed while draining", 300));
+        assert_eq!(whole.body, expected_output("killed while draining", 300));
     });
 }
 
@@ -116,7 +116,7 @@
         })
         .await;
         let whole = come_back(&cluster, 0, &call, &so_far).await;
-        assert_eq!(whole.body, answer_of("nobody comes back yet", 60));
+        assert_eq!(whole.body, expected_output("nobody comes back yet", 60));
     });
 }
 
@@ -147,7 +147,7 @@
                 assert_eq!(number % 4, 0, "only callers of the reclaimed node are cut");
                 answer = come_back(&cluster, 1 + number % 3, &calls[number], &answer).await;
             }
-            assert_eq!(answer.body, answer_of(&prompts[number], 300));
+            assert_eq!(answer.body, expected_output(&prompts[number], 300));
         }
     });
 }
@@ -166,7 +166,7 @@
             cluster.servers.get_mut(&server).expect("it runs").kill();
             let answer = finish(stream).await;
             assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, answer_of("no notice at all", TOKENS));
+            assert_eq!(answer.body, expected_output("no notice at all", TOKENS));
         },
     );
 }
--- a/crates/standin/tests/faults/retries.rs
+++ b/crates/standin/tests/faults/retries.rs
@@ -2,7 +2,7 @@
 
 use keeljunction::runtime;
 use serde_json::json;
-use standin::engine::answer_of;
+use standin::engine::expected_output;
 use standin::harness::ClusterConfig;
 
 use super::support::{briefing, on_cluster, send};
@@ -67,7 +67,7 @@
                 again = send(&cluster, number % 2, &call).await;
             }
             assert!(again.is_complete, "asked again when it was told to, it is served: {again:?}");
-            assert_eq!(again.body, answer_of(&prompt, 200));
+            assert_eq!(again.body, expected_output(&prompt, 200));
         }
     });
 }
--- a/crates/standin/tests/faults/whole_answer.rs
+++ b/crates/standin/tests/faults/whole_answer.rs
@@ -2,7 +2,7 @@
 
 use keeljunction::runtime;
 use serde_json::json;
-use standin::engine::answer_of;
+use standin::engine::expected_output;
 use standin::harness::{BRANCH_CREDENTIAL, Call, ClusterConfig, DUTY_CREDENTIAL};
 
 use super::support::{briefing, finish, on_cluster, open, send};
@@ -22,7 +22,7 @@
             let prompt = format!("events that are {name}");
             let answer = send(&cluster, 0, &briefing(&prompt, 60)).await;
             assert!(answer.is_complete, "{name}: {:?}", answer.problem);
-            assert_eq!(answer.body, answer_of(&prompt, 60), "{name}");
+            assert_eq!(answer.body, expected_output(&prompt, 60), "{name}");
         }
     });
 }
@@ -44,7 +44,7 @@
         for answer in answers {
             let (prompt, answer) = answer.await;
             assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, answer_of(&prompt, 30));
+            assert_eq!(answer.body, expected_output(&prompt, 30));
         }
     });
 }
@@ -56,7 +56,7 @@
         let call = briefing("", 0).body(body.to_string());
         let answer = send(&cluster, 1, &call).await;
         assert_eq!(answer.status, 200);
-        assert_eq!(answer.json()["choices"][0]["text"], answer_of("not streamed", 12));
+        assert_eq!(answer.json()["choices"][0]["text"], expected_output("not streamed", 12));
         assert_eq!(answer.json()["usage"]["completion_tokens"], 12);
     });
 }
@@ -71,7 +71,7 @@
         let first = finish(first).await;
         for answer in [first, second, third] {
             assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, answer_of("asked twice", 120));
+            assert_eq!(answer.body, expected_output("asked twice", 120));
         }
         assert_eq!(cluster.count_executions("b-1").await, 1);
     });
@@ -89,10 +89,10 @@
         let call =
             Call::completion(BRANCH_CREDENTIAL, "briefing", "hidro", "another body", 10).key("k");
         let other_account = send(&cluster, 1, &call).await;
-        assert_eq!(other_account.body, answer_of("another body", 10));
+        assert_eq!(other_account.body, expected_output("another body", 10));
         let again =
             Call::completion(DUTY_CREDENTIAL, "briefing", "hidro", "the first body", 10).key("k");
-        assert_eq!(send(&cluster, 2, &again).await.body, answer_of("the first body", 10));
+        assert_eq!(send(&cluster, 2, &again).await.body, expected_output("the first body", 10));
     });
 }
 
