--- a/crates/standin/src/engine/serve.rs
+++ b/crates/standin/src/engine/serve.rs
@@ -110,7 +110,9 @@
             reply::json(&Load { age_ms: updated_at.elapsed().as_millis() as u64, ..load })
         }
         (&Method::GET, "/cache/events") => {
-            let from = reply::query(&request, "from").and_then(|n| n.parse().ok()).unwrap_or(0);
+            let from = reply::get_query_parameter(&request, "from")
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0);
             reply::json(&Events { events: lock(&engine.cache).get_events_from(from) })
         }
         (&Method::GET, "/ran") => reply::json(&*lock(&engine.executions)),
@@ -296,7 +298,8 @@
 }
 
 fn attach(engine: &Engine, id: &str, request: &Request<Incoming>) -> Response<Body> {
-    let from = reply::query(request, "from").and_then(|n| n.parse().ok()).unwrap_or(0);
+    let from =
+        reply::get_query_parameter(request, "from").and_then(|n| n.parse().ok()).unwrap_or(0);
     let attempt = lock(&engine.attempts).get(id).cloned();
     match attempt {
         Some(attempt) => stream_tokens(engine, attempt, id.to_owned(), from),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,15 +1,15 @@
-//! Stand-ins for the systems that keeljunction meets, and a load tool.
+//! Stand-ins for the systems around keeljunction, and a load generator.
 //!
-//! Each is small, and a process of its own: no cluster simulator.
+//! Each stand-in is a small separate process, not a cluster simulator.
 //!
 //! | module | stands in for |
 //! |---|---|
-//! | [`platform`] | the table service, object store, VM list, notices and cloud API |
-//! | [`engine`] | a model engine that batches, caches prefixes and reports with a lag |
+//! | [`platform`] | the table service, object store, VM list, reclaim notices and cloud API |
+//! | [`engine`] | a model engine that batches requests, caches prefixes and reports its load with a delay |
 //! | [`service`] | a plain service |
-//! | [`load`] | callers |
-//! | [`measure`] | whoever measures, on real processes |
-//! | [`harness`] | whoever starts processes, for tests, the demo and measurements |
+//! | [`load`] | clients |
+//! | [`measure`] | benchmarks on real processes |
+//! | [`harness`] | a process manager for tests, the demo and measurements |
 
 pub mod demo;
 pub mod engine;
--- a/crates/standin/src/platform/fault.rs
+++ b/crates/standin/src/platform/fault.rs
@@ -1,50 +1,50 @@
-//! Scripted faults.
+//! Scripted faults of the platform.
 
 use serde::{Deserialize, Serialize};
 
-/// What a fault is of.
+/// The calls that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// The table service, for reads and writes.
+    /// Reads, scans and transactions of the table service.
     Table,
-    /// The table service's transactions alone.
+    /// Only transactions of the table service.
     Commit,
     /// The object store.
     Store,
-    /// The VM list and the notices.
+    /// The VM list and the reclaim notices.
     Vms,
-    /// The cloud API.
+    /// VM starts in the cloud API.
     Cloud,
 }
 
-/// How a call goes wrong.
+/// How an affected call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It is refused and has no effect.
+    /// The call is rejected and has no effect.
     Down,
-    /// It takes longer.
+    /// The call is delayed.
     Slow,
-    /// It has its effect, and the answer is lost.
+    /// The call takes effect, but its response is lost.
     Lost,
-    /// The answer is lost at once, and the effect comes later.
+    /// The response is lost immediately, and the call takes effect after a delay.
     Late,
-    /// All is well again.
+    /// Clears the fault.
     None,
 }
 
-/// A fault, for some calls or until it is taken away.
+/// A fault that lasts for a number of calls or until it is cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What it is of.
+    /// The affected calls.
     pub target: Target,
-    /// How calls go wrong.
+    /// How the affected calls fail.
     pub mode: Mode,
-    /// For slow and late ones, how long, in milliseconds.
+    /// The delay of slow and late calls, in milliseconds.
     #[serde(default)]
     pub ms: u64,
-    /// How many calls go wrong; all where it is left out.
+    /// The number of calls to affect; `None` affects all calls.
     #[serde(default)]
     pub count: Option<u32>,
 }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform.
+//! A stand-in for the platform: table service, object store, VM list, notices and cloud API.
 
 mod fault;
 mod serve;
--- a/crates/standin/src/platform/serve.rs
+++ b/crates/standin/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! The platform's calls, over HTTP.
+//! The HTTP interface of the platform.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,25 +15,25 @@
 use super::state::State;
 use crate::reply;
 
-/// A VM that leaves, or is gone.
+/// The body of a request that marks a VM as leaving or removes it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Departure {
-    /// Its name.
+    /// The name of the VM.
     pub vm: String,
 }
 
-type Shared = Arc<Mutex<State>>;
+type SharedState = Arc<Mutex<State>>;
 
 /// Serves the platform until the process ends.
 pub async fn serve(port: u16, lag: Duration) {
-    let state: Shared = Arc::new(Mutex::new(State::new(lag)));
-    reply::serve(port, |_| {}, move |request| answer(state.clone(), request)).await;
+    let state: SharedState = Arc::new(Mutex::new(State::new(lag)));
+    reply::serve(port, |_| {}, move |request| handle_request(state.clone(), request)).await;
 }
 
-async fn answer(state: Shared, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(state: SharedState, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     let is_get = request.method() == Method::GET;
-    lock(&state).calls += 1;
+    lock(&state).call_count += 1;
     let targets: &[Target] = match path.as_str() {
         "/table/commit" => &[Target::Commit, Target::Table],
         path if path.starts_with("/table/") => &[Target::Table],
@@ -42,104 +42,108 @@
         "/cloud/start" => &[Target::Cloud],
         _ => &[],
     };
-    let fault = lock(&state).take_fault(targets);
+    let fault = lock(&state).next_fault(targets);
     let (parts, body) = request.into_parts();
-    let content = reply::read(body).await;
-    let effect = move || act(&state, &parts.method, &path, &content);
+    let content = reply::read_body(body).await;
+    let effect = move || execute(&state, &parts.method, &path, &content);
     match fault {
         None => effect(),
-        Some(fault) => go_wrong(fault, effect).await,
+        Some(fault) => apply_fault(fault, effect).await,
     }
 }
 
-async fn go_wrong(
+async fn apply_fault(
     fault: Fault,
     effect: impl FnOnce() -> Response<Body> + Send + 'static,
 ) -> Response<Body> {
-    let time = Duration::from_millis(fault.ms);
+    let delay = Duration::from_millis(fault.ms);
     match fault.mode {
         Mode::None => effect(),
         Mode::Down => reply::status(StatusCode::SERVICE_UNAVAILABLE),
         Mode::Slow => {
-            runtime::sleep(time).await;
+            runtime::sleep(delay).await;
             effect()
         }
         Mode::Lost => {
             effect();
-            reply::cut()
+            reply::broken_body()
         }
         Mode::Late => {
             runtime::spawn(async move {
-                runtime::sleep(time).await;
+                runtime::sleep(delay).await;
                 effect();
             });
-            reply::cut()
+            reply::broken_body()
         }
     }
 }
 
-fn act(state: &Shared, method: &Method, path: &str, content: &[u8]) -> Response<Body> {
+fn execute(state: &SharedState, method: &Method, path: &str, content: &[u8]) -> Response<Body> {
     let mut state = lock(state);
     match (method.as_str(), path) {
-        ("POST", "/table/read") => with(content, |key: Key| reply::json(&state.read(&key.keys))),
+        ("POST", "/table/read") => parse(content, |key: Key| reply::json(&state.read(&key.keys))),
         ("POST", "/table/scan") => {
-            with(content, |scan: Scan| reply::json(&state.scan(&scan.prefix)))
+            parse(content, |scan: Scan| reply::json(&state.scan(&scan.prefix)))
         }
-        ("POST", "/table/commit") => with(content, |t: Transaction| reply::json(&state.commit(&t))),
-        ("GET", "/vms") => reply::json(&state.list()),
-        ("GET", "/notices") => reply::json(&state.notices()),
-        ("POST", "/vms") => with(content, |vm: Vm| done(|| state.set_vm(vm))),
+        ("POST", "/table/commit") => {
+            parse(content, |t: Transaction| reply::json(&state.commit(&t)))
+        }
+        ("GET", "/vms") => reply::json(&state.list_vms()),
+        ("GET", "/notices") => reply::json(&state.get_notices()),
+        ("POST", "/vms") => parse(content, |vm: Vm| apply(|| state.set_vm(vm))),
         ("POST", "/vms/leave") => {
-            with(content, |leaving: Departure| leave(&mut state, &leaving.vm))
+            parse(content, |departure: Departure| mark_leaving(&mut state, &departure.vm))
         }
         ("POST", "/vms/gone") => {
-            with(content, |gone: Departure| done(|| state.remove_vm(&gone.vm)))
+            parse(content, |departure: Departure| apply(|| state.remove_vm(&departure.vm)))
+        }
+        ("POST", "/notices") => {
+            parse(content, |notice: Notice| apply(|| state.give_notice(&notice)))
         }
-        ("POST", "/notices") => with(content, |notice: Notice| done(|| state.give_notice(&notice))),
-        ("POST", "/faults") => with(content, |fault: Fault| done(|| state.set_fault(fault))),
-        ("POST", "/cloud/start") => with(content, |start: Start| cloud_start(&mut state, start)),
-        ("GET", "/cloud/started") => reply::json(&state.started),
-        ("GET", "/calls") => reply::json(&json!({ "calls": state.calls })),
+        ("POST", "/faults") => parse(content, |fault: Fault| apply(|| state.set_fault(fault))),
+        ("POST", "/cloud/start") => parse(content, |start: Start| start_vm(&mut state, start)),
+        ("GET", "/cloud/started") => reply::json(&state.started_vms),
+        ("GET", "/calls") => reply::json(&json!({ "calls": state.call_count })),
         (_, path) => match path.strip_prefix("/objects/") {
-            Some(key) => object(&mut state, method, key, content),
+            Some(key) => access_object(&mut state, method, key, content),
             None => reply::status(StatusCode::NOT_FOUND),
         },
     }
 }
 
-fn with<T: for<'de> Deserialize<'de>>(
+fn parse<T: for<'de> Deserialize<'de>>(
     content: &[u8],
-    act: impl FnOnce(T) -> Response<Body>,
+    handle: impl FnOnce(T) -> Response<Body>,
 ) -> Response<Body> {
     match serde_json::from_slice(content) {
-        Ok(message) => act(message),
+        Ok(message) => handle(message),
         Err(_) => reply::status(StatusCode::BAD_REQUEST),
     }
 }
 
-fn done(act: impl FnOnce()) -> Response<Body> {
-    act();
+fn apply(change: impl FnOnce()) -> Response<Body> {
+    change();
     reply::json(&json!({}))
 }
 
-fn leave(state: &mut State, vm: &str) -> Response<Body> {
-    match state.list().into_iter().find(|known| known.name == vm) {
-        Some(known) => done(|| state.set_vm(Vm { state: VmState::Leaving, ..known })),
+fn mark_leaving(state: &mut State, vm: &str) -> Response<Body> {
+    match state.list_vms().into_iter().find(|known| known.name == vm) {
+        Some(known) => apply(|| state.set_vm(Vm { state: VmState::Leaving, ..known })),
         None => reply::status(StatusCode::NOT_FOUND),
     }
 }
 
-fn cloud_start(state: &mut State, start: Start) -> Response<Body> {
-    let number = state.started.len();
-    let fresh = || (format!("{}-{number}", start.service), start.clone());
-    let (vm, _) = state.started.entry(start.token.clone()).or_insert_with(fresh);
+fn start_vm(state: &mut State, start: Start) -> Response<Body> {
+    let number = state.started_vms.len();
+    let new_vm = || (format!("{}-{number}", start.service), start.clone());
+    let (vm, _) = state.started_vms.entry(start.token.clone()).or_insert_with(new_vm);
     reply::json(&Started { vm: vm.clone() })
 }
 
-fn object(state: &mut State, method: &Method, key: &str, content: &[u8]) -> Response<Body> {
+fn access_object(state: &mut State, method: &Method, key: &str, content: &[u8]) -> Response<Body> {
     if *method == Method::PUT {
         state.objects.insert(key.to_owned(), content.to_vec().into());
-        return done(|| {});
+        return apply(|| {});
     }
     match state.objects.get(key) {
         Some(content) => Response::new(Body::from(content.clone())),
--- a/crates/standin/src/platform/state.rs
+++ b/crates/standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps.
+//! The state of the platform.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,22 +8,22 @@
 
 use super::fault::{Fault, Mode, Target};
 
-/// What the platform keeps.
+/// The state of the platform.
 #[derive(Debug)]
 pub struct State {
     rows: BTreeMap<String, (u64, String)>,
     version: u64,
-    /// The objects by key.
+    /// Objects in the store, by key.
     pub objects: BTreeMap<String, Bytes>,
     vms: BTreeMap<String, Vm>,
     changes: Vec<(Instant, Change)>,
     notices: BTreeMap<String, Instant>,
     faults: Vec<Fault>,
     /// VMs started in the cloud, by client token.
-    pub started: BTreeMap<String, (String, Start)>,
-    lag: Duration,
-    /// Calls so far.
-    pub calls: u64,
+    pub started_vms: BTreeMap<String, (String, Start)>,
+    vm_lag: Duration,
+    /// Number of HTTP calls received.
+    pub call_count: u64,
 }
 
 #[derive(Debug)]
@@ -33,8 +33,8 @@
 }
 
 impl State {
-    /// Makes an empty platform whose VM list lags.
-    pub fn new(lag: Duration) -> Self {
+    /// Creates an empty platform whose VM list shows changes after `vm_lag`.
+    pub fn new(vm_lag: Duration) -> Self {
         Self {
             rows: BTreeMap::new(),
             version: 0,
@@ -43,33 +43,34 @@
             changes: Vec::new(),
             notices: BTreeMap::new(),
             faults: Vec::new(),
-            started: BTreeMap::new(),
-            lag,
-            calls: 0,
+            started_vms: BTreeMap::new(),
+            vm_lag,
+            call_count: 0,
         }
     }
 
-    /// Reads rows.
+    /// Returns the rows that exist for the given keys.
     pub fn read(&self, keys: &[String]) -> Vec<Row> {
         keys.iter().filter_map(|key| Some(row(key, self.rows.get(key)?))).collect()
     }
 
-    /// Reads the rows whose keys start with a prefix.
+    /// Returns the rows whose keys start with a prefix.
     pub fn scan(&self, prefix: &str) -> Vec<Row> {
-        let from = self.rows.range(prefix.to_owned()..);
-        from.take_while(|(key, _)| key.starts_with(prefix))
-            .map(|(key, held)| row(key, held))
+        let rows = self.rows.range(prefix.to_owned()..);
+        rows.take_while(|(key, _)| key.starts_with(prefix))
+            .map(|(key, stored)| row(key, stored))
             .collect()
     }
 
-    /// Carries out a transaction.
+    /// Commits a transaction, or returns the keys whose expected versions do not match.
     pub fn commit(&mut self, transaction: &Transaction) -> Commit {
-        let is_met =
+        let matches =
             |key: &str, version: Option<u64>| self.rows.get(key).map(|(v, _)| *v) == version;
-        let unmet = transaction.expect.iter().filter(|expect| !is_met(&expect.key, expect.version));
-        let unmet: Vec<String> = unmet.map(|expect| expect.key.clone()).collect();
-        if !unmet.is_empty() {
-            return Commit::Conflict(unmet);
+        let conflicts =
+            transaction.expect.iter().filter(|expect| !matches(&expect.key, expect.version));
+        let conflicts: Vec<String> = conflicts.map(|expect| expect.key.clone()).collect();
+        if !conflicts.is_empty() {
+            return Commit::Conflict(conflicts);
         }
         self.version += 1;
         for put in &transaction.put {
@@ -81,18 +82,18 @@
         Commit::Done(self.version)
     }
 
-    /// Notes a VM; the list shows it after the lag.
+    /// Adds or updates a VM; the list shows the change after the lag.
     pub fn set_vm(&mut self, vm: Vm) {
-        self.changes.push((Instant::now() + self.lag, Change::Set(vm)));
+        self.changes.push((Instant::now() + self.vm_lag, Change::Set(vm)));
     }
 
-    /// Takes a VM away; the list shows it after the lag.
+    /// Removes a VM; the list shows the change after the lag.
     pub fn remove_vm(&mut self, name: &str) {
-        self.changes.push((Instant::now() + self.lag, Change::Remove(name.to_owned())));
+        self.changes.push((Instant::now() + self.vm_lag, Change::Remove(name.to_owned())));
     }
 
-    /// Reads the list of VMs.
-    pub fn list(&mut self) -> Vec<Vm> {
+    /// Applies the changes that are due and returns the list of VMs.
+    pub fn list_vms(&mut self) -> Vec<Vm> {
         let now = Instant::now();
         let changes = std::mem::take(&mut self.changes);
         for (at, change) in changes {
@@ -105,35 +106,38 @@
         self.vms.values().cloned().collect()
     }
 
-    /// Gives notice of a reclaim.
+    /// Records a reclaim notice.
     pub fn give_notice(&mut self, notice: &Notice) {
-        let until = Instant::now() + Duration::from_millis(notice.left_ms);
-        self.notices.insert(notice.vm.clone(), until);
+        let deadline = Instant::now() + Duration::from_millis(notice.left_ms);
+        self.notices.insert(notice.vm.clone(), deadline);
     }
 
-    /// Reads the notices.
-    pub fn notices(&self) -> Vec<Notice> {
+    /// Returns the reclaim notices with their remaining time.
+    pub fn get_notices(&self) -> Vec<Notice> {
         let now = Instant::now();
-        let left = |until: &Instant| until.saturating_duration_since(now).as_millis() as u64;
-        let notice =
-            |(vm, until): (&String, &Instant)| Notice { vm: vm.clone(), left_ms: left(until) };
+        let remaining_ms =
+            |deadline: &Instant| deadline.saturating_duration_since(now).as_millis() as u64;
+        let notice = |(vm, deadline): (&String, &Instant)| Notice {
+            vm: vm.clone(),
+            left_ms: remaining_ms(deadline),
+        };
         self.notices.iter().map(notice).collect()
     }
 
-    /// Sets a fault, in place of others of the same target.
+    /// Sets a fault, replacing an earlier one of the same target.
     pub fn set_fault(&mut self, fault: Fault) {
-        self.faults.retain(|known| known.target != fault.target);
+        self.faults.retain(|other| other.target != fault.target);
         if fault.mode != Mode::None {
             self.faults.push(fault);
         }
     }
 
-    /// Takes the fault that the next call of one of these targets meets.
-    pub fn take_fault(&mut self, targets: &[Target]) -> Option<Fault> {
-        let place = self.faults.iter().position(|fault| targets.contains(&fault.target))?;
-        let fault = self.faults[place];
-        match &mut self.faults[place].count {
-            Some(count) if *count <= 1 => drop(self.faults.remove(place)),
+    /// Returns the fault for the next call of one of these targets and decrements its count.
+    pub fn next_fault(&mut self, targets: &[Target]) -> Option<Fault> {
+        let index = self.faults.iter().position(|fault| targets.contains(&fault.target))?;
+        let fault = self.faults[index];
+        match &mut self.faults[index].count {
+            Some(count) if *count <= 1 => drop(self.faults.remove(index)),
             Some(count) => *count -= 1,
             None => {}
         }
@@ -141,6 +145,6 @@
     }
 }
 
-fn row(key: &str, held: &(u64, String)) -> Row {
-    Row { key: key.to_owned(), version: held.0, value: held.1.clone() }
+fn row(key: &str, stored: &(u64, String)) -> Row {
+    Row { key: key.to_owned(), version: stored.0, value: stored.1.clone() }
 }
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses, and a way to serve them.
+//! An HTTP server for the stand-ins, and helpers for requests and responses.
 
 use std::future::Future;
 use std::io;
@@ -11,39 +11,41 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Makes a JSON response.
+/// Creates a JSON response.
 pub fn json<T: Serialize>(value: &T) -> Response<Body> {
     Response::new(Body::from(serde_json::to_vec(value).unwrap_or_default()))
 }
 
-/// Makes an empty response with a status.
+/// Creates an empty response with a status.
 pub fn status(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
 }
 
-/// Makes a response whose body breaks off, so that its reader cannot know what happened.
-pub fn cut() -> Response<Body> {
+/// Creates a response whose body fails with a connection reset.
+///
+/// The client cannot tell whether the call took effect.
+pub fn broken_body() -> Response<Body> {
     let (sender, receiver) = async_channel::bounded(1);
     let _ = sender.try_send(Err(io::Error::from(io::ErrorKind::ConnectionReset)));
     Response::new(Body::from_channel(receiver))
 }
 
-/// Reads a body as bytes.
-pub async fn read(body: Incoming) -> Bytes {
-    keeljunction::http::read_body(body, MAX_BODY).await.unwrap_or_default()
+/// Reads a body; returns no bytes if reading fails.
+pub async fn read_body(body: Incoming) -> Bytes {
+    keeljunction::http::read_body(body, MAX_BODY_BYTES).await.unwrap_or_default()
 }
 
-/// Reads a body as JSON.
+/// Reads a body as JSON; returns `None` if it is not valid.
 pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Option<T> {
-    serde_json::from_slice(&read(body).await).ok()
+    serde_json::from_slice(&read_body(body).await).ok()
 }
 
-/// Returns the value of a key of the query.
-pub fn query<'a>(request: &'a Request<Incoming>, key: &str) -> Option<&'a str> {
+/// Returns the value of a query parameter.
+pub fn get_query_parameter<'a>(request: &'a Request<Incoming>, key: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&');
     pairs
         .filter_map(|pair| pair.split_once('='))
@@ -51,8 +53,10 @@
         .map(|(_, value)| value)
 }
 
-/// Serves on loopback until the process ends; prints the address as one JSON line.
-pub async fn serve<F, Fut>(port: u16, started: impl FnOnce(SocketAddr), answer: F)
+/// Serves on loopback until the process ends.
+///
+/// Prints the listen address to standard output as one line of JSON.
+pub async fn serve<F, Fut>(port: u16, on_listening: impl FnOnce(SocketAddr), handler: F)
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response<Body>> + Send + 'static,
@@ -60,11 +64,11 @@
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     let server = match Server::bind(address, Limits::default(), StopSignal::new()).await {
         Ok(server) => server,
-        Err(error) => return eprintln!("cannot listen at {address}: {error}"),
+        Err(error) => return eprintln!("failed to listen on {address}: {error}"),
     };
     if let Ok(address) = server.get_address() {
         println!("{}", serde_json::json!({ "address": address }));
-        started(address);
+        on_listening(address);
     }
-    server.serve(answer).await;
+    server.serve(handler).await;
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -16,61 +16,61 @@
 
 use crate::reply;
 
-/// One request that really ran here.
+/// An entry of the execution log: a request that this service ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
-    /// The request key.
+pub struct Execution {
+    /// The idempotency key of the request.
     pub key: String,
-    /// The attempt.
+    /// The attempt id.
     pub attempt: String,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path.
+    /// The request path and query.
     pub path: String,
-    /// When it arrived, in milliseconds since the Unix epoch.
+    /// Arrival time, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// A scripted fault of the requests that come from now on.
+/// A scripted fault that applies to requests received after it is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Run the request, and lose the answer.
+    /// Runs the request but loses the response.
     pub lose: bool,
-    /// Take longer, in milliseconds.
+    /// Additional processing time, in milliseconds.
     pub slow_ms: u64,
 }
 
 #[derive(Default)]
 struct Service {
-    ran: Mutex<Vec<Ran>>,
-    replies: Mutex<HashMap<String, String>>,
+    executions: Mutex<Vec<Execution>>,
+    responses: Mutex<HashMap<String, String>>,
     fault: Mutex<Fault>,
-    requests: AtomicU32,
+    in_flight: AtomicU32,
     deduplicates: bool,
 }
 
 /// Serves a plain service until the process ends.
-pub async fn serve(port: u16, deduplicates: bool, started: impl FnOnce(SocketAddr)) {
+pub async fn serve(port: u16, deduplicates: bool, on_listening: impl FnOnce(SocketAddr)) {
     let service = Arc::new(Service { deduplicates, ..Service::default() });
-    reply::serve(port, started, move |request| answer(service.clone(), request)).await;
+    reply::serve(port, on_listening, move |request| handle_request(service.clone(), request)).await;
 }
 
-async fn answer(service: Arc<Service>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(service: Arc<Service>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/load" => {
-            let requests = service.requests.load(Ordering::SeqCst);
+            let requests = service.in_flight.load(Ordering::SeqCst);
             reply::json(&Load { requests, queued_tokens: 0, age_ms: 0 })
         }
-        "/ran" => reply::json(&*lock(&service.ran)),
+        "/ran" => reply::json(&*lock(&service.executions)),
         "/faults" => {
             *lock(&service.fault) = reply::read_json(request.into_body()).await.unwrap_or_default();
             reply::json(&json!({}))
         }
         _ => {
-            service.requests.fetch_add(1, Ordering::SeqCst);
+            service.in_flight.fetch_add(1, Ordering::SeqCst);
             let response = run(&service, request).await;
-            service.requests.fetch_sub(1, Ordering::SeqCst);
+            service.in_flight.fetch_sub(1, Ordering::SeqCst);
             response
         }
     }
@@ -82,24 +82,31 @@
     };
     let (key, attempt, method) = (header(KEY), header(ATTEMPT), request.method().to_string());
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
-    let delay = reply::query(&request, "delay_ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
+    let delay = reply::get_query_parameter(&request, "delay_ms")
+        .and_then(|ms| ms.parse().ok())
+        .unwrap_or(0);
     let fault = *lock(&service.fault);
-    let body = reply::read(request.into_body()).await;
-    let known = lock(&service.replies).get(&key).cloned();
-    if let Some(known) = known.filter(|_| service.deduplicates) {
-        return typed(known);
+    let body = reply::read_body(request.into_body()).await;
+    let recorded = lock(&service.responses).get(&key).cloned();
+    if let Some(recorded) = recorded.filter(|_| service.deduplicates) {
+        return json_response(recorded);
     }
-    let ran =
-        Ran { key: key.clone(), attempt, method, path: path.clone(), unix_ms: runtime::unix_ms() };
-    lock(&service.ran).push(ran);
+    let execution = Execution {
+        key: key.clone(),
+        attempt,
+        method,
+        path: path.clone(),
+        unix_ms: runtime::unix_ms(),
+    };
+    lock(&service.executions).push(execution);
     runtime::sleep(Duration::from_millis(delay + fault.slow_ms)).await;
     let text =
         json!({ "key": key, "path": path, "echo": String::from_utf8_lossy(&body) }).to_string();
-    lock(&service.replies).insert(key, text.clone());
-    if fault.lose { reply::cut() } else { typed(text) }
+    lock(&service.responses).insert(key, text.clone());
+    if fault.lose { reply::broken_body() } else { json_response(text) }
 }
 
-fn typed(text: String) -> Response<Body> {
+fn json_response(text: String) -> Response<Body> {
     let mut response = Response::new(Body::from(text));
     let media_type = hyper::header::HeaderValue::from_static("application/json");
     response.headers_mut().insert("content-type", media_type);
