--- a/crates/standin/src/harness/cluster.rs
+++ b/crates/standin/src/harness/cluster.rs
@@ -97,7 +97,7 @@
 /// A running cluster of a platform, entry nodes and backend servers.
 pub struct Cluster {
     /// The directory of settings, keys and logs.
-    pub folder: TempDir,
+    pub directory: TempDir,
     /// The HTTP client for requests to the cluster.
     pub client: Client,
     /// The platform process.
@@ -116,13 +116,20 @@
     ///
     /// Returns an I/O error, or an error if the nodes are not ready within the timeout.
     pub async fn start(config: ClusterConfig) -> io::Result<Self> {
-        let folder = tempfile::tempdir()?;
+        let directory = tempfile::tempdir()?;
         let lag = config.vm_lag_ms.to_string();
         let arguments = to_strings(&["platform", "--vm-lag-ms", &lag]);
-        let platform = Process::start("standin", &arguments, &folder.path().join("platform.log"))?;
+        let platform =
+            Process::start("standin", &arguments, &directory.path().join("platform.log"))?;
         let client = Client::new(Duration::from_secs(1));
-        let mut cluster =
-            Self { folder, client, platform, nodes: Vec::new(), servers: BTreeMap::new(), config };
+        let mut cluster = Self {
+            directory,
+            client,
+            platform,
+            nodes: Vec::new(),
+            servers: BTreeMap::new(),
+            config,
+        };
         for number in 0..cluster.config.engines {
             cluster.start_engine(&format!("hidro-{number}"), number).await?;
         }
@@ -165,9 +172,9 @@
     ///
     /// Returns an I/O error if the process cannot be started.
     pub async fn start_node(&mut self, name: &str, number: usize) -> io::Result<()> {
-        let settings = self.folder.path().join(format!("{name}.yaml"));
+        let settings = self.directory.path().join(format!("{name}.yaml"));
         fs::write(&settings, self.build_settings(name, number)?)?;
-        let log = self.folder.path().join(format!("{name}.log"));
+        let log = self.directory.path().join(format!("{name}.log"));
         let arguments = to_strings(&["serve", "--settings", &settings.display().to_string()]);
         let process = Process::start("keeljunction", &arguments, &log)?;
         let peer = process.address("peer");
@@ -178,7 +185,7 @@
 
     /// Returns the path of a file in the cluster's directory.
     pub fn path(&self, name: &str) -> PathBuf {
-        self.folder.path().join(name)
+        self.directory.path().join(name)
     }
 
     /// Writes, signs and rolls out a bundle version with the `keeljunction` command-line client.
@@ -340,7 +347,7 @@
         number: usize,
         arguments: &[String],
     ) -> io::Result<()> {
-        let log = self.folder.path().join(format!("{name}.log"));
+        let log = self.directory.path().join(format!("{name}.log"));
         let process = Process::start("standin", arguments, &log)?;
         let address = process.address("address");
         self.servers.insert(name.to_owned(), process);
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! A load tool: open loop, Poisson arrivals, a fixed seed.
+//! An open-loop load generator with Poisson arrivals and a fixed seed.
 //!
-//! Each call is timed from the moment at which it was due, not from the moment at which it was
-//! sent, so that a slow system cannot hide its delays by slowing the callers down.
+//! Latency is measured from the scheduled time of a call, not from the time at which it was sent.
+//! Otherwise a slow system would hide its delays by slowing the clients down (coordinated omission).
 
 mod run;
 mod summary;
--- a/crates/standin/src/load/run.rs
+++ b/crates/standin/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs a load.
+//! Generates load and records the results.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,82 +13,84 @@
 use crate::engine::expected_output;
 use crate::harness::{Call, Response};
 
-/// One kind of call, and how often it is made.
+/// A kind of call and its share of the load.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Its name in the summary.
+    /// The name of the kind in the summary.
     pub name: String,
-    /// Its part among all kinds.
+    /// The weight of the kind in the random choice among all kinds.
     pub weight: u32,
-    /// The caller's credential.
+    /// The credential of the client account.
     pub credential: String,
     /// The request class.
     pub class: String,
-    /// The model.
+    /// The model name.
     pub model: String,
-    /// Words of the prompt.
+    /// Number of unique words in the prompt.
     pub prompt_words: usize,
-    /// Different prompt starts that calls share; 0 where each is its own.
-    pub topics: usize,
-    /// Words that a prompt start has.
-    pub topic_words: usize,
-    /// Tokens to generate.
+    /// Number of different prompt prefixes that calls share; 0 disables shared prefixes.
+    pub shared_prefixes: usize,
+    /// Number of words in a shared prefix.
+    pub prefix_words: usize,
+    /// Number of tokens to generate.
     pub tokens: u64,
 }
 
-/// A load to run.
+/// The load to generate.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Where calls go, in turn.
+    /// Addresses that receive calls, in round-robin order.
     pub targets: Vec<SocketAddr>,
-    /// Calls in a second, on average.
+    /// Mean number of calls per second.
     pub rate: f64,
-    /// How long calls are made.
-    pub time: Duration,
-    /// The seed: the same gives the same calls at the same times.
+    /// Duration of the load.
+    pub duration: Duration,
+    /// The random seed; the same seed gives the same calls at the same scheduled times.
     pub seed: u64,
     /// The kinds of calls.
     pub kinds: Vec<Kind>,
-    /// Whether refused callers retry once, after `Retry-After`.
-    pub is_followed: bool,
+    /// Whether a rejected call is retried once, after `Retry-After`.
+    pub retries_rejected: bool,
 }
 
-/// Runs a load and returns a summary for each kind.
+/// Generates the load and returns a summary for each kind of call.
 pub async fn run(client: &Client, plan: &Plan) -> BTreeMap<String, Summary> {
     let mut random = Rng::with_seed(plan.seed);
     let summaries: Arc<Mutex<BTreeMap<String, Summary>>> = Arc::default();
     let started = Instant::now();
-    let mut due = Duration::ZERO;
+    let mut scheduled = Duration::ZERO;
     let mut calls = Vec::new();
     let mut number = 0;
-    let is_followed = plan.is_followed;
-    while due < plan.time {
-        let (kind, prompt) = draw(plan, &mut random);
+    let retries_rejected = plan.retries_rejected;
+    while scheduled < plan.duration {
+        let (kind, prompt) = choose_call(plan, &mut random);
         let target = plan.targets[number % plan.targets.len()];
         number += 1;
-        let wait = (started + due).saturating_duration_since(Instant::now());
+        let wait = (started + scheduled).saturating_duration_since(Instant::now());
         runtime::sleep(wait).await;
-        let (client, summaries, due_at) = (client.clone(), summaries.clone(), started + due);
+        let (client, summaries, scheduled_at) =
+            (client.clone(), summaries.clone(), started + scheduled);
         calls.push(runtime::spawn_with_handle(async move {
             let call =
                 Call::completion(&kind.credential, &kind.class, &kind.model, &prompt, kind.tokens);
-            let late = due_at.elapsed();
-            let mut answer = call.send(&client, target).await.ok();
-            let wait = answer.as_ref().and_then(retry_after).filter(|_| is_followed);
-            if let Some(wait) = wait {
-                runtime::sleep(wait).await;
-                answer = call.send(&client, target).await.ok();
+            let start_delay = scheduled_at.elapsed();
+            let mut response = call.send(&client, target).await.ok();
+            let retry_delay =
+                response.as_ref().and_then(get_retry_delay).filter(|_| retries_rejected);
+            if let Some(retry_delay) = retry_delay {
+                runtime::sleep(retry_delay).await;
+                response = call.send(&client, target).await.ok();
             }
             let mut summaries = lock(&summaries);
             let summary = summaries.entry(kind.name).or_default();
-            if wait.is_some() {
-                summary.returned += 1;
-                summary.admitted +=
-                    u64::from(answer.as_ref().is_some_and(|answer| answer.is_complete));
+            if retry_delay.is_some() {
+                summary.retried += 1;
+                summary.admitted_after_retry +=
+                    u64::from(response.as_ref().is_some_and(|response| response.is_complete));
             }
-            note(summary, answer, &prompt, kind.tokens, late);
+            record(summary, response, &prompt, kind.tokens, start_delay);
         }));
-        due += Duration::from_secs_f64(-random.f64().max(1e-12).ln() / plan.rate);
+        scheduled += Duration::from_secs_f64(-random.f64().max(1e-12).ln() / plan.rate);
     }
     for call in calls {
         call.await;
@@ -97,64 +99,65 @@
     summaries.clone()
 }
 
-/// Reads the `Retry-After` of a refusal.
-fn retry_after(answer: &Response) -> Option<Duration> {
-    if answer.is_complete || answer.outcome() != "not_run" {
+/// Returns the retry delay of a rejected call.
+fn get_retry_delay(response: &Response) -> Option<Duration> {
+    if response.is_complete || response.outcome() != "not_run" {
         return None;
     }
-    answer.json()["retry_after_ms"].as_u64().map(Duration::from_millis)
+    response.json()["retry_after_ms"].as_u64().map(Duration::from_millis)
 }
 
-fn note(
+fn record(
     summary: &mut Summary,
-    answer: Option<Response>,
+    response: Option<Response>,
     prompt: &str,
     tokens: u64,
-    late: Duration,
+    start_delay: Duration,
 ) {
-    let Some(answer) = answer else {
+    let Some(response) = response else {
         summary.failed += 1;
         return;
     };
-    if !answer.is_complete {
-        if answer.outcome() == "not_run" {
-            summary.refused += 1
+    if !response.is_complete {
+        if response.outcome() == "not_run" {
+            summary.rejected += 1
         } else {
             summary.failed += 1
         }
         return;
     }
-    summary.done += 1;
-    summary.tokens += answer.token_times.len() as u64;
-    if answer.body != expected_output(prompt, tokens) {
-        summary.wrong += 1;
+    summary.completed += 1;
+    summary.tokens += response.token_times.len() as u64;
+    if response.body != expected_output(prompt, tokens) {
+        summary.mismatched += 1;
     }
-    let first = answer.token_times.first().copied().unwrap_or(answer.head_time) + late;
-    let _ = summary.first.record(first.as_micros() as u64);
-    for pair in answer.token_times.windows(2) {
-        let _ = summary.gap.record((pair[1] - pair[0]).as_micros().max(1) as u64);
+    let first_token =
+        response.token_times.first().copied().unwrap_or(response.head_time) + start_delay;
+    let _ = summary.first_token_micros.record(first_token.as_micros() as u64);
+    for pair in response.token_times.windows(2) {
+        let _ = summary.token_interval_micros.record((pair[1] - pair[0]).as_micros().max(1) as u64);
     }
 }
 
-fn draw(plan: &Plan, random: &mut Rng) -> (Kind, String) {
-    let sum: u32 = plan.kinds.iter().map(|kind| kind.weight).sum();
-    let mut left = random.u32(0..sum.max(1));
+fn choose_call(plan: &Plan, random: &mut Rng) -> (Kind, String) {
+    let total_weight: u32 = plan.kinds.iter().map(|kind| kind.weight).sum();
+    let mut remaining = random.u32(0..total_weight.max(1));
     let kind = plan.kinds.iter().find(|kind| {
-        let is_it = left < kind.weight;
-        left = left.saturating_sub(kind.weight);
-        is_it
+        let is_selected = remaining < kind.weight;
+        remaining = remaining.saturating_sub(kind.weight);
+        is_selected
     });
     let kind = kind.unwrap_or(&plan.kinds[0]).clone();
     let mut prompt = String::new();
-    if kind.topics > 0 {
-        let topic = random.usize(..kind.topics);
-        for word in 0..kind.topic_words {
-            prompt.push_str(&format!("{}{topic}x{word} ", kind.name));
+    if kind.shared_prefixes > 0 {
+        let prefix = random.usize(..kind.shared_prefixes);
+        for word in 0..kind.prefix_words {
+            prompt.push_str(&format!("{}{prefix}x{word} ", kind.name));
         }
     }
-    let own = random.u64(..);
+    let unique_id = random.u64(..);
     for word in 0..kind.prompt_words {
-        prompt.push_str(&format!("q{own:x}x{word} "));
+        prompt.push_str(&format!("q{unique_id:x}x{word} "));
     }
     (kind, prompt)
 }
--- a/crates/standin/src/load/summary.rs
+++ b/crates/standin/src/load/summary.rs
@@ -1,85 +1,88 @@
-//! What a load run showed.
+//! The results of a load run.
 
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-const MOST_MICROS: u64 = 120_000_000;
+const MAX_LATENCY_MICROS: u64 = 120_000_000;
 
-/// What a load run showed, per kind of call or as a whole.
+/// The results of a load run, for one kind of call or in total.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// Time to the first token or to the whole answer of a plain call, in microseconds.
-    pub first: Histogram<u64>,
+    /// Time to the first token, or to the response head of a plain call, in microseconds.
+    pub first_token_micros: Histogram<u64>,
     /// Time between tokens, in microseconds.
-    pub gap: Histogram<u64>,
-    /// Whole answers.
-    pub done: u64,
-    /// Answers with outcome `not_run`.
-    pub refused: u64,
-    /// Anything else.
+    pub token_interval_micros: Histogram<u64>,
+    /// Number of complete responses.
+    pub completed: u64,
+    /// Number of rejected calls (outcome `not_run`).
+    pub rejected: u64,
+    /// Number of calls that failed in any other way.
     pub failed: u64,
-    /// Tokens that came.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Whole answers that were not the right ones.
-    pub wrong: u64,
-    /// Callers that retried after `Retry-After`.
-    pub returned: u64,
-    /// Of these, those that were served then.
-    pub admitted: u64,
+    /// Number of complete responses that differ from the expected output.
+    pub mismatched: u64,
+    /// Number of calls retried after `Retry-After`.
+    pub retried: u64,
+    /// Number of retried calls that were completed.
+    pub admitted_after_retry: u64,
 }
 
 impl Summary {
-    /// Starts empty.
+    /// Creates an empty summary.
     ///
     /// # Panics
     ///
-    /// Never: the bounds of the histograms are constants that fit.
+    /// Never panics: the histogram bounds are valid constants.
     #[allow(clippy::expect_used)]
     pub fn new() -> Self {
-        let histogram = || Histogram::new_with_bounds(1, MOST_MICROS, 3).expect("the bounds fit");
+        let histogram = || {
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
+                .expect("the histogram bounds are valid")
+        };
         Self {
-            first: histogram(),
-            gap: histogram(),
-            done: 0,
-            refused: 0,
+            first_token_micros: histogram(),
+            token_interval_micros: histogram(),
+            completed: 0,
+            rejected: 0,
             failed: 0,
             tokens: 0,
-            wrong: 0,
-            returned: 0,
-            admitted: 0,
+            mismatched: 0,
+            retried: 0,
+            admitted_after_retry: 0,
         }
     }
 
-    /// Adds another summary.
+    /// Adds the results of another summary.
     pub fn add(&mut self, other: &Summary) {
-        let _ = self.first.add(&other.first);
-        let _ = self.gap.add(&other.gap);
-        self.done += other.done;
-        self.refused += other.refused;
+        let _ = self.first_token_micros.add(&other.first_token_micros);
+        let _ = self.token_interval_micros.add(&other.token_interval_micros);
+        self.completed += other.completed;
+        self.rejected += other.rejected;
         self.failed += other.failed;
         self.tokens += other.tokens;
-        self.wrong += other.wrong;
-        self.returned += other.returned;
-        self.admitted += other.admitted;
+        self.mismatched += other.mismatched;
+        self.retried += other.retried;
+        self.admitted_after_retry += other.admitted_after_retry;
     }
 
     /// Returns a quantile of the first-token time, in milliseconds.
-    pub fn first_ms(&self, quantile: f64) -> f64 {
-        self.first.value_at_quantile(quantile) as f64 / 1000.0
+    pub fn get_first_token_ms(&self, quantile: f64) -> f64 {
+        self.first_token_micros.value_at_quantile(quantile) as f64 / 1000.0
     }
 
     /// Returns a quantile of the time between tokens, in milliseconds.
-    pub fn gap_ms(&self, quantile: f64) -> f64 {
-        self.gap.value_at_quantile(quantile) as f64 / 1000.0
+    pub fn get_token_interval_ms(&self, quantile: f64) -> f64 {
+        self.token_interval_micros.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Writes the figures.
+    /// Returns the results as JSON.
     pub fn to_json(&self) -> Value {
         json!({
-            "done": self.done, "refused": self.refused, "failed": self.failed, "wrong": self.wrong,
-            "tokens": self.tokens, "returned": self.returned, "admitted": self.admitted,
-            "first_ms": { "p50": self.first_ms(0.5), "p95": self.first_ms(0.95), "p99": self.first_ms(0.99) },
-            "gap_ms": { "p50": self.gap_ms(0.5), "p95": self.gap_ms(0.95), "p99": self.gap_ms(0.99) },
+            "done": self.completed, "refused": self.rejected, "failed": self.failed, "wrong": self.mismatched,
+            "tokens": self.tokens, "returned": self.retried, "admitted": self.admitted_after_retry,
+            "first_ms": { "p50": self.get_first_token_ms(0.5), "p95": self.get_first_token_ms(0.95), "p99": self.get_first_token_ms(0.99) },
+            "gap_ms": { "p50": self.get_token_interval_ms(0.5), "p95": self.get_token_interval_ms(0.95), "p99": self.get_token_interval_ms(0.99) },
         })
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and the load tool, each a subcommand and so a process of its own.
+//! The `standin` command: each stand-in, the load generator and the benchmarks are subcommands.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,53 +10,56 @@
 use keeljunction::runtime;
 use standin::engine::{self, Options};
 use standin::load::{Kind, Plan};
-use standin::measure::Which;
+use standin::measure::Benchmark;
 use standin::{demo, load, measure, platform, service};
 
-/// Threads that run the tasks of a stand-in.
-const THREADS: usize = 2;
+/// Number of threads that run the tasks of a stand-in.
+const WORKER_THREADS: usize = 2;
 
 fn main() -> ExitCode {
-    let matches = build().get_matches();
-    let done = match matches.subcommand() {
+    let matches = build_command().get_matches();
+    let result = match matches.subcommand() {
         Some(("platform", matches)) => {
-            let lag = Duration::from_millis(number(matches, "vm-lag-ms"));
-            runtime::run(THREADS, platform::serve(number(matches, "port") as u16, lag));
+            let lag = Duration::from_millis(get_number(matches, "vm-lag-ms"));
+            runtime::run(WORKER_THREADS, platform::serve(get_number(matches, "port") as u16, lag));
             Ok(())
         }
         Some(("engine", matches)) => {
             runtime::run(
-                THREADS,
-                engine::serve(number(matches, "port") as u16, options(matches), |_| {}),
+                WORKER_THREADS,
+                engine::serve(get_number(matches, "port") as u16, get_options(matches), |_| {}),
             );
             Ok(())
         }
         Some(("service", matches)) => {
             let deduplicates = matches.get_flag("deduplicates");
             runtime::run(
-                THREADS,
-                service::serve(number(matches, "port") as u16, deduplicates, |_| {}),
+                WORKER_THREADS,
+                service::serve(get_number(matches, "port") as u16, deduplicates, |_| {}),
             );
             Ok(())
         }
         Some(("load", matches)) => {
-            runtime::run(THREADS, run_load(matches));
+            runtime::run(WORKER_THREADS, run_load(matches));
             Ok(())
         }
         Some(("measure", matches)) => {
-            let which = match matches.get_one::<String>("which").map(String::as_str) {
-                Some("policy") => Which::Policy,
-                Some("size") => Which::Size,
-                Some("shares") => Which::Shares,
-                Some("tokens") => Which::Tokens,
-                _ => Which::Baseline,
+            let benchmark = match matches.get_one::<String>("which").map(String::as_str) {
+                Some("policy") => Benchmark::Policy,
+                Some("size") => Benchmark::Size,
+                Some("shares") => Benchmark::Shares,
+                Some("tokens") => Benchmark::Tokens,
+                _ => Benchmark::Baseline,
             };
-            runtime::run(THREADS, measure::run(which, Path::new(&text(matches, "folder"))))
+            runtime::run(
+                WORKER_THREADS,
+                measure::run(benchmark, Path::new(&get_text(matches, "folder"))),
+            )
         }
-        Some(("demo", _)) => runtime::run(THREADS, demo::run()),
+        Some(("demo", _)) => runtime::run(WORKER_THREADS, demo::run()),
         _ => Ok(()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -65,97 +68,100 @@
     }
 }
 
-fn build() -> Command {
-    let port = numeric("port", "0", "The port; 0 takes any free one");
+fn build_command() -> Command {
+    let port = numeric_arg("port", "0", "Port to listen on; 0 selects a free port");
     Command::new("standin")
-        .about("Stand-ins for the systems that keeljunction meets, and a load tool")
+        .about("Stand-ins for the systems around keeljunction, and a load generator")
         .subcommand_required(true)
         .subcommand(
             Command::new("platform")
-                .about("The table service, object store, VM list, notices and cloud API")
+                .about("Serves the tables, objects, VM list, notices and cloud API")
                 .arg(port.clone())
-                .arg(numeric("vm-lag-ms", "100", "Lag of the VM list")),
+                .arg(numeric_arg("vm-lag-ms", "100", "Delay of VM list changes, in milliseconds")),
         )
         .subcommand(
             Command::new("engine")
-                .about("A model engine")
+                .about("Serves a model engine")
                 .arg(port.clone())
-                .arg(numeric("prefill", "8000", "Prompt tokens read in a second"))
-                .arg(numeric("gap-ms", "10", "Time between two tokens"))
-                .arg(numeric("slots", "16", "Streams at the same time"))
-                .arg(numeric("cache-blocks", "4096", "Blocks that the cache holds"))
-                .arg(numeric("report-lag-ms", "200", "Age of load reports"))
-                .arg(numeric(
+                .arg(numeric_arg("prefill", "8000", "Prompt tokens prefilled per second"))
+                .arg(numeric_arg("gap-ms", "10", "Interval between two tokens, in milliseconds"))
+                .arg(numeric_arg("slots", "16", "Number of concurrent streams"))
+                .arg(numeric_arg("cache-blocks", "4096", "Prefix cache capacity, in blocks"))
+                .arg(numeric_arg(
+                    "report-lag-ms",
+                    "200",
+                    "Interval of load reports, in milliseconds",
+                ))
+                .arg(numeric_arg(
                     "event-gap",
                     "0",
-                    "Every so many cache events one is lost; 0 for none",
+                    "Drops one of every N cache events; 0 drops none",
+                ))
+                .arg(numeric_arg(
+                    "export",
+                    "50000",
+                    "KV cache tokens exported per second; 0 for none",
                 ))
-                .arg(numeric("export", "50000", "KV cache tokens sent in a second; 0 for none"))
                 .arg(
                     Arg::new("unfenced")
                         .long("unfenced")
                         .action(ArgAction::SetTrue)
-                        .help("Takes orders with any fence"),
+                        .help("Accepts orders with an outdated fencing token"),
                 ),
         )
         .subcommand(
-            Command::new("service").about("A plain service").arg(port).arg(
+            Command::new("service").about("Serves a plain service").arg(port).arg(
                 Arg::new("deduplicates")
                     .long("deduplicates")
                     .action(ArgAction::SetTrue)
-                    .help("Runs a request key once at most by itself"),
+                    .help("Runs a request at most once per idempotency key"),
             ),
         )
         .subcommand(
             Command::new("load")
-                .about("Calls nodes, or an engine directly, at a rate")
+                .about("Sends calls to nodes, or directly to an engine, at a given rate")
                 .arg(
                     Arg::new("target")
                         .long("target")
                         .required(true)
                         .action(ArgAction::Append)
                         .value_parser(value_parser!(SocketAddr))
-                        .help("Where calls go, in turn"),
+                        .help("Address that receives calls; repeat for round-robin over several"),
                 )
-                .arg(numeric("rate", "20", "Calls in a second"))
-                .arg(numeric("seconds", "5", "How long"))
-                .arg(numeric("seed", "1", "The seed"))
-                .arg(numeric("words", "32", "Words of the prompt"))
-                .arg(numeric("tokens", "32", "Tokens to generate"))
+                .arg(numeric_arg("rate", "20", "Calls per second"))
+                .arg(numeric_arg("seconds", "5", "Duration of the load, in seconds"))
+                .arg(numeric_arg("seed", "1", "Random seed"))
+                .arg(numeric_arg("words", "32", "Number of words in the prompt"))
+                .arg(numeric_arg("tokens", "32", "Number of tokens to generate"))
                 .arg(
                     Arg::new("credential")
                         .long("credential")
                         .default_value(standin::harness::DUTY_CREDENTIAL)
-                        .help("The caller's credential"),
-                )
-                .arg(
-                    Arg::new("class")
-                        .long("class")
-                        .default_value("urgent")
-                        .help("The request class"),
+                        .help("Credential of the client account"),
                 )
-                .arg(Arg::new("model").long("model").default_value("hidro").help("The model")),
+                .arg(Arg::new("class").long("class").default_value("urgent").help("Request class"))
+                .arg(Arg::new("model").long("model").default_value("hidro").help("Model name")),
         )
         .subcommand(
             Command::new("measure")
-                .about("Measures on real processes, and prints a table")
+                .about("Runs a benchmark on real processes and prints the results")
                 .arg(
                     Arg::new("which")
                         .required(true)
                         .value_parser(["baseline", "policy", "shares", "size", "tokens"])
-                        .help("What to measure"),
+                        .help("Benchmark to run"),
                 )
                 .arg(
                     Arg::new("folder")
                         .long("folder")
                         .default_value("docs/figures")
-                        .help("Where plots go"),
+                        .help("Directory for plots"),
                 ),
         )
-        .subcommand(Command::new("demo").about("Shows the main job from end to end, and checks it"))
+        .subcommand(Command::new("demo").about("Checks the main features from end to end"))
 }
 
-fn numeric(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn numeric_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("N")
@@ -164,46 +170,46 @@
         .help(help)
 }
 
-fn number(matches: &ArgMatches, name: &str) -> u64 {
+fn get_number(matches: &ArgMatches, name: &str) -> u64 {
     matches.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-fn text(matches: &ArgMatches, name: &str) -> String {
+fn get_text(matches: &ArgMatches, name: &str) -> String {
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-fn options(matches: &ArgMatches) -> Options {
+fn get_options(matches: &ArgMatches) -> Options {
     Options {
-        prefill_tokens_per_second: number(matches, "prefill"),
-        token_interval_ms: number(matches, "gap-ms"),
-        slots: number(matches, "slots") as usize,
-        cache_blocks: number(matches, "cache-blocks") as usize,
-        report_lag_ms: number(matches, "report-lag-ms"),
-        event_loss_interval: number(matches, "event-gap"),
-        export_tokens_per_second: number(matches, "export"),
+        prefill_tokens_per_second: get_number(matches, "prefill"),
+        token_interval_ms: get_number(matches, "gap-ms"),
+        slots: get_number(matches, "slots") as usize,
+        cache_blocks: get_number(matches, "cache-blocks") as usize,
+        report_lag_ms: get_number(matches, "report-lag-ms"),
+        event_loss_interval: get_number(matches, "event-gap"),
+        export_tokens_per_second: get_number(matches, "export"),
         checks_fences: !matches.get_flag("unfenced"),
     }
 }
 
 async fn run_load(matches: &ArgMatches) {
     let kind = Kind {
-        name: text(matches, "class"),
+        name: get_text(matches, "class"),
         weight: 1,
-        credential: text(matches, "credential"),
-        class: text(matches, "class"),
-        model: text(matches, "model"),
-        prompt_words: number(matches, "words") as usize,
-        topics: 0,
-        topic_words: 0,
-        tokens: number(matches, "tokens"),
+        credential: get_text(matches, "credential"),
+        class: get_text(matches, "class"),
+        model: get_text(matches, "model"),
+        prompt_words: get_number(matches, "words") as usize,
+        shared_prefixes: 0,
+        prefix_words: 0,
+        tokens: get_number(matches, "tokens"),
     };
     let plan = Plan {
         targets: matches.get_many::<SocketAddr>("target").into_iter().flatten().copied().collect(),
-        rate: number(matches, "rate") as f64,
-        time: Duration::from_secs(number(matches, "seconds")),
-        seed: number(matches, "seed"),
+        rate: get_number(matches, "rate") as f64,
+        duration: Duration::from_secs(get_number(matches, "seconds")),
+        seed: get_number(matches, "seed"),
         kinds: vec![kind],
-        is_followed: false,
+        retries_rejected: false,
     };
     let client = Client::new(Duration::from_secs(1));
     for (name, summary) in load::run(&client, &plan).await {
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements on real processes. Each prints a table and writes a plot where there is one.
+//! Benchmarks on real processes. Each prints its results, and some also write a plot.
 
 mod baseline;
 mod plot;
@@ -12,33 +12,33 @@
 
 pub use spread::Spread;
 
-/// A measurement.
+/// A benchmark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
-    /// What a node adds to a call, and what it costs.
+pub enum Benchmark {
+    /// Latency that a node adds to a call, and its resource usage.
     Baseline,
-    /// What relaying a token costs; a part of the baseline.
+    /// CPU time for relaying a token; part of the baseline.
     Tokens,
-    /// Routing policies and shard owners, under three loads.
+    /// Routing policies with and without shard owners, under three loads.
     Policy,
-    /// Shares of groups at twice the capacity, and callers that come back.
+    /// Shares of the groups at twice the capacity, and the success of retries.
     Shares,
-    /// Membership and rolls, at several sizes.
+    /// Control overhead and roll propagation, at several cluster sizes.
     Size,
 }
 
-/// Runs a measurement; plots go into a folder.
+/// Runs a benchmark and writes its plots to a directory.
 ///
 /// # Errors
 ///
-/// Returns the system's error, or says what did not come up.
-pub async fn run(which: Which, folder: &Path) -> io::Result<()> {
-    std::fs::create_dir_all(folder)?;
-    match which {
-        Which::Baseline => baseline::run().await,
-        Which::Tokens => baseline::cost_of_tokens().await,
-        Which::Policy => policy::run(folder).await,
-        Which::Shares => shares::run().await,
-        Which::Size => size::run(folder).await,
+/// Returns an I/O error, or an error if the cluster is not ready or a result is wrong.
+pub async fn run(benchmark: Benchmark, directory: &Path) -> io::Result<()> {
+    std::fs::create_dir_all(directory)?;
+    match benchmark {
+        Benchmark::Baseline => baseline::run().await,
+        Benchmark::Tokens => baseline::measure_relay_cost().await,
+        Benchmark::Policy => policy::run(directory).await,
+        Benchmark::Shares => shares::run().await,
+        Benchmark::Size => size::run(directory).await,
     }
 }
