--- a/crates/standin/src/engine/attempt.rs
+++ b/crates/standin/src/engine/attempt.rs
@@ -62,7 +62,8 @@
 
     /// Waits for tokens from `offset` on.
     ///
-    /// Returns the tokens and whether the output is complete, or `None` if the attempt was cancelled.
+    /// Returns the tokens and whether the output is complete, or `None` if the attempt was
+    /// cancelled.
     pub async fn wait_for_tokens(&self, offset: usize) -> Option<(Vec<String>, bool)> {
         loop {
             let changed = self.changed.listen();
--- a/crates/standin/src/harness/documents.rs
+++ b/crates/standin/src/harness/documents.rs
@@ -11,8 +11,8 @@
 
 /// Generates the settings of a node.
 ///
-/// The base has short intervals for tests. The cluster's settings override it, and the node's settings
-/// override both.
+/// The base has short intervals for tests. The cluster's settings override it, and the node's
+/// settings override both.
 pub(super) fn settings(config: &ClusterConfig, node_settings: &Value) -> io::Result<String> {
     let mut settings = json!({
         "listen": { "caller": "127.0.0.1:0", "peer": "127.0.0.1:0", "operator": "127.0.0.1:0" },
--- a/crates/standin/src/measure/baseline.rs
+++ b/crates/standin/src/measure/baseline.rs
@@ -64,7 +64,7 @@
     cluster.status(0).await["peer_bytes"][0].as_u64().unwrap_or(0)
 }
 
-/// Runs `streams` concurrent streams through the first node and returns the number of tokens received.
+/// Runs concurrent streams through the first node and returns the number of tokens received.
 async fn run_streams(cluster: &Cluster, streams: usize, tokens: u64, run: usize) -> usize {
     let to = cluster.nodes[0].get_client_address();
     let calls: Vec<_> = (0..streams)
--- a/crates/standin/src/measure/shares.rs
+++ b/crates/standin/src/measure/shares.rs
@@ -1,5 +1,5 @@
-//! Shares of the groups at twice the capacity, with all servers and with half of them, and the success
-//! of calls that are retried after `Retry-After`.
+//! Shares of the groups at twice the capacity, with all servers and with half of them, and the
+//! success of calls that are retried after `Retry-After`.
 
 use std::io;
 use std::time::Duration;
--- a/crates/standin/src/measure/size.rs
+++ b/crates/standin/src/measure/size.rs
@@ -78,7 +78,9 @@
     response.and_then(|response| response["calls"].as_u64()).unwrap_or(0)
 }
 
-/// Samples all nodes over a period; returns CPU usage in percent, and KB sent and received per second.
+/// Samples all nodes over a period.
+///
+/// Returns CPU usage in percent, and KB sent and received per second.
 async fn sample(cluster: &Cluster) -> (Vec<f64>, Vec<f64>, Vec<f64>) {
     let before = read_counters(cluster).await;
     runtime::sleep(SAMPLE_PERIOD).await;
--- a/crates/standin/tests/faults/at_most_once.rs
+++ b/crates/standin/tests/faults/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A request that is not to be repeated runs at most once.
+//! A non-idempotent request runs at most once.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use super::support::{alert, eventually, on_cluster, send};
 
 #[test]
-fn the_same_key_at_all_nodes_at_once_runs_once() {
+fn concurrent_requests_with_one_key_run_once() {
     on_cluster(ClusterConfig { services: 2, ..ClusterConfig::default() }, async |cluster| {
         for round in 0..10 {
             let key = format!("a-{round}");
@@ -19,15 +19,15 @@
                         (cluster.client.clone(), cluster.nodes[number % 3].get_client_address());
                     let call = alert(&key);
                     runtime::spawn_with_handle(async move {
-                        call.send(&client, to).await.expect("there is a response")
+                        call.send(&client, to).await.expect("the node responds")
                     })
                 })
                 .collect();
             let mut done = 0;
             for call in calls {
-                let answer = call.await;
-                assert!(["done", "unknown"].contains(&answer.outcome().as_str()), "{answer:?}");
-                done += u32::from(answer.is_complete);
+                let response = call.await;
+                assert!(["done", "unknown"].contains(&response.outcome().as_str()), "{response:?}");
+                done += u32::from(response.is_complete);
             }
             assert!(done >= 1);
             assert_eq!(cluster.count_executions(&key).await, 1, "{key}");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn whatever_happens_to_the_claim_it_runs_at_most_once() {
+fn request_runs_at_most_once_under_any_fault_of_its_claim() {
     let cases = [
         ("commit", "lost", 0, "done", 1),
         ("commit", "late", 400, "not_run", 0),
@@ -45,27 +45,34 @@
         ("commit", "slow", 200, "done", 1),
     ];
     on_cluster(ClusterConfig::default(), async |cluster| {
-        for (target, mode, ms, outcome, times) in cases {
+        for (target, mode, ms, outcome, executions) in cases {
             let key = format!("a-{target}-{mode}");
             cluster.set_platform_fault(target, mode, ms, None).await;
             let started = Instant::now();
             let first = send(&cluster, 0, &alert(&key)).await;
             assert_eq!(first.outcome(), outcome, "{key}: {first:?}");
-            assert!(started.elapsed() < Duration::from_secs(3), "{key}: at once");
-            assert_eq!(cluster.count_executions(&key).await, times, "{key}");
+            assert!(
+                started.elapsed() < Duration::from_secs(3),
+                "{key}: the response took too long"
+            );
+            assert_eq!(cluster.count_executions(&key).await, executions, "{key}");
             cluster.set_platform_fault(target, "none", 0, None).await;
-            eventually("the caller who asks again gets it done", async || {
+            eventually("a retry completes the request", async || {
                 send(&cluster, 1, &alert(&key)).await.outcome() == "done"
             })
             .await;
             runtime::sleep(Duration::from_millis(600)).await;
-            assert_eq!(cluster.count_executions(&key).await, 1, "{key}: once in the end");
+            assert_eq!(
+                cluster.count_executions(&key).await,
+                1,
+                "{key}: the request must run exactly once"
+            );
         }
     });
 }
 
 #[test]
-fn a_lost_answer_of_the_service_is_unknown_and_never_run_again() {
+fn lost_service_response_is_unknown_and_not_rerun() {
     on_cluster(ClusterConfig::default(), async |cluster| {
         cluster.set_server_fault("gauge-0", &json!({ "lose": true })).await;
         let first = send(&cluster, 0, &alert("a-1")).await;
@@ -80,15 +87,15 @@
 }
 
 #[test]
-fn a_node_killed_after_the_claim_leaves_it_run_at_most_once() {
+fn request_runs_at_most_once_when_its_node_is_killed_after_the_claim() {
     on_cluster(ClusterConfig::default(), async |mut cluster| {
         cluster.set_server_fault("gauge-0", &json!({ "slow_ms": 500 })).await;
         let (client, to) = (cluster.client.clone(), cluster.nodes[0].get_client_address());
-        let calling =
+        let pending_call =
             runtime::spawn_with_handle(async move { alert("a-1").send(&client, to).await });
-        eventually("it runs", async || cluster.count_executions("a-1").await == 1).await;
+        eventually("the request runs", async || cluster.count_executions("a-1").await == 1).await;
         cluster.nodes[0].process.kill();
-        assert!(calling.await.is_err(), "the answer is lost with the node");
+        assert!(pending_call.await.is_err(), "the response is lost with the node");
         cluster.set_server_fault("gauge-0", &json!({})).await;
         for node in [1, 2, 1, 2] {
             let again = send(&cluster, node, &alert("a-1")).await;
@@ -100,26 +107,29 @@
 }
 
 #[test]
-fn a_frozen_node_that_wakes_runs_nothing_again() {
+fn resumed_node_does_not_rerun_requests() {
     on_cluster(ClusterConfig::default(), async |cluster| {
         for round in 0..5 {
             let key = format!("a-{round}");
             let (client, to, call) =
                 (cluster.client.clone(), cluster.nodes[0].get_client_address(), alert(&key));
-            let calling = runtime::spawn_with_handle(async move { call.send(&client, to).await });
+            let pending_call =
+                runtime::spawn_with_handle(async move { call.send(&client, to).await });
             runtime::sleep(Duration::from_millis(round * 2)).await;
             cluster.nodes[0].process.suspend();
-            let elsewhere = send(&cluster, 1, &alert(&key)).await;
+            let second = send(&cluster, 1, &alert(&key)).await;
             runtime::sleep(Duration::from_millis(800)).await;
             cluster.nodes[0].process.resume();
-            let first = calling.await.expect("there is a response");
+            let first = pending_call.await.expect("the node responds");
             runtime::sleep(Duration::from_millis(300)).await;
-            let times = cluster.count_executions(&key).await;
-            assert!(times <= 1, "{key}: {times}");
-            for answer in [first, elsewhere] {
+            let executions = cluster.count_executions(&key).await;
+            assert!(executions <= 1, "{key}: {executions}");
+            for response in [first, second] {
                 assert!(
-                    answer.outcome() != "not_run" || times == 0 || answer.retry_after.is_some(),
-                    "{answer:?}"
+                    response.outcome() != "not_run"
+                        || executions == 0
+                        || response.retry_after.is_some(),
+                    "{response:?}"
                 );
             }
         }
@@ -127,11 +137,11 @@
 }
 
 #[test]
-fn a_recorded_answer_is_given_again_whole_after_all_nodes_were_replaced() {
+fn recorded_response_is_replayed_after_all_nodes_are_replaced() {
     on_cluster(ClusterConfig::default(), async |mut cluster| {
         let first = send(&cluster, 0, &alert("a-1")).await;
         assert_eq!(first.status, 200);
-        eventually("the answer is recorded", async || {
+        eventually("the response is recorded", async || {
             cluster.sum_counter("claims_settled").await == 1
         })
         .await;
@@ -139,10 +149,10 @@
             node.process.kill();
         }
         for number in 0..2 {
-            cluster.start_node(&format!("fresh-{number}"), number).await.expect("it starts");
+            cluster.start_node(&format!("fresh-{number}"), number).await.expect("the node starts");
         }
-        cluster.wait_until_ready().await.expect("the nodes find each other");
-        eventually("the recorded answer comes", async || {
+        cluster.wait_until_ready().await.expect("the nodes become ready");
+        eventually("the recorded response is replayed", async || {
             let again = send(&cluster, 1, &alert("a-1")).await;
             again.status == 200 && again.body == first.body
         })
@@ -152,39 +162,47 @@
 }
 
 #[test]
-fn an_unrepeatable_model_request_survives_a_reclaim_as_one_run_that_goes_on() {
+fn non_idempotent_model_request_is_resumed_after_a_reclaim() {
     on_cluster(ClusterConfig { engines: 2, ..ClusterConfig::default() }, async |cluster| {
         let call = Call::completion(DUTY_CREDENTIAL, "alert", "hidro", "an alert that moves", 250)
             .key("a-1");
         let stream = super::support::open(&cluster, 0, &call, 20).await;
-        let server = super::support::server_of(&cluster, "a-1").await;
+        let server = super::support::get_last_server(&cluster, "a-1").await;
         cluster.give_notice(&server, 1_000).await;
-        let answer = super::support::finish(stream).await;
-        assert!(answer.is_complete, "{:?}", answer.problem);
-        assert_eq!(answer.body, standin::engine::expected_output("an alert that moves", 250));
-        let ran: Vec<_> = cluster
+        let response = super::support::finish(stream).await;
+        assert!(response.is_complete, "{:?}", response.problem);
+        assert_eq!(response.body, standin::engine::expected_output("an alert that moves", 250));
+        let executions: Vec<_> = cluster
             .get_executions()
             .await
             .into_iter()
             .filter(|(_, entry)| entry["key"] == "a-1")
             .collect();
-        let begun = ran.iter().filter(|(_, entry)| entry["resumed_from"] == 0).count();
-        assert_eq!((ran.len(), begun), (2, 1), "begun once, gone on with once: {ran:?}");
+        let started = executions.iter().filter(|(_, entry)| entry["resumed_from"] == 0).count();
+        assert_eq!(
+            (executions.len(), started),
+            (2, 1),
+            "expected one start and one resumption: {executions:?}"
+        );
     });
 }
 
 #[test]
-fn an_unrepeatable_model_request_is_followed_but_not_run_again() {
+fn non_idempotent_model_request_is_not_rerun_after_a_crash() {
     on_cluster(ClusterConfig::default(), async |mut cluster| {
         let call =
             Call::completion(DUTY_CREDENTIAL, "alert", "hidro", "an alert summary", 100).key("a-1");
         let stream = super::support::open(&cluster, 0, &call, 10).await;
-        let server = super::support::server_of(&cluster, "a-1").await;
-        cluster.servers.get_mut(&server).expect("it runs").kill();
-        let answer = super::support::finish(stream).await;
-        assert_eq!(answer.outcome(), "unknown", "{answer:?}");
+        let server = super::support::get_last_server(&cluster, "a-1").await;
+        cluster.servers.get_mut(&server).expect("the server is running").kill();
+        let response = super::support::finish(stream).await;
+        assert_eq!(response.outcome(), "unknown", "{response:?}");
         let again = send(&cluster, 1, &call).await;
         assert_eq!(again.outcome(), "unknown", "{again:?}");
-        assert_eq!(cluster.count_executions("a-1").await, 0, "the other engine never saw it");
+        assert_eq!(
+            cluster.count_executions("a-1").await,
+            0,
+            "the other engine must not run the request"
+        );
     });
 }
--- a/crates/standin/tests/faults/main.rs
+++ b/crates/standin/tests/faults/main.rs
@@ -1,7 +1,7 @@
-//! Each promise under failure, on real processes over loopback.
+//! Fault injection tests with real processes on loopback.
 //!
-//! Tests wait for conditions with generous bounds, and every answer is compared with the one that
-//! the engine would have given undisturbed.
+//! The tests wait for conditions with generous timeouts and compare every response with the output
+//! that the engine generates without faults.
 
 mod at_most_once;
 mod control;
--- a/crates/standin/tests/faults/not_run.rs
+++ b/crates/standin/tests/faults/not_run.rs
@@ -1,4 +1,4 @@
-//! When a caller is told "not run", it did not run.
+//! A request with the outcome `not_run` never ran on a backend server.
 
 use std::time::{Duration, Instant};
 
@@ -8,30 +8,30 @@
 
 use super::support::{alert, briefing, eventually, on_cluster, send};
 
-/// A refusal comes at once: far sooner than any class's deadline.
-const AT_ONCE: Duration = Duration::from_secs(2);
+/// Upper bound for the time of a rejection, far below the deadline of every class.
+const REJECTION_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[test]
-fn a_request_that_is_not_understood_is_refused_and_dispatched_nowhere() {
-    let plan = ClusterConfig {
+fn invalid_request_is_rejected_without_dispatch() {
+    let config = ClusterConfig {
         settings: json!({ "limits": { "body_bytes": 4096 } }),
         ..ClusterConfig::default()
     };
-    on_cluster(plan, async |cluster| {
-        let good = || briefing("refused", 5).key("refused");
+    on_cluster(config, async |cluster| {
+        let valid = || briefing("refused", 5).key("refused");
         let oversize = json!({ "model": "hidro", "prompt": "x".repeat(5_000) }).to_string();
         let cases = [
-            ("bad JSON", good().body("{".to_owned()), 400),
-            ("not an object", good().body("[]".to_owned()), 400),
-            ("no prompt", good().body("{\"model\":\"hidro\"}".to_owned()), 400),
-            ("no model", good().body("{\"prompt\":\"x\"}".to_owned()), 400),
-            ("unknown model", good().body("{\"model\":\"x\",\"prompt\":\"x\"}".to_owned()), 404),
-            ("oversize body", good().body(oversize), 413),
-            ("wrong credential", good().header("authorization", "Bearer wrong"), 401),
-            ("no credential", good().remove_header("authorization"), 401),
-            ("no class", good().remove_header("keeljunction-class"), 400),
-            ("unknown class", good().header("keeljunction-class", "x"), 400),
-            ("bad key", good().key("a b"), 400),
+            ("bad JSON", valid().body("{".to_owned()), 400),
+            ("not an object", valid().body("[]".to_owned()), 400),
+            ("no prompt", valid().body("{\"model\":\"hidro\"}".to_owned()), 400),
+            ("no model", valid().body("{\"prompt\":\"x\"}".to_owned()), 400),
+            ("unknown model", valid().body("{\"model\":\"x\",\"prompt\":\"x\"}".to_owned()), 404),
+            ("oversize body", valid().body(oversize), 413),
+            ("wrong credential", valid().header("authorization", "Bearer wrong"), 401),
+            ("no credential", valid().remove_header("authorization"), 401),
+            ("no class", valid().remove_header("keeljunction-class"), 400),
+            ("unknown class", valid().header("keeljunction-class", "x"), 400),
+            ("bad key", valid().key("a b"), 400),
             ("alert without a key", alert("refused").remove_header("idempotency-key"), 400),
             (
                 "unknown service",
@@ -52,12 +52,12 @@
             ),
         ];
         for (name, call, status) in cases {
-            let answer = send(&cluster, 0, &call).await;
+            let response = send(&cluster, 0, &call).await;
             assert_eq!(
-                (answer.status, answer.outcome().as_str()),
+                (response.status, response.outcome().as_str()),
                 (status, "not_run"),
                 "{name}: {}",
-                answer.body
+                response.body
             );
         }
         assert_eq!(cluster.get_executions().await.len(), 0);
@@ -65,41 +65,44 @@
 }
 
 #[test]
-fn with_no_server_left_refusals_come_at_once_and_say_when_to_come_back() {
+fn rejections_without_servers_are_fast_and_have_retry_after() {
     on_cluster(ClusterConfig { engines: 1, ..ClusterConfig::default() }, async |cluster| {
         cluster.give_notice("hidro-0", 60_000).await;
-        let leaves = |status: &serde_json::Value| status["servers"]["hidro-0"] == "leaving";
-        cluster.wait_for_status(super::support::SOON, leaves).await.expect("all nodes know");
+        let is_leaving = |status: &serde_json::Value| status["servers"]["hidro-0"] == "leaving";
+        cluster
+            .wait_for_status(super::support::CONVERGENCE_TIMEOUT, is_leaving)
+            .await
+            .expect("all nodes see the notice");
         for node in 0..3 {
             let started = Instant::now();
-            let answer = send(&cluster, node, &briefing("no room", 5).key("r-1")).await;
-            assert_eq!((answer.status, answer.outcome().as_str()), (503, "not_run"));
-            assert!(answer.retry_after.is_some_and(|seconds| seconds >= 1), "{answer:?}");
-            assert!(started.elapsed() < AT_ONCE);
+            let response = send(&cluster, node, &briefing("no room", 5).key("r-1")).await;
+            assert_eq!((response.status, response.outcome().as_str()), (503, "not_run"));
+            assert!(response.retry_after.is_some_and(|seconds| seconds >= 1), "{response:?}");
+            assert!(started.elapsed() < REJECTION_TIMEOUT);
         }
         assert_eq!(cluster.count_executions("r-1").await, 0);
     });
 }
 
 #[test]
-fn an_engine_that_refuses_leaves_the_request_not_run() {
-    let plan = ClusterConfig {
+fn request_rejected_by_the_engine_is_not_run() {
+    let config = ClusterConfig {
         engines: 1,
         settings: json!({ "routing": { "retry_burst": 1 } }),
         ..ClusterConfig::default()
     };
-    on_cluster(plan, async |cluster| {
+    on_cluster(config, async |cluster| {
         cluster.set_server_fault("hidro-0", &json!({ "refuse": true })).await;
-        let answer = send(&cluster, 0, &briefing("refused by the engine", 5).key("r-1")).await;
-        assert_eq!(answer.outcome(), "not_run", "{answer:?}");
+        let response = send(&cluster, 0, &briefing("refused by the engine", 5).key("r-1")).await;
+        assert_eq!(response.outcome(), "not_run", "{response:?}");
         assert_eq!(cluster.count_executions("r-1").await, 0);
     });
 }
 
 #[test]
-fn overload_is_refused_at_once_and_what_is_refused_did_not_run() {
-    let plan = ClusterConfig { nodes: 2, engines: 1, slots: 4, ..ClusterConfig::default() };
-    on_cluster(plan, async |cluster| {
+fn overload_is_rejected_quickly_and_rejected_requests_do_not_run() {
+    let config = ClusterConfig { nodes: 2, engines: 1, slots: 4, ..ClusterConfig::default() };
+    on_cluster(config, async |cluster| {
         let calls: Vec<_> = (0..60)
             .map(|number| {
                 let (client, to) =
@@ -117,45 +120,45 @@
                     let started = Instant::now();
                     (
                         key,
-                        call.send(&client, to).await.expect("there is a response"),
+                        call.send(&client, to).await.expect("the node responds"),
                         started.elapsed(),
                     )
                 })
             })
             .collect();
-        let mut refused = 0;
+        let mut rejected = 0;
         for call in calls {
-            let (key, answer, time) = call.await;
-            if answer.is_complete {
+            let (key, response, time) = call.await;
+            if response.is_complete {
                 continue;
             }
-            refused += 1;
-            assert_eq!(answer.outcome(), "not_run", "{answer:?}");
-            assert!(answer.retry_after.is_some_and(|seconds| seconds >= 1), "{answer:?}");
-            assert!(time < AT_ONCE, "{time:?}");
+            rejected += 1;
+            assert_eq!(response.outcome(), "not_run", "{response:?}");
+            assert!(response.retry_after.is_some_and(|seconds| seconds >= 1), "{response:?}");
+            assert!(time < REJECTION_TIMEOUT, "{time:?}");
             assert_eq!(cluster.count_executions(&key).await, 0, "{key}");
         }
-        assert!(refused > 10, "there was overload: {refused} of 60 refused");
+        assert!(rejected > 10, "too little overload: {rejected} of 60 rejected");
     });
 }
 
 #[test]
-fn a_closed_node_refuses_what_comes_and_runs_none_of_it() {
+fn stopping_node_rejects_new_requests_without_running_them() {
     on_cluster(ClusterConfig::default(), async |cluster| {
-        let open =
+        let stream =
             super::support::open(&cluster, 0, &briefing("keeps the node alive", 300), 3).await;
         cluster.nodes[0].process.terminate();
-        eventually("the node closes", async || {
-            let answer = briefing("too late", 5)
+        eventually("the node rejects new requests", async || {
+            let response = briefing("too late", 5)
                 .key("late")
                 .send(&cluster.client, cluster.nodes[0].get_client_address())
                 .await;
-            answer.is_ok_and(|answer| answer.status == 503 && answer.outcome() == "not_run")
+            response.is_ok_and(|response| response.status == 503 && response.outcome() == "not_run")
         })
         .await;
-        let answer = send(&cluster, 0, &briefing("too late", 5).key("late-2")).await;
-        assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
+        let response = send(&cluster, 0, &briefing("too late", 5).key("late-2")).await;
+        assert_eq!((response.status, response.retry_after), (503, Some(1)));
         assert_eq!(cluster.count_executions("late-2").await, 0);
-        drop(open);
+        drop(stream);
     });
 }
--- a/crates/standin/tests/faults/planned_stop.rs
+++ b/crates/standin/tests/faults/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request in flight.
+//! A planned stop interrupts no request in flight.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,33 +15,33 @@
 use super::support::{briefing, finish, on_cluster, open};
 
 #[test]
-fn a_stopped_node_finishes_its_streams_and_exits_with_success() {
+fn stopped_node_finishes_its_streams_and_exits_with_success() {
     on_cluster(ClusterConfig::default(), async |mut cluster| {
-        let mut reading = Vec::new();
+        let mut pending = Vec::new();
         for number in 0..8 {
             let prompt = format!("in flight {number}");
             let stream = open(&cluster, 0, &briefing(&prompt, 150), 3).await;
-            reading.push((prompt, runtime::spawn_with_handle(finish(stream))));
+            pending.push((prompt, runtime::spawn_with_handle(finish(stream))));
         }
         cluster.nodes[0].process.terminate();
-        for (prompt, answer) in reading {
-            let answer = answer.await;
-            assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, expected_output(&prompt, 150));
+        for (prompt, response) in pending {
+            let response = response.await;
+            assert!(response.is_complete, "{:?}", response.problem);
+            assert_eq!(response.body, expected_output(&prompt, 150));
         }
         let status = cluster.nodes[0].process.wait(Duration::from_secs(15)).await;
         assert!(status.is_some_and(|status| status.success()));
         cluster.nodes.remove(0);
         let taken_over = cluster.sum_counter("requests_taken_over").await;
-        assert_eq!(taken_over, 0, "there was time, so the node finished all by itself");
+        assert_eq!(taken_over, 0, "the node had time to finish all requests itself");
     });
 }
 
-/// What the platform's balancer knows: which nodes said that they are ready, a moment ago.
-type Ready = Arc<Mutex<Vec<bool>>>;
+/// The result of the latest readiness check of each node.
+type Readiness = Arc<Mutex<Vec<bool>>>;
 
-/// Asks all nodes for their readiness again and again, as a balancer does.
-fn balance(cluster: &Cluster, ready: &Ready) -> Task<()> {
+/// Polls the readiness of all nodes, like a load balancer.
+fn poll_readiness(cluster: &Cluster, ready: &Readiness) -> Task<()> {
     let operators: Vec<SocketAddr> =
         cluster.nodes.iter().map(|node| node.get_operator_address()).collect();
     let (client, ready) = (cluster.client.clone(), ready.clone());
@@ -50,8 +50,8 @@
             for (node, operator) in operators.iter().enumerate() {
                 let request =
                     Request::get("/readyz").header("host", "balancer").body(Body::empty());
-                let answer = client.send(*operator, request.expect("it is a request")).await;
-                let is_ready = answer.is_ok_and(|answer| answer.status() == 200);
+                let response = client.send(*operator, request.expect("the request is valid")).await;
+                let is_ready = response.is_ok_and(|response| response.status() == 200);
                 lock(&ready)[node] = is_ready;
             }
             runtime::sleep(Duration::from_millis(50)).await;
@@ -59,42 +59,46 @@
     })
 }
 
-/// Calls ready nodes in turn until it is told to end; every answer must be whole.
-async fn call_on(
+/// Calls the ready nodes in turn until `is_over` is set, and returns the number of calls.
+///
+/// Every response must be complete and correct.
+async fn call_ready_nodes(
     number: usize,
-    callers: Vec<SocketAddr>,
-    ready: Ready,
+    addresses: Vec<SocketAddr>,
+    ready: Readiness,
     is_over: Arc<AtomicBool>,
 ) -> usize {
     let client = Client::new(Duration::from_secs(1));
     let mut done = 0;
     while !is_over.load(Ordering::SeqCst) {
-        let places: Vec<usize> = (0..callers.len()).filter(|node| lock(&ready)[*node]).collect();
-        let to = callers[places[(number + done) % places.len()]];
+        let ready_nodes: Vec<usize> =
+            (0..addresses.len()).filter(|node| lock(&ready)[*node]).collect();
+        let to = addresses[ready_nodes[(number + done) % ready_nodes.len()]];
         let prompt = format!("caller {number} call {done}");
-        let answer = briefing(&prompt, 30).send(&client, to).await.expect("no connection is cut");
-        assert!(answer.is_complete, "not one is refused or cut off: {answer:?}");
-        assert_eq!(answer.body, expected_output(&prompt, 30));
+        let response =
+            briefing(&prompt, 30).send(&client, to).await.expect("the connection must not break");
+        assert!(response.is_complete, "the request was rejected or interrupted: {response:?}");
+        assert_eq!(response.body, expected_output(&prompt, 30));
         done += 1;
     }
     done
 }
 
 #[test]
-fn stopping_nodes_in_turn_behind_a_balancer_cuts_and_refuses_nothing() {
+fn rolling_stop_behind_a_load_balancer_interrupts_and_rejects_no_request() {
     on_cluster(
         ClusterConfig { nodes: 4, engines: 3, ..ClusterConfig::default() },
         async |mut cluster| {
-            let ready: Ready = Arc::new(Mutex::new(vec![true; 4]));
+            let ready: Readiness = Arc::new(Mutex::new(vec![true; 4]));
             let is_over: Arc<AtomicBool> = Arc::default();
-            let balancer = balance(&cluster, &ready);
-            let callers: Vec<SocketAddr> =
+            let balancer = poll_readiness(&cluster, &ready);
+            let addresses: Vec<SocketAddr> =
                 cluster.nodes.iter().map(|node| node.get_client_address()).collect();
-            let calling: Vec<_> = (0..6)
+            let clients: Vec<_> = (0..6)
                 .map(|number| {
-                    runtime::spawn_with_handle(call_on(
+                    runtime::spawn_with_handle(call_ready_nodes(
                         number,
-                        callers.clone(),
+                        addresses.clone(),
                         ready.clone(),
                         is_over.clone(),
                     ))
@@ -106,12 +110,12 @@
                 let status = cluster.nodes[node].process.wait(Duration::from_secs(20)).await;
                 assert!(
                     status.is_some_and(|status| status.success()),
-                    "node {node} ends by itself"
+                    "node {node} did not exit with success"
                 );
             }
             is_over.store(true, Ordering::SeqCst);
-            for caller in calling {
-                assert!(caller.await > 3);
+            for client in clients {
+                assert!(client.await > 3);
             }
             drop(balancer);
         },
--- a/crates/standin/tests/faults/support.rs
+++ b/crates/standin/tests/faults/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Helpers shared by the fault tests.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,27 +6,27 @@
 use keeljunction::runtime;
 use standin::harness::{Call, Cluster, ClusterConfig, DUTY_CREDENTIAL, Response, Stream};
 
-/// Bound on anything that must come to pass.
-pub const SOON: Duration = Duration::from_secs(15);
+/// Timeout for conditions that must eventually hold.
+pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Starts a cluster and runs a test on it.
-pub fn on_cluster<F, Fut>(plan: ClusterConfig, test: F)
+pub fn on_cluster<F, Fut>(config: ClusterConfig, test: F)
 where
     F: FnOnce(Cluster) -> Fut,
     Fut: Future<Output = ()>,
 {
     runtime::run(1, async {
-        let cluster = Cluster::start(plan).await.expect("the cluster starts");
+        let cluster = Cluster::start(config).await.expect("the cluster starts");
         test(cluster).await;
     });
 }
 
-/// Asks for a stream of a briefing.
+/// Creates a streaming request in the class `briefing`.
 pub fn briefing(prompt: &str, tokens: u64) -> Call {
     Call::completion(DUTY_CREDENTIAL, "briefing", "hidro", prompt, tokens)
 }
 
-/// Posts an alert, which is not to be repeated.
+/// Creates a non-idempotent request in the class `alert`.
 pub fn alert(key: &str) -> Call {
     Call::plain(
         DUTY_CREDENTIAL,
@@ -38,58 +38,63 @@
     .key(key)
 }
 
-/// Sends a call to a node, by its place.
+/// Sends a call to the node with the given index.
 pub async fn send(cluster: &Cluster, node: usize, call: &Call) -> Response {
-    let answer = call.send(&cluster.client, cluster.nodes[node].get_client_address()).await;
-    answer.expect("there is a response")
+    let response = call.send(&cluster.client, cluster.nodes[node].get_client_address()).await;
+    response.expect("the node responds")
 }
 
-/// Opens a stream at a node and reads its first tokens.
+/// Opens a stream through a node and reads its first tokens.
 pub async fn open(cluster: &Cluster, node: usize, call: &Call, tokens: usize) -> Stream {
     let opened = call.open(&cluster.client, cluster.nodes[node].get_client_address()).await;
-    let mut stream = opened.expect("there is a response");
+    let mut stream = opened.expect("the node responds");
     stream.read_tokens(tokens).await;
     assert_eq!(
         stream.response.token_times.len(),
         tokens,
-        "the first tokens come: {:?}",
+        "the first tokens did not arrive: {:?}",
         stream.response
     );
     stream
 }
 
-/// Reads a stream to its end, or as far as it comes.
+/// Reads a stream to its end, or until it breaks off.
 pub async fn finish(mut stream: Stream) -> Response {
     while stream.next().await {}
     stream.response
 }
 
-/// Finds the server on which a request key ran last.
-pub async fn server_of(cluster: &Cluster, key: &str) -> String {
-    let ran = cluster.get_executions().await;
-    let runs = ran.iter().filter(|(_, entry)| entry["key"] == key);
+/// Returns the server that last ran a request key.
+pub async fn get_last_server(cluster: &Cluster, key: &str) -> String {
+    let executions = cluster.get_executions().await;
+    let runs = executions.iter().filter(|(_, entry)| entry["key"] == key);
     let last = runs.max_by_key(|(_, entry)| entry["unix_ms"].as_u64());
-    last.map(|(server, _)| server.clone()).expect("the request ran somewhere")
+    last.map(|(server, _)| server.clone()).expect("no server ran the request")
 }
 
-/// Waits until something holds.
-pub async fn eventually<F, Fut>(what: &str, mut check: F)
+/// Waits until `check` returns `true`, and panics after [`CONVERGENCE_TIMEOUT`].
+pub async fn eventually<F, Fut>(condition: &str, mut check: F)
 where
     F: FnMut() -> Fut,
     Fut: Future<Output = bool>,
 {
-    let is_met = runtime::timeout(SOON, async {
+    let is_met = runtime::timeout(CONVERGENCE_TIMEOUT, async {
         while !check().await {
             runtime::sleep(Duration::from_millis(20)).await;
         }
     });
-    assert!(is_met.await.is_some(), "not so in time: {what}");
+    assert!(is_met.await.is_some(), "condition did not hold within the timeout: {condition}");
 }
 
-/// Comes back for the rest of an answer at another node, until a node knows it.
-pub async fn come_back(cluster: &Cluster, node: usize, call: &Call, so_far: &Response) -> Response {
-    let last = so_far.last_offset.expect("some tokens came");
-    let call = call.clone().header("last-event-id", &last.to_string());
+/// Requests the rest of a partial response from another node, with retries until it is complete.
+pub async fn resume_at(
+    cluster: &Cluster,
+    node: usize,
+    call: &Call,
+    partial: &Response,
+) -> Response {
+    let last_offset = partial.last_offset.expect("no tokens were received");
+    let call = call.clone().header("last-event-id", &last_offset.to_string());
     let mut rest = send(cluster, node, &call).await;
     for _ in 0..20 {
         if rest.is_complete {
@@ -98,7 +103,7 @@
         runtime::sleep(Duration::from_millis(250)).await;
         rest = send(cluster, node, &call).await;
     }
-    assert!(rest.is_complete, "the rest comes: {rest:?}");
-    let body = format!("{}{}", so_far.body, rest.body);
+    assert!(rest.is_complete, "the rest of the response is incomplete: {rest:?}");
+    let body = format!("{}{}", partial.body, rest.body);
     Response { body, ..rest }
 }
--- a/crates/standin/tests/faults/whole_answer.rs
+++ b/crates/standin/tests/faults/whole_answer.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request and no other.
+//! Each client gets the complete response to its own request and no other.
 
 use keeljunction::runtime;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use super::support::{briefing, finish, on_cluster, open, send};
 
 #[test]
-fn late_doubled_foreign_and_missing_events_leave_the_answer_whole() {
+fn duplicate_foreign_reordered_and_missing_events_leave_the_response_complete() {
     let faults = [
         ("doubled", json!({ "double": true })),
         ("foreign", json!({ "foreign": true })),
@@ -20,65 +20,65 @@
         for (name, fault) in faults {
             cluster.set_server_fault("hidro-0", &fault).await;
             let prompt = format!("events that are {name}");
-            let answer = send(&cluster, 0, &briefing(&prompt, 60)).await;
-            assert!(answer.is_complete, "{name}: {:?}", answer.problem);
-            assert_eq!(answer.body, expected_output(&prompt, 60), "{name}");
+            let response = send(&cluster, 0, &briefing(&prompt, 60)).await;
+            assert!(response.is_complete, "{name}: {:?}", response.problem);
+            assert_eq!(response.body, expected_output(&prompt, 60), "{name}");
         }
     });
 }
 
 #[test]
-fn many_callers_at_once_each_get_their_own() {
+fn concurrent_clients_each_get_their_own_response() {
     on_cluster(ClusterConfig { engines: 3, ..ClusterConfig::default() }, async |cluster| {
-        let answers: Vec<_> = (0..60)
+        let pending: Vec<_> = (0..60)
             .map(|number| {
                 let (client, to) =
                     (cluster.client.clone(), cluster.nodes[number % 3].get_client_address());
                 let prompt = format!("caller {number} asks");
                 runtime::spawn_with_handle(async move {
-                    let answer = briefing(&prompt, 30).send(&client, to).await;
-                    (prompt, answer.expect("there is a response"))
+                    let response = briefing(&prompt, 30).send(&client, to).await;
+                    (prompt, response.expect("the node responds"))
                 })
             })
             .collect();
-        for answer in answers {
-            let (prompt, answer) = answer.await;
-            assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, expected_output(&prompt, 30));
+        for response in pending {
+            let (prompt, response) = response.await;
+            assert!(response.is_complete, "{:?}", response.problem);
+            assert_eq!(response.body, expected_output(&prompt, 30));
         }
     });
 }
 
 #[test]
-fn a_whole_document_holds_the_same_text_as_the_stream() {
+fn non_streaming_response_has_the_same_text_as_the_stream() {
     on_cluster(ClusterConfig::default(), async |cluster| {
         let body = json!({ "model": "hidro", "prompt": "not streamed", "max_tokens": 12 });
         let call = briefing("", 0).body(body.to_string());
-        let answer = send(&cluster, 1, &call).await;
-        assert_eq!(answer.status, 200);
-        assert_eq!(answer.json()["choices"][0]["text"], expected_output("not streamed", 12));
-        assert_eq!(answer.json()["usage"]["completion_tokens"], 12);
+        let response = send(&cluster, 1, &call).await;
+        assert_eq!(response.status, 200);
+        assert_eq!(response.json()["choices"][0]["text"], expected_output("not streamed", 12));
+        assert_eq!(response.json()["usage"]["completion_tokens"], 12);
     });
 }
 
 #[test]
-fn a_second_caller_with_the_same_key_gets_the_same_answer_at_any_node() {
+fn second_request_with_the_same_key_gets_the_same_response_at_any_node() {
     on_cluster(ClusterConfig::default(), async |cluster| {
         let call = briefing("asked twice", 120).key("b-1");
         let first = open(&cluster, 0, &call, 5).await;
         let second = send(&cluster, 1, &call).await;
         let third = send(&cluster, 2, &call).await;
         let first = finish(first).await;
-        for answer in [first, second, third] {
-            assert!(answer.is_complete, "{:?}", answer.problem);
-            assert_eq!(answer.body, expected_output("asked twice", 120));
+        for response in [first, second, third] {
+            assert!(response.is_complete, "{:?}", response.problem);
+            assert_eq!(response.body, expected_output("asked twice", 120));
         }
         assert_eq!(cluster.count_executions("b-1").await, 1);
     });
 }
 
 #[test]
-fn a_key_belongs_to_its_account_and_to_one_body() {
+fn idempotency_key_is_scoped_to_one_account_and_one_body() {
     on_cluster(ClusterConfig::default(), async |cluster| {
         let first = send(&cluster, 0, &briefing("the first body", 10).key("k")).await;
         assert!(first.is_complete);
@@ -97,11 +97,11 @@
 }
 
 #[test]
-fn an_answer_that_nobody_knows_is_not_begun_in_the_middle() {
+fn resumption_of_an_unknown_response_is_rejected() {
     on_cluster(ClusterConfig::default(), async |cluster| {
         let call = briefing("never asked before", 10).key("k").header("last-event-id", "4");
-        let answer = send(&cluster, 0, &call).await;
-        assert_eq!((answer.status, answer.outcome().as_str()), (409, "unknown"));
+        let response = send(&cluster, 0, &call).await;
+        assert_eq!((response.status, response.outcome().as_str()), (409, "unknown"));
         assert_eq!(cluster.count_executions("k").await, 0);
     });
 }
