--- a/crates/standin/src/platform/serve.rs
+++ b/crates/standin/src/platform/serve.rs
@@ -81,7 +81,9 @@
 fn execute(state: &SharedState, method: &Method, path: &str, content: &[u8]) -> Response<Body> {
     let mut state = lock(state);
     match (method.as_str(), path) {
-        ("POST", "/table/read") => parse(content, |read: Read| reply::json(&state.read(&read.keys))),
+        ("POST", "/table/read") => {
+            parse(content, |read: Read| reply::json(&state.read(&read.keys)))
+        }
         ("POST", "/table/scan") => {
             parse(content, |scan: Scan| reply::json(&state.scan(&scan.prefix)))
         }
