--- a/crates/core/src/bundle/signature.rs
+++ b/crates/core/src/bundle/signature.rs
@@ -46,7 +46,7 @@
     let key = VerifyingKey::from_bytes(&bytes).map_err(|_| untrusted("not an ed25519 key"))?;
     let signature = ed25519_dalek::Signature::from_bytes(&decode_hex(&signature.signature)?);
     key.verify_strict(digest(body).as_bytes(), &signature)
-        .map_err(|_| untrusted("the signature is not valid for this bundle").tip("sign it again"))
+        .map_err(|_| untrusted("the signature does not hold for this bundle").tip("sign it again"))
 }
 
 /// Parses a signing key from its 64 hex digits.
