--- a/crates/keeljunction/src/caller/check.rs
+++ b/crates/keeljunction/src/caller/check.rs
@@ -101,14 +101,11 @@
 fn authenticate(bundle: &Document, headers: &HeaderMap) -> Result<(String, String), Problem> {
     let header = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let credential = header.and_then(|value| value.strip_prefix("Bearer ")).ok_or_else(|| {
-        Problem::refused(
-            StatusCode::UNAUTHORIZED,
-            "missing credential; send Authorization: Bearer ...",
-        )
+        Problem::refused(StatusCode::UNAUTHORIZED, "no credential; send Authorization: Bearer ...")
     })?;
     let digest = bundle::digest(credential.trim().as_bytes());
     let found = bundle.get_account(&digest).ok_or_else(|| {
-        Problem::refused(StatusCode::UNAUTHORIZED, "no client account matches this credential")
+        Problem::refused(StatusCode::UNAUTHORIZED, "no client account has this credential")
     })?;
     Ok((found.0.name.clone(), found.1.name.clone()))
 }
@@ -117,12 +114,11 @@
     let names: Vec<&str> = bundle.classes.iter().map(|class| class.name.as_str()).collect();
     let allowed = names.join(", ");
     let Some(name) = header(headers, CLASS_HEADER) else {
-        let detail =
-            format!("missing request class; send Keeljunction-Class with one of: {allowed}");
+        let detail = format!("no request class; send Keeljunction-Class, one of: {allowed}");
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     };
     bundle.get_class(name).ok_or_else(|| {
-        let detail = format!("unknown request class {name:?}; possible values: {allowed}");
+        let detail = format!("no request class {name:?}; possible values: {allowed}");
         Problem::refused(StatusCode::BAD_REQUEST, detail)
     })
 }
@@ -131,12 +127,13 @@
     match header(headers, KEY_HEADER) {
         Some(key) if is_valid_key(key) => Ok((key.to_owned(), KeySource::Client)),
         Some(_) => {
-            let detail = "invalid Idempotency-Key; use 1 to 128 characters of A-Z a-z 0-9 . _ : -";
+            let detail = "Idempotency-Key takes 1 to 128 of A-Z a-z 0-9 . _ : -";
             Err(Problem::refused(StatusCode::BAD_REQUEST, detail))
         }
         None if class.repeatable => Ok((Uuid::new_v4().to_string(), KeySource::Generated)),
         None => {
-            let detail = "requests of this class run at most once and require an Idempotency-Key";
+            let detail =
+                "a request of this class runs at most once; send an Idempotency-Key with it";
             Err(Problem::refused(StatusCode::BAD_REQUEST, detail))
         }
     }
@@ -153,7 +150,7 @@
     let last: u64 = last.parse().map_err(|_| {
         Problem::refused(
             StatusCode::BAD_REQUEST,
-            "invalid Last-Event-ID; send the id of an event of the answer",
+            "Last-Event-ID takes the id of an event of the answer",
         )
     })?;
     Ok(last.saturating_add(1))
@@ -162,16 +159,13 @@
 fn find_route<'a>(method: &Method, path: &'a str, uri: &str) -> Result<Route<'a>, Problem> {
     if path == COMPLETIONS_PATH || path == CHAT_PATH {
         if method != Method::POST {
-            return Err(Problem::refused(
-                StatusCode::METHOD_NOT_ALLOWED,
-                "this path requires POST",
-            ));
+            return Err(Problem::refused(StatusCode::METHOD_NOT_ALLOWED, "this path takes POST"));
         }
         return Ok(Route::Model);
     }
     let Some(rest) = path.strip_prefix(SERVICES_PREFIX) else {
         let detail = format!(
-            "unknown path; possible values: {COMPLETIONS_PATH}, {CHAT_PATH}, {SERVICES_PREFIX}NAME/..."
+            "no such path; possible: {COMPLETIONS_PATH}, {CHAT_PATH}, {SERVICES_PREFIX}NAME/..."
         );
         return Err(Problem::refused(StatusCode::NOT_FOUND, detail));
     };
@@ -184,21 +178,21 @@
 async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Problem> {
     let max_bytes = node.settings.limits.body_bytes;
     http::read_body(body, max_bytes).await.ok_or_else(|| {
-        let detail = format!("the body is longer than {max_bytes} bytes or incomplete");
+        let detail = format!("the body is longer than {max_bytes} bytes, or broke off");
         Problem::refused(StatusCode::PAYLOAD_TOO_LARGE, detail)
     })
 }
 
 fn parse_body(body: &[u8]) -> Result<Value, Problem> {
     let parsed: Value = serde_json::from_slice(body).map_err(|error| {
-        Problem::refused(StatusCode::BAD_REQUEST, format!("the body is not valid JSON: {error}"))
+        Problem::refused(StatusCode::BAD_REQUEST, format!("the body is not JSON: {error}"))
     })?;
     if !parsed.is_object() {
         return Err(Problem::refused(StatusCode::BAD_REQUEST, "the body is not a JSON object"));
     }
     let has_prompt = parsed["prompt"].is_string() || parsed["messages"].is_array();
     if !has_prompt {
-        let detail = "missing prompt; send `prompt` as a string or `messages` as an array";
+        let detail = "no prompt; send prompt as text, or messages as a list";
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     }
     Ok(parsed)
@@ -208,11 +202,11 @@
     let models = bundle.services.iter().flat_map(|service| &service.models);
     let names: Vec<&str> = models.map(|model| model.name.as_str()).collect();
     let Some(name) = body["model"].as_str() else {
-        let detail = format!("missing model; possible values: {}", names.join(", "));
+        let detail = format!("no model; possible values: {}", names.join(", "));
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     };
     bundle.get_model_service(name).ok_or_else(|| {
-        let detail = format!("unknown model {name:?}; possible values: {}", names.join(", "));
+        let detail = format!("no model {name:?}; possible values: {}", names.join(", "));
         Problem::refused(StatusCode::NOT_FOUND, detail)
     })
 }
@@ -222,8 +216,7 @@
     service.ok_or_else(|| {
         let plain = bundle.services.iter().filter(|service| service.kind == Kind::Plain);
         let names: Vec<&str> = plain.map(|service| service.name.as_str()).collect();
-        let detail =
-            format!("unknown plain service {name:?}; possible values: {}", names.join(", "));
+        let detail = format!("no plain service {name:?}; possible values: {}", names.join(", "));
         Problem::refused(StatusCode::NOT_FOUND, detail)
     })
 }
--- a/crates/keeljunction/src/caller/operator.rs
+++ b/crates/keeljunction/src/caller/operator.rs
@@ -55,8 +55,7 @@
             Response::new(Body::from(format!("{}\n", node.get_roll())))
         }
         _ => {
-            let detail =
-                "unknown path; possible values: GET /healthz, /readyz, /status, POST /nudge";
+            let detail = "no such path; possible: GET /healthz, /readyz, /status, POST /nudge";
             respond(&Problem::refused(StatusCode::NOT_FOUND, detail))
         }
     }
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -63,7 +63,7 @@
 }
 
 fn key_reused() -> Final {
-    not_run(422, "the key was already used for a different request", 0)
+    not_run(422, "the key was used for another request", 0)
 }
 
 async fn admit(node: Arc<Node>, answer: Arc<Answer>, key_source: KeySource) {
@@ -75,7 +75,7 @@
         return;
     }
     if key_source == KeySource::Resumption {
-        let lost = unknown(409, "no node has this answer; retry without Last-Event-ID", 0);
+        let lost = unknown(409, "no node knows this answer; ask again without Last-Event-ID", 0);
         return ending::refuse(&node, &answer, lost);
     }
     let Some(permit) = node.try_acquire_permit(&answer.request.account) else {
@@ -117,7 +117,7 @@
 }
 
 fn already_sent() -> Final {
-    unknown(409, "the request was already sent and its result is unknown", OUTAGE_RETRY_AFTER_MS)
+    unknown(409, "the request was sent before and its answer is not known", OUTAGE_RETRY_AFTER_MS)
 }
 
 /// Obtains the grant, the copy of the record and the claim that an accepted request needs.
@@ -130,13 +130,12 @@
         avoid: &[],
     };
     let granted = grant::acquire(node, request, options).await;
-    let no_capacity = |r: Refusal| not_run(503, "no backend server has capacity", r.retry_after);
+    let no_capacity = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
     let grant = granted.map_err(|refusal| NotRunHere::End(no_capacity(refusal)))?;
     let location = if request.is_safe() { None } else { Some(copy::create(node, answer).await) };
     if location == Some(None) {
         release_grant(node, &grant);
-        let ended =
-            not_run(503, "the request record could not be replicated", OUTAGE_RETRY_AFTER_MS);
+        let ended = not_run(503, "the request's record could not be copied", OUTAGE_RETRY_AFTER_MS);
         return Err(NotRunHere::End(ended));
     }
     let location = location.flatten();
@@ -180,7 +179,7 @@
     match verdict {
         Verdict::Run => Ok(()),
         Verdict::Recorded(answer) => Err(ending::recorded(&answer)),
-        Verdict::Released => Err(not_run(503, "the request was abandoned before it was sent", 0)),
+        Verdict::Released => Err(not_run(503, "the request was given up before it was sent", 0)),
         Verdict::HeldByOther(_) | Verdict::Available => Err(already_sent()),
         Verdict::Mismatch => Err(key_reused()),
     }
--- a/crates/keeljunction/src/node/attempt.rs
+++ b/crates/keeljunction/src/node/attempt.rs
@@ -55,11 +55,7 @@
             let status = response.status().as_u16();
             answer.finish(
                 node.now(),
-                super::answer::unknown(
-                    502,
-                    &format!("the engine responded with status {status}"),
-                    0,
-                ),
+                super::answer::unknown(502, &format!("the engine answered {status}"), 0),
             );
             End::Finished
         }
--- a/crates/keeljunction/src/node/claims.rs
+++ b/crates/keeljunction/src/node/claims.rs
@@ -56,7 +56,7 @@
     let (reply, replied) = async_channel::bounded(1);
     let pending = Pending { key: claim::row_key(&request.account, &request.key), row, reply };
     if node.claims.sender.try_send(pending).is_err() {
-        return Err(Fault::NotSent("the claim queue is full".to_owned()));
+        return Err(Fault::NotSent("too many claims wait".to_owned()));
     }
     let dropped = |_| Err(Fault::NotSent("the claim was dropped".to_owned()));
     replied.recv().await.unwrap_or_else(dropped)
@@ -120,7 +120,7 @@
                 read_back(
                     node,
                     conflicting,
-                    &Fault::Unknown("a conflicting row disappeared".to_owned()),
+                    &Fault::Unknown("a conflicting row vanished".to_owned()),
                 )
                 .await;
                 batch = rest;
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -90,7 +90,7 @@
 pub async fn discard(node: &Node, answer: &Answer, location: &Location) {
     if let Location::Peer(holder, _) = location {
         let record = wire::Record {
-            r#final: Some(super::answer::not_run(503, "rejected", 0)),
+            r#final: Some(super::answer::not_run(503, "refused", 0)),
             body: Vec::new(),
             ..full_record(node, answer)
         };
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -43,8 +43,7 @@
         Found::NotFound => false,
         Found::Local => true,
         Found::Mismatch => {
-            let ended =
-                super::answer::not_run(422, "the key was already used for a different request", 0);
+            let ended = super::answer::not_run(422, "the key was used for another request", 0);
             ending::refuse(node, answer, ended);
             true
         }
@@ -180,7 +179,7 @@
             Found::Mismatch | Found::NotFound => {}
         }
     }
-    let lost = super::answer::unknown(502, "the node that had the answer is lost", 0);
+    let lost = super::answer::unknown(502, "the node that had the answer is gone", 0);
     answer.finish(node.now(), lost);
 }
 
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -207,11 +207,7 @@
                 Err(refusal) => refusal,
             };
             if self.is_past_deadline(&refusal) {
-                self.give_up(
-                    "no backend server had capacity before the deadline",
-                    503,
-                    refusal.retry_after,
-                );
+                self.give_up("no backend server had room in time", 503, refusal.retry_after);
                 return None;
             }
             let interval = refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS);
--- a/crates/keeljunction/src/node/state.rs
+++ b/crates/keeljunction/src/node/state.rs
@@ -276,7 +276,7 @@
             return Some("the node is stopping");
         }
         if self.get_active_bundle().is_none() {
-            return Some("no bundle is active: none was received from the platform or a peer");
+            return Some("no bundle is in force: neither the platform nor a peer has given one");
         }
         None
     }
--- a/crates/keeljunction/src/node/takeover.rs
+++ b/crates/keeljunction/src/node/takeover.rs
@@ -94,10 +94,10 @@
         takeover::Strategy::Claimed => Some(Start::Claimed(attempt)),
         takeover::Strategy::Recorded(recorded) => finish(node, answer, ending::recorded(&recorded)),
         takeover::Strategy::NotRun => {
-            finish(node, answer, not_run(503, "the request was abandoned before it was sent", 0))
+            finish(node, answer, not_run(503, "the request was given up before it was sent", 0))
         }
         takeover::Strategy::Unknown => {
-            let why = "the node that ran the request is dead and the request must not be repeated";
+            let why = "the node that had the request is gone and it is not to be repeated";
             finish(node, answer, unknown(502, why, 0))
         }
     }
--- a/crates/keeljunction/src/peer/listener.rs
+++ b/crates/keeljunction/src/peer/listener.rs
@@ -77,8 +77,7 @@
         let is_authenticated = is_authenticated(&request, &expected);
         async move {
             if !is_authenticated {
-                let rejection: Response<Body> =
-                    Status::unauthenticated("invalid peer credential").into_http();
+                let rejection: Response<Body> = Status::unauthenticated("not a peer").into_http();
                 return Ok(rejection);
             }
             server.call(request).await
--- a/crates/keeljunction/src/platform/client.rs
+++ b/crates/keeljunction/src/platform/client.rs
@@ -20,10 +20,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The call was not sent, so it had no effect.
-    #[error("could not reach the platform: {0}")]
+    #[error("the platform was not reached: {0}")]
     NotSent(String),
     /// The response was lost. The call may have had an effect.
-    #[error("lost the response of the platform: {0}")]
+    #[error("the platform's answer was lost: {0}")]
     Unknown(String),
     /// The platform refused the call, which had no effect.
     #[error("the platform refused the call with status {0}")]
@@ -152,7 +152,7 @@
             .body(body)
             .map_err(|error| Fault::NotSent(error.to_string()))?;
         let answer = runtime::timeout(timeout, self.exchange(request)).await;
-        answer.unwrap_or_else(|| Err(Fault::Unknown("no response before the timeout".to_owned())))
+        answer.unwrap_or_else(|| Err(Fault::Unknown("no answer in time".to_owned())))
     }
 
     async fn exchange(&self, request: Request<Body>) -> Result<Bytes, Fault> {
@@ -166,7 +166,7 @@
             return Err(status_fault(status));
         }
         let content = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
-        content.ok_or_else(|| Fault::Unknown("incomplete response".to_owned()))
+        content.ok_or_else(|| Fault::Unknown("the answer broke off".to_owned()))
     }
 
     /// Waits until the rate limit permits a call.
@@ -176,7 +176,7 @@
             let taken = runtime::lock(&self.bucket).take(self.clock.now());
             let Err(wait) = taken else { return Ok(()) };
             if self.clock.now() + wait > deadline {
-                return Err(Fault::NotSent("the rate limit of this node is exhausted".to_owned()));
+                return Err(Fault::NotSent("this node's share of calls is used up".to_owned()));
             }
             runtime::sleep(Duration::from_millis(wait)).await;
         }
