--- a/crates/gateway/src/http/client.rs
+++ b/crates/gateway/src/http/client.rs
@@ -190,7 +190,7 @@
         let stream = match connecting {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(SendError::NotSent(error.to_string())),
-            None => return Err(SendError::NotSent("connecting timed out".to_owned())),
+            None => return Err(SendError::NotSent("no connection in time".to_owned())),
         };
         self.opened.fetch_add(1, Ordering::Relaxed);
         let _ = stream.set_nodelay(true);
--- a/crates/keeljunction/src/backend/engine.rs
+++ b/crates/keeljunction/src/backend/engine.rs
@@ -178,8 +178,7 @@
             let response = self.http.send(self.address, request).await?;
             let status = response.status();
             let content = http::read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
-            let content =
-                content.ok_or_else(|| SendError::MaybeSent("incomplete response".to_owned()))?;
+            let content = content.ok_or_else(|| SendError::MaybeSent("broke off".to_owned()))?;
             if status == StatusCode::OK { Ok(content) } else { Err(error_status(status)) }
         };
         runtime::timeout(self.timeout, exchange).await.unwrap_or_else(|| Err(timed_out()))
--- a/crates/keeljunction/src/node/gossip.rs
+++ b/crates/keeljunction/src/node/gossip.rs
@@ -177,7 +177,7 @@
 fn expire_suspects(node: &Arc<Node>) {
     let dead = runtime::lock(&node.members).expire(node.now());
     for member in dead {
-        log::warn!("node {} is declared dead", member.name);
+        log::warn!("node {} is taken for dead", member.name);
         handle_dead_node(node, &member.name);
     }
 }
--- a/crates/keeljunction/src/node/lease.rs
+++ b/crates/keeljunction/src/node/lease.rs
@@ -77,7 +77,7 @@
         match node.platform.commit(&transaction).await? {
             Commit::Done(version) => {
                 if self.held.is_none() {
-                    log::info!(target: "audit", "acquired {key} with fencing token {version}");
+                    log::info!(target: "audit", "{key} is held with fence {version}");
                 }
                 self.held = Some(Lease::new(version, sent_at, LEASE_DURATION_MS, EXPIRY_MARGIN_MS));
             }
