--- a/crates/core/src/serving/capacity/initial_count.rs
+++ b/crates/core/src/serving/capacity/initial_count.rs
@@ -4,7 +4,7 @@
 
 /// The time without a new server after which a list that has been confirmed since counts as
 /// complete.
-const SETTLE_PERIOD: Millis = 1_500;
+const SETTLE_PERIOD_MS: Millis = 1_500;
 
 /// The number of servers of a service that a new duty holder finds. Servers list themselves one by
 /// one.
@@ -42,7 +42,7 @@
     ///
     /// A list that does not grow proves nothing unless it was confirmed.
     pub fn is_complete(&self, known_at: Option<Millis>) -> bool {
-        let complete_at = self.last_grown_at.map(|at| at + SETTLE_PERIOD);
+        let complete_at = self.last_grown_at.map(|at| at + SETTLE_PERIOD_MS);
         complete_at.zip(known_at).is_some_and(|(complete_at, known_at)| known_at >= complete_at)
     }
 }
--- a/crates/core/src/serving/capacity/order.rs
+++ b/crates/core/src/serving/capacity/order.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 
 /// How much longer than its boot time an ordered server may take before it is given up.
-const BOOT_GRACE_PERIOD: Millis = 3_000;
+const BOOT_GRACE_PERIOD_MS: Millis = 3_000;
 
 /// An order of servers of one kind in a data centre that the platform accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Records how many servers accept requests now; returns how many are still starting.
     pub fn update(&mut self, now: Millis, present: u32, boot: Millis) -> u32 {
         self.max_present = self.max_present.max(present);
-        let is_booting = now < self.at + boot + BOOT_GRACE_PERIOD;
+        let is_booting = now < self.at + boot + BOOT_GRACE_PERIOD_MS;
         if is_booting { self.count.saturating_sub(self.max_present) } else { 0 }
     }
 }
--- a/crates/core/src/serving/demand.rs
+++ b/crates/core/src/serving/demand.rs
@@ -89,12 +89,12 @@
 }
 
 /// The silence after which a peer is unreachable. Its requests in flight no longer count then.
-const REACHABILITY_TIMEOUT: Millis = 2_000;
+const REACHABILITY_TIMEOUT_MS: Millis = 2_000;
 
 /// How long samples are kept.
-const SAMPLE_TTL: Millis = 30_000;
+const SAMPLE_TTL_MS: Millis = 30_000;
 /// The minimum time that a rate must cover.
-const MIN_COVERED_TIME: Millis = 1_500;
+const MIN_COVERED_TIME_MS: Millis = 1_500;
 
 impl DemandTracker {
     /// Creates the tracker of a node in a region.
@@ -158,7 +158,8 @@
     ) {
         let key = (from.0.to_owned(), from.1);
         let known = self.peers.get(&key);
-        let is_reachable = known.is_some_and(|peer| now < peer.reported_at + REACHABILITY_TIMEOUT);
+        let is_reachable =
+            known.is_some_and(|peer| now < peer.reported_at + REACHABILITY_TIMEOUT_MS);
         let peer = self.peers.entry(key).or_default();
         peer.reported_at = now;
         peer.is_member = is_member;
@@ -199,7 +200,7 @@
 
     fn sum_in_flight(&self, now: Millis, key: &Key, counts: fn(&Peer) -> bool) -> u32 {
         let peers = self.peers.values().filter(|peer| counts(peer));
-        let recent = peers.filter(|peer| now < peer.reported_at + REACHABILITY_TIMEOUT);
+        let recent = peers.filter(|peer| now < peer.reported_at + REACHABILITY_TIMEOUT_MS);
         recent.filter_map(|peer| peer.latest.get(key)).map(|latest| latest.in_flight).sum()
     }
 
@@ -228,7 +229,7 @@
         }
         let samples = self.samples.entry(service.to_owned()).or_default();
         samples.push_back((now, totals));
-        while samples.front().is_some_and(|(at, _)| at + SAMPLE_TTL < now) {
+        while samples.front().is_some_and(|(at, _)| at + SAMPLE_TTL_MS < now) {
             samples.pop_front();
         }
     }
@@ -251,7 +252,7 @@
         // Before the first request there is no demand to average over.
         let before_first = recent().take_while(|(_, totals)| is_before_first(totals)).last();
         let (first_at, first) = before_first.or_else(|| recent().next())?;
-        let least = span.min(MIN_COVERED_TIME);
+        let least = span.min(MIN_COVERED_TIME_MS);
         let covered = last_at.checked_sub(*first_at).filter(|covered| *covered >= least)?;
         let since_first = |(region, total): (&String, &DemandTotals)| {
             let first = first.get(region).copied().unwrap_or_default();
--- a/crates/core/src/serving/directory/departures.rs
+++ b/crates/core/src/serving/directory/departures.rs
@@ -10,13 +10,13 @@
 /// How long an announcement is remembered.
 ///
 /// A leaving server ends within seconds; its entry may lapse and come back meanwhile.
-const DEPARTURE_TTL: Millis = 600_000;
+const DEPARTURE_TTL_MS: Millis = 600_000;
 /// The largest number of servers that are remembered, newest first, at some 60 bytes each.
 const MAX_DEPARTURES: usize = 1_024;
 
 /// How long departures are repeated to other nodes, which may have missed the announcement or
 /// started since.
-const REPEAT_PERIOD: Millis = 30_000;
+const REPEAT_PERIOD_MS: Millis = 30_000;
 /// The largest number of departures in a report.
 const MAX_REPORTED_DEPARTURES: usize = 4;
 
@@ -71,7 +71,7 @@
 
     /// Lists some of the recent departures for other nodes; each turn returns the next ones.
     pub fn list_recent(&self, now: Millis, turn: usize) -> Vec<Departure> {
-        let is_recent = |record: &Record| now < record.noted_at + REPEAT_PERIOD;
+        let is_recent = |record: &Record| now < record.noted_at + REPEAT_PERIOD_MS;
         let recent = || self.by_id.iter().filter(|(_, record)| is_recent(record));
         let count = recent().count();
         let first = (turn * MAX_REPORTED_DEPARTURES).checked_rem(count).unwrap_or(0);
@@ -85,6 +85,6 @@
 
     /// Forgets old departures.
     pub fn expire(&mut self, now: Millis) {
-        self.by_id.retain(|_, departure| now < departure.noted_at + DEPARTURE_TTL);
+        self.by_id.retain(|_, departure| now < departure.noted_at + DEPARTURE_TTL_MS);
     }
 }
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -93,7 +93,7 @@
 }
 
 /// The time after a recovery of the table service in which the entries of running servers are back.
-const LAPSED_ENTRY_TTL: Millis = 2_000;
+const LAPSED_ENTRY_TTL_MS: Millis = 2_000;
 
 impl Directory {
     /// Returns the version of the list that was read last.
@@ -223,7 +223,7 @@
     /// also be out of date while servers leave, and those must not get new work.
     pub fn record_table_recovered(&mut self, now: Millis) {
         if std::mem::take(&mut self.is_table_unavailable) {
-            self.lapsing_until = Some(now + LAPSED_ENTRY_TTL);
+            self.lapsing_until = Some(now + LAPSED_ENTRY_TTL_MS);
         }
     }
 
@@ -232,7 +232,7 @@
     /// The copy may lack the entries of running servers, which get time to rewrite them.
     pub fn record_table_restored(&mut self, now: Millis) {
         self.restored_at = now;
-        self.lapsing_until = Some(now + LAPSED_ENTRY_TTL);
+        self.lapsing_until = Some(now + LAPSED_ENTRY_TTL_MS);
     }
 
     /// Lists some of the recent departures for other nodes; each turn returns the next ones.
--- a/crates/core/src/serving/era.rs
+++ b/crates/core/src/serving/era.rs
@@ -13,10 +13,10 @@
 use crate::Millis;
 
 /// The time after a restore in which the operator and the servers rewrite their lost rows.
-pub const REWRITE_PERIOD: Millis = 2_000;
+pub const REWRITE_PERIOD_MS: Millis = 2_000;
 
 /// The maximum difference between the wall clocks of two nodes.
-const MAX_CLOCK_SKEW: Millis = 4_000;
+const MAX_CLOCK_SKEW_MS: Millis = 4_000;
 
 /// An era of the table service: a number that rises by one with each restore, or no number if the
 /// service has no eras.
@@ -144,7 +144,7 @@
 
     /// Returns `true` if the operator and the servers have had time to rewrite their rows.
     pub fn is_settled(&self, now: Millis) -> bool {
-        self.get_age(now).is_some_and(|age| age >= REWRITE_PERIOD)
+        self.get_age(now).is_some_and(|age| age >= REWRITE_PERIOD_MS)
     }
 
     /// Returns `true` if the operator's configuration is as new as before the restore.
@@ -159,6 +159,6 @@
             return true;
         }
         let Some(origin) = self.get_origin() else { return false };
-        unix_ms >= origin.unix_ms + MAX_CLOCK_SKEW
+        unix_ms >= origin.unix_ms + MAX_CLOCK_SKEW_MS
     }
 }
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -56,7 +56,7 @@
 use self::view::View;
 
 /// A node that neither this node nor any other heard for this long has left for good.
-const GONE_TIMEOUT: Millis = 60_000;
+const GONE_TIMEOUT_MS: Millis = 60_000;
 
 /// The role of a node in the exchange of reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::entry::Entry;
-use super::{GONE_TIMEOUT, Member, Members, Overview, Role};
+use super::{GONE_TIMEOUT_MS, Member, Members, Overview, Role};
 use crate::serving::load::short_id;
 use crate::serving::quota::Reachability;
 use crate::{Millis, rendezvous};
@@ -23,16 +23,16 @@
 const HEARD_TIMEOUT_PERIODS_GROUPED: u32 = 10;
 /// The number of nodes assumed before the list has been read, for a limited time.
 const ASSUMED_NODES: usize = 100;
-const ASSUMED_NODES_PERIOD: Millis = 3_000;
+const ASSUMED_NODES_PERIOD_MS: Millis = 3_000;
 /// The time after its start in which a node hears the others.
-const HEARING_DELAY: Millis = 1_000;
+const HEARING_DELAY_MS: Millis = 1_000;
 /// The time after its start in which a node learns of the others even if the list cannot be read.
-const SETTLE_TIMEOUT: Millis = 4_000;
+const SETTLE_TIMEOUT_MS: Millis = 4_000;
 /// How long a new entry is passed on.
 ///
 /// 300 entries that are new at once take thirteen messages at 400 ms each, and some messages get
 /// lost.
-const GOSSIP_PERIOD: Millis = 10_000;
+const GOSSIP_PERIOD_MS: Millis = 10_000;
 /// The number of report turns between two repetitions of a known entry.
 ///
 /// A node that missed all messages about another one still learns of it. With one entry per second
@@ -71,7 +71,7 @@
             _ => self.view.nodes + self.count_unknown_seeds(),
         };
         let known = self.estimate_node_count(now, known);
-        let is_unlisted = !self.is_listed && now < self.started_at + ASSUMED_NODES_PERIOD;
+        let is_unlisted = !self.is_listed && now < self.started_at + ASSUMED_NODES_PERIOD_MS;
         let is_recent = now < self.view.at + self.get_heard_timeout();
         Reachability {
             heard: if is_recent { self.view.heard } else { 1 },
@@ -188,7 +188,7 @@
         if !turn.is_multiple_of(REPEAT_TURNS) {
             return None;
         }
-        let is_live = |member: &&Member| now < member.known_at + GOSSIP_PERIOD;
+        let is_live = |member: &&Member| now < member.known_at + GOSSIP_PERIOD_MS;
         let live: Vec<&Member> = self.known.values().filter(is_live).collect();
         let first = short_id(&self.own.name) as usize;
         let place = first.wrapping_add(turn / REPEAT_TURNS).checked_rem(live.len())?;
@@ -197,7 +197,7 @@
 
     fn list_recent_entries(&self, now: Millis, turn: usize) -> Vec<Entry> {
         let recent = self.known.values().filter(|member| {
-            now < member.entered_at + GOSSIP_PERIOD || self.is_unreachable(&member.entry)
+            now < member.entered_at + GOSSIP_PERIOD_MS || self.is_unreachable(&member.entry)
         });
         let recent: Vec<&Member> = recent.collect();
         let first = turn * MAX_GOSSIP_ENTRIES % recent.len().max(1);
@@ -217,7 +217,7 @@
         let serving = self.known.values().filter(|member| !member.is_stopping);
         let mut reporting = serving.filter_map(|member| Some((member, member.heard_at?)));
         reporting.any(|(member, heard_at)| {
-            let is_gone = now >= heard_at + GONE_TIMEOUT;
+            let is_gone = now >= heard_at + GONE_TIMEOUT_MS;
             let was_heard_elsewhere = member.reported_heard_at.is_some_and(|at| at > heard_at);
             !is_gone && !was_heard_elsewhere && heard_at < since + member.group_age
         })
@@ -255,7 +255,7 @@
     ///
     /// A node that has just started considers itself the first of all until it hears the others.
     pub fn is_settled(&self, now: Millis) -> bool {
-        let least = if self.is_list_whole { HEARING_DELAY } else { SETTLE_TIMEOUT };
+        let least = if self.is_list_whole { HEARING_DELAY_MS } else { SETTLE_TIMEOUT_MS };
         now >= self.started_at + least
     }
 
--- a/crates/core/src/serving/members/regions.rs
+++ b/crates/core/src/serving/members/regions.rs
@@ -19,7 +19,7 @@
 /// In each period, all its aggregators send, through two carriers in turn.
 const OVERDUE_SUMMARY_PERIODS: f64 = 2.5;
 /// The silence up to which a region is overdue. After that, all nodes count it as unreachable.
-const MAX_OVERDUE_AGE: Millis = 5_000;
+const MAX_OVERDUE_AGE_MS: Millis = 5_000;
 
 impl Members {
     /// Sets how long summaries of other regions take: the time between two of them, and the one-way
@@ -136,7 +136,9 @@
         }
         let period = REPORT_INTERVAL.max(Duration::from_millis(self.transit.period));
         let least = period.mul_f64(OVERDUE_SUMMARY_PERIODS).as_millis() as Millis;
-        heard_at.into_values().any(|at| (least..MAX_OVERDUE_AGE).contains(&now.saturating_sub(at)))
+        heard_at
+            .into_values()
+            .any(|at| (least..MAX_OVERDUE_AGE_MS).contains(&now.saturating_sub(at)))
     }
 
     /// Returns `true` if all other regions are unreachable, and a majority of the nodes of this
--- a/crates/core/src/serving/members/roster.rs
+++ b/crates/core/src/serving/members/roster.rs
@@ -15,9 +15,9 @@
 use crate::Millis;
 
 /// The minimum time between two requests for entries of other lists.
-const REQUEST_INTERVAL: Millis = 400;
+const REQUEST_INTERVAL_MS: Millis = 400;
 /// A node that was not heard of for this long is not passed on.
-const LIVE_TIMEOUT: Millis = 10_000;
+const LIVE_TIMEOUT_MS: Millis = 10_000;
 
 /// The version and digest of a node's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
     /// call returns another one, at least 400 ms after the previous one. A small cluster, in which
     /// all nodes hear each other, needs none.
     pub fn pick_roster_source(&mut self, now: Millis) -> Option<(SocketAddr, u64)> {
-        let is_early = self.roster_requested_at.is_some_and(|at| now < at + REQUEST_INTERVAL);
+        let is_early = self.roster_requested_at.is_some_and(|at| now < at + REQUEST_INTERVAL_MS);
         if is_early || !self.view.is_grouped {
             return None;
         }
@@ -109,7 +109,7 @@
             age: now.saturating_sub(member.known_at),
         });
         let live =
-            known.filter(|known| known.age < LIVE_TIMEOUT || self.is_unreachable(&known.entry));
+            known.filter(|known| known.age < LIVE_TIMEOUT_MS || self.is_unreachable(&known.entry));
         RosterDelta { version: self.version, entries: live.collect() }
     }
 
--- a/crates/core/src/serving/members/sample.rs
+++ b/crates/core/src/serving/members/sample.rs
@@ -10,7 +10,7 @@
 use crate::Millis;
 
 /// How long the estimate from a sample is used. The list may be incomplete until then.
-const ESTIMATE_TTL: Millis = 10_000;
+const ESTIMATE_TTL_MS: Millis = 10_000;
 /// The fraction of the estimated nodes from which the known nodes are counted instead.
 ///
 /// The estimate is off by a few hundredths, and the list is almost complete at this fraction.
@@ -42,7 +42,7 @@
     ///
     /// This is the recent estimate from a sample until most of the estimated nodes are known.
     pub(super) fn estimate_node_count(&self, now: Millis, known: usize) -> usize {
-        let lately = self.estimated.filter(|(at, _)| now < at + ESTIMATE_TTL);
+        let lately = self.estimated.filter(|(at, _)| now < at + ESTIMATE_TTL_MS);
         let estimated = lately.map_or(0, |(_, count)| count);
         let is_most_known = known as f64 >= estimated as f64 * MIN_KNOWN_FRACTION;
         if is_most_known { known } else { estimated }
--- a/crates/core/src/serving/members/view.rs
+++ b/crates/core/src/serving/members/view.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::entry::Entry;
-use super::{GONE_TIMEOUT, Member, Members, ranking, short_id};
+use super::{GONE_TIMEOUT_MS, Member, Members, ranking, short_id};
 use crate::Millis;
 
 /// Periods without an overview after which a node of a group replaces its aggregator.
 const OVERVIEW_TIMEOUT_PERIODS: u32 = 8;
 /// How long a node of a group avoids an aggregator that fell silent.
-const AVOIDANCE_PERIOD: Millis = 10_000;
+const AVOIDANCE_PERIOD_MS: Millis = 10_000;
 /// Nodes that read the platform's tables for all nodes, in a cluster with one region.
 const TABLE_READERS: usize = 3;
 /// Nodes of each region that read the tables, in a cluster with several regions. If both fail,
@@ -17,7 +17,7 @@
 const TABLE_READERS_PER_REGION: usize = 2;
 /// A node that no aggregator has heard for this many reachability timeouts is not ranked as an
 /// aggregator.
-const QUIET_TIMEOUTS: Millis = 2;
+const QUIET_TIMEOUT_COUNT: Millis = 2;
 const READERS_KEY: &str = "table readers";
 
 /// The state that is computed from the list once per period.
@@ -214,7 +214,7 @@
         }
         let names = &mut self.names;
         self.known.retain(|_, member| {
-            let is_kept = now < member.known_at + GONE_TIMEOUT;
+            let is_kept = now < member.known_at + GONE_TIMEOUT_MS;
             if !is_kept {
                 names.remove(&member.short);
             }
@@ -245,7 +245,7 @@
         let own_aggregator = self.view.ranking.own_aggregator.clone();
         let silent = own_aggregator.and_then(|name| self.known.get_mut(&name));
         if let Some(member) = silent {
-            member.avoided_until = now + AVOIDANCE_PERIOD;
+            member.avoided_until = now + AVOIDANCE_PERIOD_MS;
         }
         // Until another aggregator sends its ranking, this node ranks the nodes itself.
         self.adopted = None;
@@ -275,7 +275,7 @@
             return false;
         }
         let heard_at = member.heard_at.max(member.reported_heard_at).unwrap_or(0);
-        now >= heard_at.max(member.entered_at) + QUIET_TIMEOUTS * self.get_heard_timeout()
+        now >= heard_at.max(member.entered_at) + QUIET_TIMEOUT_COUNT * self.get_heard_timeout()
     }
 
     pub(super) fn is_heard(&self, now: Millis, member: &Member) -> bool {
--- a/crates/core/src/serving/quarantine/crash_analyzer.rs
+++ b/crates/core/src/serving/quarantine/crash_analyzer.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{CompletedRequests, Crash, Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
+use super::{CompletedRequests, Crash, Fingerprint, QUARANTINE_PERIOD_MS, Standing, Verdict};
 use crate::Millis;
 
 /// Consecutive crashes of a request, with no other explanation, after which it is quarantined. One
@@ -31,7 +31,7 @@
 /// nodes: a server takes longer than this to start.
 const DEDUP_WINDOW_MS: Millis = 1_000;
 /// How long a crash is remembered: as long as a quarantine.
-const EVIDENCE_TTL_MS: Millis = QUARANTINE_PERIOD;
+const EVIDENCE_TTL_MS: Millis = QUARANTINE_PERIOD_MS;
 /// How long a suspicion is gossiped: several times the duration of a response.
 const SUSPICION_TTL_MS: Millis = 60_000;
 /// The number of crashes that are remembered: most of the servers at the size planned for in two
@@ -174,9 +174,9 @@
                 self.remember_quarantined(
                     now,
                     fingerprint,
-                    now + QUARANTINE_PERIOD + EVIDENCE_TTL_MS,
+                    now + QUARANTINE_PERIOD_MS + EVIDENCE_TTL_MS,
                 );
-                let (standing, left) = (Standing::Quarantined, QUARANTINE_PERIOD);
+                let (standing, left) = (Standing::Quarantined, QUARANTINE_PERIOD_MS);
                 verdicts.push(make_verdict(fingerprint, &suspects, standing, left));
             }
         }
--- a/crates/core/src/serving/quarantine/mod.rs
+++ b/crates/core/src/serving/quarantine/mod.rs
@@ -48,8 +48,8 @@
 /// A request that crashes a server does so when the server starts to run it: in 19 crashes of a
 /// recorded day that had one request in common, its response had not started. Long streams next to
 /// it are not suspected.
-pub const SUSPICION_PERIOD: Millis = 1_000;
+pub const SUSPICION_PERIOD_MS: Millis = 1_000;
 /// How long a request is quarantined, in milliseconds. A caller that retries it thus costs at most
 /// three servers in ten minutes, and a request that a new version of the servers can run waits no
 /// longer than this.
-pub const QUARANTINE_PERIOD: Millis = 600_000;
+pub const QUARANTINE_PERIOD_MS: Millis = 600_000;
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -6,7 +6,7 @@
 use super::decision::get_wait;
 use super::limit::{Limit, Reachability};
 use super::report::Source;
-use super::{MIN_AVAILABLE, NEW_NODE_PERIOD, Quotas, get_raised_fraction};
+use super::{MIN_AVAILABLE, NEW_NODE_PERIOD_MS, Quotas, get_raised_fraction};
 use crate::Millis;
 use crate::bucket::TokenBucket;
 
@@ -132,7 +132,7 @@
     /// Equal shares put no node at a disadvantage then.
     fn get_share(&self, now: Millis, account: &str, reach: Reachability) -> f64 {
         let own = self.get_own_requested(now, account);
-        let is_new = now < self.started_at + NEW_NODE_PERIOD;
+        let is_new = now < self.started_at + NEW_NODE_PERIOD_MS;
         if own <= 0.0 || is_new {
             return 1.0 / reach.heard.max(1) as f64;
         }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -29,7 +29,7 @@
 pub use self::limit::{Limit, Reachability, Tolerance};
 pub use self::report::{AccountUsage, Report, Source};
 
-use self::report::{RATE_VALID_FOR, Rates};
+use self::report::{RATE_TTL_MS, Rates};
 use crate::Millis;
 use crate::bucket::TokenBucket;
 
@@ -44,7 +44,7 @@
 ///
 /// A new node has not seen what others admitted before, so the burst may be spent, even if all
 /// nodes restarted.
-const NEW_NODE_PERIOD: Millis = 3_000;
+const NEW_NODE_PERIOD_MS: Millis = 3_000;
 /// The fraction of the tolerated excess by which the limit is raised.
 ///
 /// Nodes that share a limit do not admit exactly the requests that a single bucket would, and no
@@ -68,7 +68,7 @@
 /// How long a node admits only its share after a report that a region is overdue.
 ///
 /// Each report repeats the notice, and some reports get lost.
-const REGION_OVERDUE_PERIOD: Millis = 700;
+const REGION_OVERDUE_PERIOD_MS: Millis = 700;
 /// The fractions of the tolerated overshoot and slack that nodes start with if all of them
 /// restarted.
 ///
@@ -130,7 +130,7 @@
     /// as unreachable, this node admits only its share of the rate, and adopts the level that
     /// its aggregator estimates.
     pub fn record_overdue_region(&mut self, now: Millis) {
-        self.region_overdue_until = now + REGION_OVERDUE_PERIOD;
+        self.region_overdue_until = now + REGION_OVERDUE_PERIOD_MS;
     }
 
     /// Refunds the units of a request that did not run.
@@ -277,15 +277,15 @@
         let rates = self.peers.entry(key).or_default();
         let charged = rates.take_charged();
         if is_first {
-            rates.reported_at = now.saturating_sub(RATE_VALID_FOR);
+            rates.reported_at = now.saturating_sub(RATE_TTL_MS);
             rates.is_older = report.age > own_age;
             rates.started_at = now.saturating_sub(report.age);
         }
         // Units admitted long ago must not look like current usage.
         let is_counted_elsewhere = match source {
             Source::Aggregator => true,
-            _ if own_age < NEW_NODE_PERIOD => rates.is_older,
-            _ => report.counted_for > NEW_NODE_PERIOD,
+            _ if own_age < NEW_NODE_PERIOD_MS => rates.is_older,
+            _ => report.counted_for > NEW_NODE_PERIOD_MS,
         };
         let takes_level = is_first && is_counted_elsewhere;
         let newly_admitted = rates.update(now, report);
@@ -333,7 +333,7 @@
         let (Some(bucket), Some(level)) = (self.whole.get_mut(account), level) else { return };
         bucket.refill(now);
         // A peer that this node has just met has not counted this node's admitted units yet.
-        let is_new = now.saturating_sub(self.started_at) < NEW_NODE_PERIOD;
+        let is_new = now.saturating_sub(self.started_at) < NEW_NODE_PERIOD_MS;
         let own = self.own.accounts.get(account).map_or(0, |own| own.admitted);
         let uncounted = if is_new && source != Source::Aggregator { own } else { 0 };
         let level = level as f64 - uncounted as f64 - bucket.reserved;
@@ -412,7 +412,7 @@
 
     /// Creates the bucket of a client account that has not sent a request to this node before.
     fn make_bucket(&self, now: Millis, account: &str, limit: Limit, reserved: f64) -> TokenBucket {
-        if now >= self.started_at + NEW_NODE_PERIOD {
+        if now >= self.started_at + NEW_NODE_PERIOD_MS {
             return TokenBucket::new(now, limit.get_capacity());
         }
         let restart_units = self.get_restart_units(limit);
--- a/crates/core/src/serving/quota/report.rs
+++ b/crates/core/src/serving/quota/report.rs
@@ -53,10 +53,10 @@
 }
 
 /// How long a reported rate is assumed to continue.
-pub(super) const RATE_VALID_FOR: Millis = 2_000;
+pub(super) const RATE_TTL_MS: Millis = 2_000;
 /// How long requests to other nodes count if a single aggregator reports them: a node must not take
 /// the whole rate as its share before it counts the others as unreachable.
-const AGGREGATE_VALID_FOR: Millis = 3_000;
+const AGGREGATE_TTL_MS: Millis = 3_000;
 /// The weight of the newest sample of a rate.
 const SMOOTHING_FACTOR: f64 = 0.5;
 
@@ -118,7 +118,7 @@
         if self.charged.contains_key(account) {
             return 0.0;
         }
-        let since = now.saturating_sub(self.reported_at).min(RATE_VALID_FOR) as f64;
+        let since = now.saturating_sub(self.reported_at).min(RATE_TTL_MS) as f64;
         self.admitted.get(account).map_or(0.0, |rate| rate * since)
     }
 
@@ -130,7 +130,7 @@
         if self.charged.contains_key(account) {
             return 0.0;
         }
-        let since = now.saturating_sub(self.reported_at).min(RATE_VALID_FOR) as f64;
+        let since = now.saturating_sub(self.reported_at).min(RATE_TTL_MS) as f64;
         let newest = self.admitted.get(account).copied().unwrap_or(0.0);
         let smoothed = self.smoothed_admitted.get(account).copied().unwrap_or(0.0);
         newest.max(smoothed) * since
@@ -139,7 +139,7 @@
     /// Returns the units to charge for the time since the last report once its rate is no longer
     /// assumed to continue; 0 if they were already charged.
     pub fn charge_unreported(&mut self, now: Millis, account: &str) -> f64 {
-        if now < self.reported_at + RATE_VALID_FOR || self.charged.contains_key(account) {
+        if now < self.reported_at + RATE_TTL_MS || self.charged.contains_key(account) {
             return 0.0;
         }
         let units = self.estimate_unreported_of_group(now, account);
@@ -176,8 +176,8 @@
     /// Returns the recent rate of requested units, per millisecond.
     pub fn get_requested(&self, now: Millis, account: &str, source: Source) -> f64 {
         let valid_for = match source {
-            Source::Aggregator => AGGREGATE_VALID_FOR,
-            Source::Peer | Source::Member => RATE_VALID_FOR,
+            Source::Aggregator => AGGREGATE_TTL_MS,
+            Source::Peer | Source::Member => RATE_TTL_MS,
         };
         let is_recent = now < self.reported_at + valid_for;
         self.requested.get(account).copied().filter(|_| is_recent).unwrap_or(0.0)
--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -21,14 +21,14 @@
 /// The time within which a caller must read [`MIN_PROGRESS_BYTES`] of its buffer, in milliseconds:
 /// longer than a person's pause or the retransmissions of a lost packet, shorter than most callers'
 /// deadlines.
-pub const PROGRESS_TIMEOUT: Millis = 10_000;
-/// Bytes that a caller must read within [`PROGRESS_TIMEOUT`]. At this rate a response of 100 kB is
+pub const PROGRESS_TIMEOUT_MS: Millis = 10_000;
+/// Bytes that a caller must read within [`PROGRESS_TIMEOUT_MS`]. At this rate a response of 100 kB is
 /// buffered for an hour.
 pub const MIN_PROGRESS_BYTES: usize = 256;
 /// How long a caller must have read nothing to be disconnected under memory pressure or when the
 /// node is about to stop, in milliseconds: a caller that reads at all reads something within this
 /// time.
-pub const STALL_TIMEOUT: Millis = 1_000;
+pub const STALL_TIMEOUT_MS: Millis = 1_000;
 /// The longest time that one check of a caller counts for. After a pause of the whole process, the
 /// silence of its callers means nothing.
 const MAX_CHECK_INTERVAL_MS: Millis = 500;
@@ -132,7 +132,7 @@
 
     /// Returns `true` if the caller read too little for too long.
     pub fn is_too_slow(&self) -> bool {
-        self.since_progress >= PROGRESS_TIMEOUT
+        self.since_progress >= PROGRESS_TIMEOUT_MS
     }
 }
 
@@ -151,7 +151,7 @@
 /// largest first. A caller that is reading is never picked.
 pub fn pick_stalled(callers: &[Caller], shortfall: usize) -> Vec<u64> {
     let mut stalled: Vec<&Caller> =
-        callers.iter().filter(|c| c.bytes > 0 && c.stalled >= STALL_TIMEOUT).collect();
+        callers.iter().filter(|c| c.bytes > 0 && c.stalled >= STALL_TIMEOUT_MS).collect();
     stalled.sort_unstable_by_key(|c| std::cmp::Reverse((c.bytes as u64 * c.stalled, c.id)));
     let mut freed = 0;
     let mut picked = Vec::new();
--- a/crates/core/tests/serving/quarantine.rs
+++ b/crates/core/tests/serving/quarantine.rs
@@ -4,7 +4,8 @@
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Content, Crash, Fingerprint, InterruptedRequest, QUARANTINE_PERIOD, Standing, Tracker, Verdict,
+    Content, Crash, Fingerprint, InterruptedRequest, QUARANTINE_PERIOD_MS, Standing, Tracker,
+    Verdict,
 };
 
 const SERVICE: u64 = 7;
@@ -48,7 +49,7 @@
     assert_eq!(judge(&mut owner, &crashes[..2]), Vec::<u64>::new());
     assert_eq!(judge(&mut owner, &crashes[2..]), [5]);
     let remaining = owner.get_quarantine_remaining(4_000, fingerprint(5)).unwrap_or(0);
-    assert!(remaining > QUARANTINE_PERIOD - 1_000, "{remaining}");
+    assert!(remaining > QUARANTINE_PERIOD_MS - 1_000, "{remaining}");
     assert_eq!(owner.get_quarantine_remaining(4_000, fingerprint(11)), None);
 }
 
@@ -159,7 +160,7 @@
     let mut owner = Tracker::default();
     let crashes: Vec<_> = (1..=3).map(|n| (n * 1_000, crash(n, &[5]))).collect();
     assert_eq!(judge(&mut owner, &crashes), [5]);
-    let later = 3_700 + QUARANTINE_PERIOD;
+    let later = 3_700 + QUARANTINE_PERIOD_MS;
     assert_eq!(owner.get_quarantine_remaining(later, fingerprint(5)), None);
     owner.merge_report(later, &crash(9, &[5, 11]));
     assert_eq!(list_quarantined(&owner.judge(later + SETTLE_MS)), [5]);
--- a/crates/core/tests/serving/quarantine_trials.rs
+++ b/crates/core/tests/serving/quarantine_trials.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use keeljunction_core::Millis;
 use keeljunction_core::serving::quarantine::{
-    Crash, Fingerprint, InterruptedRequest, SUSPICION_PERIOD, Standing, Tracker, Verdict,
+    Crash, Fingerprint, InterruptedRequest, SUSPICION_PERIOD_MS, Standing, Tracker, Verdict,
 };
 
 /// The policy that decides which requests are quarantined.
@@ -209,7 +209,7 @@
         let interrupted = std::mem::take(&mut self.servers[server].attempts);
         let mut by_node: BTreeMap<usize, Vec<InterruptedRequest>> = BTreeMap::new();
         for attempt in &interrupted {
-            if self.now < attempt.first_byte_at + SUSPICION_PERIOD {
+            if self.now < attempt.first_byte_at + SUSPICION_PERIOD_MS {
                 let fingerprint = Fingerprint::from_number(attempt.request);
                 let ran_for = self.now - attempt.sent_at;
                 by_node
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT, pick_stalled};
+use keeljunction_core::serving::read_ahead::{Caller, READ_BYTES, STALL_TIMEOUT_MS, pick_stalled};
 
 use crate::active_responses::{ResponseHandle, ResponseStatus};
 use crate::event::{self, Event};
@@ -34,7 +34,7 @@
     let now = node.now();
     for feed in node.active_responses.list() {
         let Some(status) = (feed.check_status)(now) else { continue };
-        if status.caller.stalled >= STALL_TIMEOUT {
+        if status.caller.stalled >= STALL_TIMEOUT_MS {
             disconnect(node, &feed, &status, "stopping");
         }
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -10,7 +10,7 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::{Directory, Server};
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPICION_PERIOD};
+use keeljunction_core::serving::quarantine::{Crash, InterruptedRequest, SUSPICION_PERIOD_MS};
 
 use super::interrupted_attempts::InterruptedAttempt;
 use super::{Node, peers};
@@ -34,7 +34,7 @@
 ) {
     let is_suspected = attempt
         .response_started_at
-        .is_none_or(|since| attempt.interrupted_at < since + SUSPICION_PERIOD);
+        .is_none_or(|since| attempt.interrupted_at < since + SUSPICION_PERIOD_MS);
     if !is_suspected || node.with(|state| is_leaving(&state.directory, server)) {
         return;
     }
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -12,7 +12,9 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{
+    Fingerprint, QUARANTINE_PERIOD_MS, Standing, Verdict,
+};
 use serde::{Deserialize, Serialize};
 
 use super::back_off::BackOff;
@@ -115,7 +117,7 @@
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
                 // The clock of a restored copy may be behind the clock that set the time in the
                 // row.
-                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD);
+                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD_MS);
                 peers::quarantine::apply_persisted(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
