--- a/crates/core/src/serving/read_ahead.rs
+++ b/crates/core/src/serving/read_ahead.rs
@@ -22,8 +22,8 @@
 /// longer than a person's pause or the retransmissions of a lost packet, shorter than most callers'
 /// deadlines.
 pub const PROGRESS_TIMEOUT_MS: Millis = 10_000;
-/// Bytes that a caller must read within [`PROGRESS_TIMEOUT_MS`]. At this rate a response of 100 kB is
-/// buffered for an hour.
+/// Bytes that a caller must read within [`PROGRESS_TIMEOUT_MS`]. At this rate a response of 100 kB
+/// is buffered for an hour.
 pub const MIN_PROGRESS_BYTES: usize = 256;
 /// How long a caller must have read nothing to be disconnected under memory pressure or when the
 /// node is about to stop, in milliseconds: a caller that reads at all reads something within this
