--- a/crates/gateway/src/active_responses.rs
+++ b/crates/gateway/src/active_responses.rs
@@ -37,7 +37,7 @@
     /// Whether the caller has been reading too slowly for too long.
     pub is_too_slow: bool,
     /// Whether memory is insufficient for the data read from the server.
-    pub is_short: bool,
+    pub is_short_of_memory: bool,
 }
 
 impl ActiveResponses {
--- a/crates/gateway/src/exchange/callers.rs
+++ b/crates/gateway/src/exchange/callers.rs
@@ -48,8 +48,8 @@
     for (feed, status) in checked.iter().filter(|(_, status)| status.is_too_slow) {
         disconnect(node, feed, status, "no_progress");
     }
-    let is_short = checked.iter().any(|(_, status)| status.is_short);
-    let bytes_to_free = get_bytes_to_free(node, is_short);
+    let is_short_of_memory = checked.iter().any(|(_, status)| status.is_short_of_memory);
+    let bytes_to_free = get_bytes_to_free(node, is_short_of_memory);
     if bytes_to_free == 0 {
         return;
     }
@@ -65,11 +65,11 @@
 }
 
 /// Returns the number of bytes to free by disconnecting callers.
-fn get_bytes_to_free(node: &Node, is_short: bool) -> usize {
+fn get_bytes_to_free(node: &Node, is_short_of_memory: bool) -> usize {
     let (total, capacity) =
         node.with(|state| (state.memory.get_total() as f64, state.memory.get_capacity() as f64));
     if total < capacity * HIGH_WATERMARK_RATIO {
-        return if is_short { READ_BYTES } else { 0 };
+        return if is_short_of_memory { READ_BYTES } else { 0 };
     }
     (total - capacity * LOW_WATERMARK_RATIO) as usize
 }
--- a/crates/gateway/src/exchange/feed.rs
+++ b/crates/gateway/src/exchange/feed.rs
@@ -190,9 +190,10 @@
             true => flow.progress.reset(),
             false => flow.progress.record_check(since),
         }
-        let is_short = !flow.adjust_reservation();
+        let is_short_of_memory = !flow.adjust_reservation();
         // After the deadline the source only ends, which needs no memory.
-        let is_worth_reading = now >= self.deadline || (flow.buffer.is_reading() && !is_short);
+        let is_worth_reading =
+            now >= self.deadline || (flow.buffer.is_reading() && !is_short_of_memory);
         if flow.is_open() && is_worth_reading && !flow.is_caller_waiting && !flow.is_reading_ahead {
             flow.is_reading_ahead = true;
             let feed = self.clone();
@@ -201,7 +202,7 @@
         }
         let (bytes, stalled) = (flow.buffer.get_bytes(), flow.progress.get_stalled());
         let caller = Caller { id: self.id, bytes, stalled };
-        ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short }
+        ResponseStatus { caller, is_too_slow: flow.progress.is_too_slow(), is_short_of_memory }
     }
 
     /// Reads from the server until the caller's connection polls, the buffer is full, or the
