--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -1,6 +1,6 @@
 //! Replication of a request's record to one peer, or to the object store if there is no peer.
 //!
-//! The holder is the first node in the succession list of the key other than this node, preferably
+//! The holder is the first other node in the rendezvous ranking for the key, preferably one
 //! in another data centre. Any node that a client reconnects to can therefore compute which peers
 //! to query.
 
@@ -210,7 +210,7 @@
 /// Picks the holder. Returns `None` if there is no live peer.
 fn pick_holder(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
     let (local, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
-    let key = request.get_succession_key();
+    let key = request.get_ranking_key();
     rendezvous::replica(&key, local, data_centre, nodes).map(str::to_owned)
 }
 
--- a/crates/keeljunction/src/node/find.rs
+++ b/crates/keeljunction/src/node/find.rs
@@ -7,7 +7,7 @@
 use keeljunction_core::member::State;
 use keeljunction_core::rendezvous;
 
-use super::request::succession_key;
+use super::request::make_ranking_key;
 use super::state::HeldRecord;
 use super::{Answer, Node, copy, ending, takeover};
 use crate::peer::wire;
@@ -82,7 +82,7 @@
         takeover::resume_from_record(node, answer, held).await;
         return Found::Local;
     }
-    let peers = succession_list(node, answer);
+    let peers = rank_peers(node, answer);
     if peers.is_empty() {
         search_store(node, answer).await
     } else {
@@ -157,8 +157,8 @@
         .ok()
 }
 
-fn succession_list(node: &Node, answer: &Answer) -> Vec<String> {
-    let key = succession_key(&answer.request.account, &answer.request.key);
+fn rank_peers(node: &Node, answer: &Answer) -> Vec<String> {
+    let key = make_ranking_key(&answer.request.account, &answer.request.key);
     let members = runtime::lock(&node.members);
     let others = members.iter().filter(|m| m.state != State::Dead && m.name != node.get_name());
     let names: Vec<&str> = others.map(|member| member.name.as_str()).collect();
--- a/crates/keeljunction/src/node/request.rs
+++ b/crates/keeljunction/src/node/request.rs
@@ -82,9 +82,9 @@
         (self.account.clone(), self.key.clone())
     }
 
-    /// Returns the key whose succession list contains the holders of the record.
-    pub fn get_succession_key(&self) -> String {
-        succession_key(&self.account, &self.key)
+    /// Returns the key by which nodes are ranked to select the holders of the record.
+    pub fn get_ranking_key(&self) -> String {
+        make_ranking_key(&self.account, &self.key)
     }
 
     /// Returns `true` if the request has no side effects and can be sent again.
@@ -158,7 +158,7 @@
     }
 }
 
-/// Returns the key whose succession list contains the holders of a request's record.
-pub fn succession_key(account: &str, key: &str) -> String {
+/// Returns the key by which nodes are ranked to select the holders of a request's record.
+pub fn make_ranking_key(account: &str, key: &str) -> String {
     format!("record/{account}/{key}")
 }
--- a/crates/keeljunction/src/node/watch.rs
+++ b/crates/keeljunction/src/node/watch.rs
@@ -18,7 +18,7 @@
 /// Time until a VM that is listed as leaving without a notice is assumed to be gone, in
 /// milliseconds.
 const ASSUMED_NOTICE_MS: u64 = 30_000;
-/// The key whose succession list selects the nodes that read the VM list and the notices.
+/// The key by which nodes are ranked to select those that read the VM list and the notices.
 const WATCH_KEY: &str = "vms";
 
 /// Polls the VM list and the notices. Never returns.
