--- a/crates/core/src/serving/spill.rs
+++ b/crates/core/src/serving/spill.rs
@@ -26,9 +26,8 @@
 /// How long a region that did not respond is not queried. A request that waits for a missing
 /// response may miss its objective, and a partitioned region stays unreachable for seconds.
 const UNRESPONSIVE_PERIOD_MS: Millis = 1_000;
-/// The `Retry-After` if there is no budget at all. The budget does not recover, so callers come
-/// back for servers of their own region: a list of servers takes about this long to reach all
-/// nodes.
+/// The `Retry-After` if there is no budget at all. The budget does not recover, so callers retry to
+/// find servers of their own region: a list of servers takes about this long to reach all nodes.
 const NO_BUDGET_RETRY_AFTER_MS: Millis = 700;
 /// Bytes in a megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
@@ -114,7 +113,7 @@
     /// The time that the caller has waited.
     pub waited: Millis,
     /// The time until the caller gives up.
-    pub left: Millis,
+    pub time_remaining: Millis,
     /// The smoothed round trip.
     pub round_trip: Millis,
     /// The time that the request's body takes at the rate of the budget.
@@ -132,15 +131,15 @@
         trips.saturating_add(self.transfer)
     }
 
-    /// Returns `true` if an idle server of the other region serves the request in time.
+    /// Returns `true` if an idle server of the other region would serve the request in time.
     ///
     /// If the own region is full, this means within the objective, since a retry may find a free
-    /// server at home. If it has no server, this means before the caller gives up: a late response
+    /// server in the own region. If it has no server, this means before the caller gives up: a late response
     /// is better than none.
     pub fn is_in_time(&self, criteria: &Criteria, cause: Cause) -> bool {
         let reading = criteria.estimate_idle().unwrap_or(0);
         let from_now = self.get_travel_time().saturating_add(reading);
-        let is_within = from_now < self.left;
+        let is_within = from_now < self.time_remaining;
         match (cause, criteria.ttft_objective) {
             (Cause::NoServer, _) | (_, 0) => is_within,
             (Cause::Full, objective) => {
@@ -156,8 +155,8 @@
     /// only if servers are busy for longer than the objective.
     pub fn adjust_criteria(&self, criteria: &Criteria) -> Criteria {
         let used = self.waited.saturating_add(self.get_travel_time());
-        let left = criteria.ttft_objective.saturating_sub(used);
-        let ttft_objective = if left == 0 { criteria.ttft_objective } else { left };
+        let remaining = criteria.ttft_objective.saturating_sub(used);
+        let ttft_objective = if remaining == 0 { criteria.ttft_objective } else { remaining };
         Criteria { ttft_objective, ..*criteria }
     }
 }
--- a/crates/core/tests/serving/spill.rs
+++ b/crates/core/tests/serving/spill.rs
@@ -25,8 +25,13 @@
 };
 
 /// A path with a round trip of 60 ms and a query for loads: 180 ms until the first byte.
-const PATH: RemotePath =
-    RemotePath { waited: 0, left: 10_000, round_trip: 60, transfer: 0, is_load_requested: true };
+const PATH: RemotePath = RemotePath {
+    waited: 0,
+    time_remaining: 10_000,
+    round_trip: 60,
+    transfer: 0,
+    is_load_requested: true,
+};
 
 fn topology(own: &str, regions: &[(&str, &str)]) -> Topology {
     let regions = regions
@@ -125,8 +130,8 @@
 fn a_request_spills_from_a_region_without_servers_even_if_it_is_late() {
     let short = Criteria { ttft_objective: 50, ..CRITERIA };
     assert!(PATH.is_in_time(&short, Cause::NoServer));
-    assert!(!RemotePath { left: 280, ..PATH }.is_in_time(&short, Cause::NoServer));
-    assert!(RemotePath { left: 281, ..PATH }.is_in_time(&short, Cause::NoServer));
+    assert!(!RemotePath { time_remaining: 280, ..PATH }.is_in_time(&short, Cause::NoServer));
+    assert!(RemotePath { time_remaining: 281, ..PATH }.is_in_time(&short, Cause::NoServer));
 }
 
 #[test]
--- a/crates/gateway/src/exchange/pick/permitted.rs
+++ b/crates/gateway/src/exchange/pick/permitted.rs
@@ -63,7 +63,7 @@
     default: Millis,
 ) -> Millis {
     let now = node.now();
-    let is_throttled = node.with(|state| state.is_service_in_back_off(now, &exchange.service));
+    let is_throttled = node.with(|state| state.is_service_throttled(now, &exchange.service));
     let throttled_retry_after =
         if is_throttled { get_throttled_retry_after(node, exchange) } else { None };
     throttled_retry_after.unwrap_or(default)
@@ -73,7 +73,7 @@
 /// at their rate limit, or `None` if there are no such servers.
 fn get_throttled_retry_after(node: &Node, exchange: &Exchange) -> Option<Millis> {
     let now = node.now();
-    let wait = node.with(|state| state.get_min_back_off(now, &exchange.service))?;
+    let wait = node.with(|state| state.get_min_throttle_wait(now, &exchange.service))?;
     Some(add_jitter(wait, get_max_wait(exchange.get_time_remaining(now)), fastrand::f64()))
 }
 
--- a/crates/gateway/src/exchange/pick/region.rs
+++ b/crates/gateway/src/exchange/pick/region.rs
@@ -115,10 +115,10 @@
         is_chosen && passes_version_filter && !is_tried && !self.is_unavailable(state, server)
     }
 
-    /// Returns `true` if the server is in backoff, or is skipped because of its rate limit.
+    /// Returns `true` if the server is throttled, or is skipped because it has a rate limit.
     fn is_unavailable(&self, state: &State, server: &Server) -> bool {
         let is_limited = || state.backpressure.get_limit(self.now, server).is_some();
-        state.is_in_back_off(self.now, server) || (self.attempts.skips_limited && is_limited())
+        state.is_throttled(self.now, server) || (self.attempts.skips_limited && is_limited())
     }
 }
 
@@ -219,7 +219,7 @@
         let now = node.now();
         let servers = listed.iter().filter_map(|id| state.directory.get_ready(id));
         // A server may have entered backoff while the loads were queried.
-        let servers = servers.filter(|server| !state.is_in_back_off(now, server));
+        let servers = servers.filter(|server| !state.is_throttled(now, server));
         pick_one(node, state, exchange, criteria, ramp_draw, servers)
     })
 }
--- a/crates/gateway/src/exchange/pick/remote.rs
+++ b/crates/gateway/src/exchange/pick/remote.rs
@@ -100,7 +100,7 @@
             let is_candidate = |server: &Server| {
                 let is_tried = self.attempts.tried.contains(&server.id);
                 !is_tried
-                    && !state.is_in_back_off(now, server)
+                    && !state.is_throttled(now, server)
                     && get_region(&node.topology, &server.data_centre) == region
             };
             if !ready.any(is_candidate) {
@@ -109,7 +109,7 @@
             let is_unresponsive = state.link_budgets.is_unresponsive(now, region);
             let path = RemotePath {
                 waited: now - self.attempts.waiting_since,
-                left: self.exchange.get_time_remaining(now),
+                time_remaining: self.exchange.get_time_remaining(now),
                 round_trip: state.round_trips.get_round_trip(region),
                 transfer: state.link_budgets.get_transfer_time(self.exchange.body_bytes),
                 is_load_requested: self.local_scope.is_load_requested && !is_unresponsive,
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -50,7 +50,7 @@
     };
     // The server may have requested a backoff while the decision was pending.
     let now = node.now();
-    if node.with(|state| state.is_in_back_off(now, server)) {
+    if node.with(|state| state.is_throttled(now, server)) {
         release_unused(node, server, permit).await;
         return None;
     }
--- a/crates/gateway/src/node/state.rs
+++ b/crates/gateway/src/node/state.rs
@@ -211,21 +211,22 @@
 }
 
 impl State {
-    /// Returns `true` if a server is in a backoff that its responses requested.
-    pub(crate) fn is_in_back_off(&self, now: Millis, server: &Server) -> bool {
+    /// Returns `true` if a server is in a backoff that its responses requested, or if the owner of
+    /// its rate limit has denied this node a permit for now.
+    pub(crate) fn is_throttled(&self, now: Millis, server: &Server) -> bool {
         self.backpressure.get_wait(now, server).is_some()
     }
 
-    /// Returns the shortest remaining backoff of the ready servers of a service; `None` if none of
-    /// them is in backoff.
-    pub(crate) fn get_min_back_off(&self, now: Millis, service: &str) -> Option<Millis> {
+    /// Returns the shortest time until a throttled server of a service accepts requests, or `None`
+    /// if no ready server is throttled.
+    pub(crate) fn get_min_throttle_wait(&self, now: Millis, service: &str) -> Option<Millis> {
         let servers = self.directory.iter_ready(service);
         servers.filter_map(|server| self.backpressure.get_wait(now, server)).min()
     }
 
-    /// Returns `true` if all ready servers of a service are in backoff.
-    pub(crate) fn is_service_in_back_off(&self, now: Millis, service: &str) -> bool {
-        self.directory.iter_ready(service).all(|server| self.is_in_back_off(now, server))
+    /// Returns `true` if all ready servers of a service are throttled.
+    pub(crate) fn is_service_throttled(&self, now: Millis, service: &str) -> bool {
+        self.directory.iter_ready(service).all(|server| self.is_throttled(now, server))
     }
 
     /// Counts this node's in-flight requests at servers that do not have the target version of a
