--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -39,7 +39,7 @@
     DeadlineExceeded,
     /// The request was not sent, and the retry budget is exhausted.
     Unsent,
-    /// The request was sent and must not be repeated.
+    /// The request was sent and must not be retried.
     NotRepeatable,
     /// The request was sent, and the retry budget is exhausted.
     RetriesExhausted,
--- a/crates/core/src/serving/capacity/need.rs
+++ b/crates/core/src/serving/capacity/need.rs
@@ -94,8 +94,8 @@
     /// Records the current needs and returns the peak needs within `span` of all regions with a
     /// known need.
     ///
-    /// The need of an unheard region is kept, because its requests continue although nobody reports
-    /// them. Otherwise the servers of a partitioned region would be released.
+    /// The need of an unreachable region is kept, because its requests continue although no node
+    /// reports them. Otherwise the servers of a partitioned region would be released.
     pub fn record(
         &mut self,
         now: Millis,
--- a/crates/core/src/serving/choice.rs
+++ b/crates/core/src/serving/choice.rs
@@ -9,7 +9,7 @@
 //! server as well. Load is measured in time, so the prompts of slow servers count for more.
 //!
 //! If even the least loaded server would miss the latency objective, the request is refused at
-//! once: a retry that is answered within the objective is better than a late response, and a
+//! once: a retry that meets the objective is better than a late response, and a
 //! refused request delays no other.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/core/src/serving/directory/departures.rs
+++ b/crates/core/src/serving/directory/departures.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records that an incarnation of a server is leaving, and lists it for other nodes again.
-    pub fn repeat(&mut self, now: Millis, id: &str, incarnation: u64) {
+    pub fn record_again(&mut self, now: Millis, id: &str, incarnation: u64) {
         self.record(now, id, incarnation);
         if let Some(record) = self.by_id.get_mut(id) {
             record.noted_at = now;
--- a/crates/core/src/serving/directory/mod.rs
+++ b/crates/core/src/serving/directory/mod.rs
@@ -144,7 +144,7 @@
                 || self.removals.has_left(server)
                 || self.departures.contains(&server.id, server.incarnation);
             if is_leaving {
-                self.departures.repeat(self.restored_at, &server.id, server.incarnation);
+                self.departures.record_again(self.restored_at, &server.id, server.incarnation);
             }
         }
     }
@@ -212,7 +212,7 @@
         Some(changes)
     }
 
-    /// Records that the table service did not answer.
+    /// Records that the table service did not respond.
     pub fn record_table_unavailable(&mut self) {
         self.is_table_unavailable = true;
     }
--- a/crates/core/src/serving/members/mod.rs
+++ b/crates/core/src/serving/members/mod.rs
@@ -1,5 +1,7 @@
 //! Cluster membership: which nodes exist, which of them are heard, and which aggregate reports.
 //!
+//! A node is *heard* while its reports arrive, here or at an aggregator.
+//!
 //! In a small cluster all nodes report to each other directly. In a large one they report in
 //! groups, so that the traffic of a node grows only slowly with the number of nodes. Each node
 //! reports to an aggregator of its data centre. Aggregators exchange the sums of their groups, and
@@ -12,10 +14,10 @@
 //! node is heard is unreachable. Meanwhile its nodes aggregate nothing and own nothing, but still
 //! count as serving. If the connection between two regions fails in one direction only, the region
 //! that misses summaries says so in its own summaries, and the other region ignores those. Thus
-//! either both regions hear each other or neither does, and they never both admit what the other
+//! either both regions reach each other or neither does, and they never both admit what the other
 //! one's nodes use.
 //!
-//! No guarantee depends on a correct membership list. A node that hears few others takes only a
+//! No guarantee depends on a correct membership list. A node that hears few others uses only a
 //! part of the limits (see [`super::quota`]).
 //!
 //! | module | responsibility |
--- a/crates/core/src/serving/members/query.rs
+++ b/crates/core/src/serving/members/query.rs
@@ -24,7 +24,7 @@
 /// The number of nodes assumed before the list has been read, for a limited time.
 const ASSUMED_NODES: usize = 100;
 const ASSUMED_NODES_PERIOD_MS: Millis = 3_000;
-/// The time after its start in which a node hears the others.
+/// The time after its start within which a node receives reports from the others.
 const HEARING_DELAY_MS: Millis = 1_000;
 /// The time after its start in which a node learns of the others even if the list cannot be read.
 const SETTLE_TIMEOUT_MS: Millis = 4_000;
@@ -253,7 +253,8 @@
 
     /// Returns `true` if this node has had time to learn of the others.
     ///
-    /// A node that has just started considers itself the first of all until it hears the others.
+    /// A node that has just started considers itself the first of all until reports from others
+    /// arrive.
     pub fn is_settled(&self, now: Millis) -> bool {
         let least = if self.is_list_whole { HEARING_DELAY_MS } else { SETTLE_TIMEOUT_MS };
         now >= self.started_at + least
--- a/crates/core/src/serving/members/view.rs
+++ b/crates/core/src/serving/members/view.rs
@@ -13,7 +13,7 @@
 /// Nodes that read the platform's tables for all nodes, in a cluster with one region.
 const TABLE_READERS: usize = 3;
 /// Nodes of each region that read the tables, in a cluster with several regions. If both fail,
-/// those of another region answer.
+/// those of another region respond.
 const TABLE_READERS_PER_REGION: usize = 2;
 /// A node that no aggregator has heard for this many reachability timeouts is not ranked as an
 /// aggregator.
--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -3,15 +3,15 @@
 //! A node admits requests by itself while the bucket is above its low-water mark. Below the mark
 //! the owner of the account decides; all nodes find the owner by rendezvous hashing. The owner
 //! counts what it admits as its own usage, whichever node received the request. The usage is
-//! reported once. If a question or its answer is lost, the asking node uses less than was counted.
+//! reported once. If a query or its response is lost, the querying node uses less than was counted.
 //! Two nodes that both consider themselves the owner see each other's usage in their reports. An
-//! owner decides only while it hears a majority of the nodes, and only for the fraction of the rate
-//! that belongs to the nodes it hears. If it hears fewer, or does not answer, nodes admit their
+//! owner decides only while it reaches a majority of the nodes, and only for the fraction of the rate
+//! that belongs to the nodes it reaches. If it reaches fewer, or does not respond, nodes admit their
 //! local shares.
 //!
 //! The owner pays off: on a quiet day of 78 nodes and 16 client accounts with prompts of about a
 //! thousand to 60,000 tokens (one simulated run without processor time), refusals fall from 0.041
-//! to 0.025 of the units that the accounts are entitled to. It costs a question of some 60 bytes
+//! to 0.025 of the units that the accounts are entitled to. It costs a query of some 60 bytes
 //! (estimated) near the limit.
 
 use serde::{Deserialize, Serialize};
@@ -47,7 +47,7 @@
         /// requests.
         retry_after: Millis,
     },
-    /// The node cannot decide for others: it hears too few of them, or is not the owner.
+    /// The node cannot decide for others: it reaches too few of them, or is not the owner.
     Undecided,
 }
 
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Decides, as the owner, for a region that hears no other region; skips the check that a
-    /// majority of the nodes of all regions is heard.
+    /// Decides, as the owner, for a region that is isolated from all other regions; skips the check
+    /// that a majority of the nodes of all regions is heard.
     ///
     /// Each isolated region has its own owner and its own fraction of the rate, because no node
     /// belongs to two regions.
--- a/crates/core/src/serving/quota/limit.rs
+++ b/crates/core/src/serving/quota/limit.rs
@@ -1,4 +1,4 @@
-//! Limits of client accounts, the tolerated excess, and how many nodes are heard.
+//! Limits of client accounts, the tolerated excess, and how many nodes are reachable.
 
 use crate::Millis;
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// How many nodes exist and are heard, this node included, and how long reports take.
+/// How many nodes exist and are reachable, this node included, and how long reports take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reachability {
-    /// Nodes that were heard recently.
+    /// Nodes that were heard recently, directly or through an aggregator.
     pub heard: usize,
     /// Nodes that may be serving.
     pub known: usize,
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -344,7 +344,7 @@
     ///
     /// The value is negative if more was admitted than the limit allows. Returns `None` before the
     /// first request of the account.
-    pub fn get_left(&self, now: Millis, account: &str) -> Option<f64> {
+    pub fn get_available(&self, now: Millis, account: &str) -> Option<f64> {
         let mut bucket = *self.whole.get(account)?;
         bucket.refill(now);
         Some(bucket.available)
--- a/crates/core/src/serving/refusal.rs
+++ b/crates/core/src/serving/refusal.rs
@@ -51,7 +51,7 @@
     Timeout,
     /// The request is quarantined because it crashed servers before.
     Quarantined,
-    /// The response of the server broke off or is not a valid response to this request.
+    /// The server's response was interrupted or is not valid for this request.
     BrokenAnswer,
 }
 
--- a/crates/core/src/serving/usage/frozen.rs
+++ b/crates/core/src/serving/usage/frozen.rs
@@ -100,7 +100,7 @@
 
     /// Includes all windows in the next reports again, because another duty holder may lack their
     /// rows. Each node that knows them does so once.
-    pub fn repeat(&mut self) {
+    pub fn report_again(&mut self) {
         self.known
             .values_mut()
             .for_each(|known| known.remaining_reports = known.remaining_reports.max(1));
--- a/crates/core/src/serving/usage/mod.rs
+++ b/crates/core/src/serving/usage/mod.rs
@@ -211,7 +211,7 @@
 /// Reports that include a window after its last change, because each report may get lost.
 const CHANGED_WINDOW_REPORTS: u64 = 10;
 /// An unchanged window is included in every report whose number is a multiple of this, so that
-/// nodes that start to hear this one learn of it.
+/// nodes that become reachable learn of it.
 const UNCHANGED_WINDOW_INTERVAL: u64 = 10;
 
 /// Selects the windows that a report includes.
@@ -271,7 +271,7 @@
 ///
 /// `age` is the time since the window ended, and `due` is the time after its end at which the
 /// report is due. If `is_node_missing`, a partitioned node that served in the window may not have
-/// reported its last counts; it reports them when it is heard again.
+/// reported its last counts; it reports them once it is reachable again.
 pub fn is_settled(age: Millis, due: Millis, is_node_missing: bool) -> bool {
     let fraction = if is_node_missing { DEADLINE_FRACTION } else { SETTLE_FRACTION };
     age as f64 >= due as f64 * fraction
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/takeover.rs
@@ -7,7 +7,7 @@
 pub struct RequestFacts {
     /// Whether it runs on a model engine, to which a node can attach.
     pub is_model: bool,
-    /// Whether it may be repeated, because it may run more than once or its servers deduplicate it.
+    /// Whether it may be retried, because it may run more than once or its servers deduplicate it.
     pub is_repeatable: bool,
     /// Whether the record contains an attempt.
     pub has_attempt: bool,
--- a/crates/core/tests/serving/quota.rs
+++ b/crates/core/tests/serving/quota.rs
@@ -333,12 +333,12 @@
 fn available_units_may_be_negative() {
     let mut quotas = long_running_quotas();
     let limit = Limit { rate_per_second: 10.0, burst: 100.0 };
-    assert_eq!(quotas.get_left(60_000, "acme"), None);
+    assert_eq!(quotas.get_available(60_000, "acme"), None);
     quotas.consume(60_000, "acme", 30, limit, ALONE).expect("units");
-    assert_eq!(quotas.get_left(60_000, "acme"), Some(70.0));
-    assert_eq!(quotas.get_left(61_000, "acme"), Some(80.0));
+    assert_eq!(quotas.get_available(60_000, "acme"), Some(70.0));
+    assert_eq!(quotas.get_available(61_000, "acme"), Some(80.0));
     quotas.consume(61_000, "acme", 90, limit, ALONE).expect("units");
-    assert_eq!(quotas.get_left(61_000, "acme"), Some(-10.0));
+    assert_eq!(quotas.get_available(61_000, "acme"), Some(-10.0));
 }
 
 const TOLERANCE: Tolerance = Tolerance { window_seconds: 8.0, overshoot: 0.1, slack: 140_000.0 };
--- a/crates/core/tests/serving/usage.rs
+++ b/crates/core/tests/serving/usage.rs
@@ -134,7 +134,7 @@
     let mut other = FrozenWindows::new(8);
     other.record_remote(7, &Counts::new());
     assert!(other.list_due().is_empty());
-    other.repeat();
+    other.report_again();
     assert_eq!(other.list_due(), [(7, Counts::new())]);
     assert!(other.list_due().is_empty());
 }
@@ -143,7 +143,7 @@
 fn a_report_contains_a_few_frozen_windows_latest_first() {
     let mut frozen = FrozenWindows::new(8);
     (1..=5).for_each(|window| frozen.record_remote(window, &Counts::new()));
-    frozen.repeat();
+    frozen.report_again();
     let mut list = || frozen.list_due().into_iter().map(|(window, _)| window).collect::<Vec<_>>();
     assert_eq!([list(), list(), list(), list()], [vec![5, 4], vec![3, 2], vec![1], vec![]]);
 }
--- a/crates/gateway/src/exchange/pick/mod.rs
+++ b/crates/gateway/src/exchange/pick/mod.rs
@@ -7,7 +7,7 @@
 //! | `remote` | picks a server in another region |
 //! | `permitted` | picks a server that accepts requests, according to its rate limit and backoff |
 //!
-//! The versions that the request may go to are tried within each region, so a roll-out that has
+//! The versions that the request may go to are tried within each region, so a rollout that has
 //! started in one region draws no requests from other regions.
 
 mod permitted;
@@ -94,7 +94,7 @@
 
 /// Returns `true` if an accepted version of the service has servers only in other regions.
 ///
-/// The servers of other versions stop without a drain as soon as the roll-out is completed. A
+/// The servers of other versions stop without a drain as soon as the rollout is completed. A
 /// region that used them until then would lose the requests sent before it learns of that.
 fn is_version_elsewhere(node: &Node, exchange: &Exchange, version_filter: VersionFilter) -> bool {
     if !node.topology.is_multi_region()
--- a/crates/gateway/src/exchange/signals.rs
+++ b/crates/gateway/src/exchange/signals.rs
@@ -12,7 +12,7 @@
 pub(super) struct ResponseInfo {
     /// When the request was sent.
     pub sent_at: Millis,
-    /// The status of the answer.
+    /// The status of the response.
     pub status: StatusCode,
     /// Whether the server ran the request and the response head is valid.
     pub has_run: bool,
--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -199,9 +199,11 @@
                 self.retries_left.get_or_create(&labels).set(retries);
             }
             for account in configuration.accounts.iter().flatten() {
-                let Some(left) = state.quotas.get_left(now, &account.name) else { continue };
+                let Some(available) = state.quotas.get_available(now, &account.name) else {
+                    continue;
+                };
                 let labels = AccountLabels { account: account.name.clone() };
-                self.quota_left.get_or_create(&labels).set(left);
+                self.quota_left.get_or_create(&labels).set(available);
             }
         });
     }
--- a/crates/gateway/src/node/peers/discovery.rs
+++ b/crates/gateway/src/node/peers/discovery.rs
@@ -23,7 +23,7 @@
 /// The maximum backoff after several failed registrations.
 const MAX_REGISTRATION_BACK_OFF: Duration = Duration::from_secs(12);
 /// The timeout of a registration. The table service queues writes for up to a second, and a node
-/// that gives up earlier gets no answer at all while the service is saturated.
+/// that gives up earlier gets no response at all while the service is saturated.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The delay after which a node that had to register reads the table once more.
 const SECOND_READ_DELAY: Duration = Duration::from_millis(1_000);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Returns `true` if this node hears no other node.
+/// Returns `true` if no other node is reachable.
 fn is_alone(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| state.members.get_reachability(now).heard <= 1)
@@ -129,7 +129,7 @@
 
 /// Registers this node, retrying with exponential backoff.
 ///
-/// A write without an answer may still be applied later. When many nodes start, each further write
+/// A write without a response may still be applied later. When many nodes start, each further write
 /// delays those that are queued already, so the table is read before the next attempt.
 async fn register_until_done(node: &Node) {
     let mut back_off = INITIAL_REGISTRATION_BACK_OFF;
--- a/crates/gateway/src/node/peers/loads.rs
+++ b/crates/gateway/src/node/peers/loads.rs
@@ -168,7 +168,7 @@
 }
 
 /// Repeats all loads of this node every few reports.
-pub(super) fn repeat(node: &Node, turn: u64) {
+pub(super) fn repeat_own(node: &Node, turn: u64) {
     if !turn.is_multiple_of(REPEAT_INTERVAL_TURNS) {
         return;
     }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -45,7 +45,7 @@
             ReportTarget::OwnAggregator(name) => report_to_aggregator(&node, now, &name).await,
         }
         if is_grouped {
-            loads::repeat(&node, turn);
+            loads::repeat_own(&node, turn);
             fetch_roster_delta(&node, now);
         }
         quarantine::step(&node).await;
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -175,7 +175,7 @@
         state.lease.begin_era(era);
         if new_era.before.is_some() {
             state.directory.record_table_restored(now);
-            state.frozen_usage.repeat();
+            state.frozen_usage.report_again();
         }
         Some(new_era)
     });
--- a/crates/gateway/src/node/usage_reporter.rs
+++ b/crates/gateway/src/node/usage_reporter.rs
@@ -1,8 +1,8 @@
 //! Reports the number of requests started by each client account, once per window.
 //!
 //! The counts of a window are first frozen in the table, where only the first writer succeeds, and
-//! then reported as stored. A report may be repeated by this holder or the next one and is always
-//! the same.
+//! then reported as stored. This holder or the next one may send a report again, with the same
+//! content.
 //!
 //! After the table service was restored from an older copy, the row of a window may be missing. The
 //! counts that nodes remember replace it. A window that may have been reported and that no node
--- a/crates/gateway/src/node/watch/configuration.rs
+++ b/crates/gateway/src/node/watch/configuration.rs
@@ -26,8 +26,8 @@
 /// bound within which a new configuration must be in force. Separate reads confirm the
 /// configuration.
 const CONFIGURATION_HOLD_FRACTION: f64 = 0.8;
-/// The interval between reads by a node that has no configuration and is not a reader. If it hears
-/// other nodes, the readers send it the configuration as well.
+/// The interval between reads by a node that has no configuration and is not a reader. If other
+/// nodes are reachable, the readers send it the configuration as well.
 const UNCONFIGURED_READ_INTERVAL_MS: Millis = 15_000;
 const ISOLATED_READ_INTERVAL_MS: Millis = 3_000;
 /// How long a node that received its configuration from another node waits for a report of the
--- a/crates/gateway/src/port/mod.rs
+++ b/crates/gateway/src/port/mod.rs
@@ -31,6 +31,6 @@
     pub decode_configuration: fn(&[u8]) -> Result<Configuration, Error>,
     /// Decodes a server's entry, given its key.
     pub decode_server: fn(&str, &[u8]) -> Result<Server, Error>,
-    /// Decodes roll-out orders and encodes their status.
+    /// Decodes rollout orders and encodes their status.
     pub rollout_codec: RolloutCodec,
 }
--- a/crates/gateway/src/port/rollouts.rs
+++ b/crates/gateway/src/port/rollouts.rs
@@ -1,12 +1,12 @@
-//! Decodes roll-out orders and encodes their status.
+//! Decodes rollout orders and encodes their status.
 
 use keeljunction_core::Error;
 use keeljunction_core::serving::rollout::{Order, Status};
 use keeljunction_core::serving::table_version::TableVersion;
 
-/// Codec of roll-outs, whose orders are stored in the configuration table.
+/// Codec of rollouts, whose orders are stored in the configuration table.
 pub struct RolloutCodec {
-    /// Returns `true` if the key of a configuration row belongs to a roll-out order.
+    /// Returns `true` if the key of a configuration row belongs to a rollout order.
     pub is_order: fn(&str) -> bool,
     /// Decodes an order, given its key, value and row version.
     pub decode: fn(&str, &[u8], TableVersion) -> Result<Order, Error>,
--- a/crates/keeljunction/src/command/rollout.rs
+++ b/crates/keeljunction/src/command/rollout.rs
@@ -20,15 +20,15 @@
 
 pub(super) fn build() -> Command {
     Command::new("rollout")
-        .about("Shows the roll-outs of service versions, as seen by a gateway node")
+        .about("Shows the rollouts of service versions, as seen by a gateway node")
         .subcommand_required(true)
-        .subcommand(with_args(Command::new("list").about("Lists the roll-outs and their progress")))
+        .subcommand(with_args(Command::new("list").about("Lists the rollouts and their progress")))
         .subcommand(
-            with_args(Command::new("show").about("Shows the roll-out of one service"))
+            with_args(Command::new("show").about("Shows the rollout of one service"))
                 .arg(Arg::new("service").value_name("SERVICE").required(true).help("The service")),
         )
         .subcommand(with_args(
-            Command::new("watch").about("Lists the roll-outs every second until all have finished"),
+            Command::new("watch").about("Lists the rollouts every second until all have finished"),
         ))
 }
 
@@ -63,13 +63,10 @@
     let time = get_timeout(matches);
     let answer: Value = runtime::run(0, call_node(node, Method::GET, PATH, time))?;
     serde_json::from_value(answer).map_err(|error| {
-        Error::new(
-            ErrorKind::Malformed,
-            format!("the response is not a list of roll-outs: {error}"),
-        )
-        .key("--node")
-        .value(node.to_string())
-        .tip("pass the metrics address of a gateway node")
+        Error::new(ErrorKind::Malformed, format!("the response is not a list of rollouts: {error}"))
+            .key("--node")
+            .value(node.to_string())
+            .tip("pass the metrics address of a gateway node")
     })
 }
 
@@ -78,10 +75,10 @@
     let mut summaries = get(matches)?;
     summaries.retain(|summary| summary.order.service == service);
     if summaries.is_empty() {
-        return Err(Error::new(ErrorKind::NotFound, "no roll-out of this service")
+        return Err(Error::new(ErrorKind::NotFound, "no rollout of this service")
             .key("SERVICE")
             .value(service)
-            .tip("run `keeljunction rollout list` to see all roll-outs that the node knows"));
+            .tip("run `keeljunction rollout list` to see all rollouts that the node knows"));
     }
     print(&summaries, matches.get_flag("json"));
     Ok(())
