--- a/crates/core/src/serving/capacity/placement.rs
+++ b/crates/core/src/serving/capacity/placement.rs
@@ -27,7 +27,7 @@
 pub(super) fn fill(
     data_centres: &[&str],
     count: u32,
-    most: u32,
+    max_servers: u32,
     taken: &BTreeMap<String, u32>,
 ) -> BTreeMap<String, u32> {
     let parts = data_centres.len().saturating_sub(1).max(MIN_DATA_CENTRES) as u32;
@@ -35,21 +35,21 @@
     let mut filled = BTreeMap::new();
     let mut remaining = count;
     for data_centre in data_centres {
-        let room = most.saturating_sub(taken.get(*data_centre).copied().unwrap_or(0));
+        let room = max_servers.saturating_sub(taken.get(*data_centre).copied().unwrap_or(0));
         let held = part.min(room).min(remaining);
         filled.insert((*data_centre).to_owned(), held);
         remaining -= held;
     }
-    if remaining > 0 { spread(data_centres, count, most, taken) } else { filled }
+    if remaining > 0 { spread(data_centres, count, max_servers, taken) } else { filled }
 }
 
 /// Spreads servers over data centres in turn, the cheapest first.
 ///
-/// A data centre gets at most `most` servers, less those already `taken`.
+/// A data centre gets at most `max_servers` servers, less those already `taken`.
 pub(super) fn spread(
     data_centres: &[&str],
     count: u32,
-    most: u32,
+    max_servers: u32,
     taken: &BTreeMap<String, u32>,
 ) -> BTreeMap<String, u32> {
     let mut spread: BTreeMap<String, u32> =
@@ -59,7 +59,7 @@
         let before = remaining;
         for data_centre in data_centres {
             let held = spread.entry((*data_centre).to_owned()).or_default();
-            let room = most.saturating_sub(taken.get(*data_centre).copied().unwrap_or(0));
+            let room = max_servers.saturating_sub(taken.get(*data_centre).copied().unwrap_or(0));
             if remaining > 0 && *held < room {
                 *held += 1;
                 remaining -= 1;
--- a/crates/core/src/serving/quota/decision.rs
+++ b/crates/core/src/serving/quota/decision.rs
@@ -140,7 +140,7 @@
         self.refill_whole(now, account, limit, reach);
         // Estimates of unreported usage are left out: near the limit, other nodes use what this
         // node admits, and a single large prompt would look like a rate.
-        let level = self.whole.get(account).map_or(0.0, |bucket| bucket.available);
+        let level = self.whole_buckets.get(account).map_or(0.0, |bucket| bucket.available);
         let available = level + self.get_headroom(now, limit, reach);
         let required = self.get_required_units(now, units, limit);
         if available >= required {
--- a/crates/core/src/serving/quota/local_share.rs
+++ b/crates/core/src/serving/quota/local_share.rs
@@ -37,7 +37,7 @@
     /// Discards the units saved up in the local share, because the owner of the client account
     /// decides about its requests.
     pub fn discard_local_share_savings(&mut self, now: Millis, account: &str) {
-        if let Some(bucket) = self.local_share.get_mut(account) {
+        if let Some(bucket) = self.local_share_buckets.get_mut(account) {
             // Units admitted in advance are still paid back.
             bucket.stop_accumulating(now);
         }
@@ -108,7 +108,7 @@
         // The first request is paid for in advance; otherwise each of many nodes would admit one
         // request too many.
         let debt = (units - share.advance).max(0.0);
-        let bucket = self.local_share.entry(account.to_owned());
+        let bucket = self.local_share_buckets.entry(account.to_owned());
         let bucket = bucket.or_insert(TokenBucket::new(now, -debt));
         bucket.set_limits(now, share.rate, share.rate.max(MIN_AVAILABLE));
         if bucket.available < MIN_AVAILABLE {
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -82,8 +82,10 @@
 pub struct Quotas {
     started_at: Millis,
     tolerance: Tolerance,
-    whole: BTreeMap<String, TokenBucket>,
-    local_share: BTreeMap<String, TokenBucket>,
+    /// Buckets of whole client accounts, by client account.
+    whole_buckets: BTreeMap<String, TokenBucket>,
+    /// Buckets of this node's local shares, by client account.
+    local_share_buckets: BTreeMap<String, TokenBucket>,
     /// The time up to which units are booked for refused callers, by client account.
     booked_until: BTreeMap<String, f64>,
     own: Report,
@@ -109,8 +111,8 @@
         Self {
             started_at: now,
             tolerance,
-            whole: BTreeMap::new(),
-            local_share: BTreeMap::new(),
+            whole_buckets: BTreeMap::new(),
+            local_share_buckets: BTreeMap::new(),
             booked_until: BTreeMap::new(),
             own: Report::default(),
             counted_since: now,
@@ -135,7 +137,7 @@
 
     /// Refunds the units of a request that did not run.
     pub fn refund(&mut self, account: &str, units: u64) {
-        if let Some(bucket) = self.whole.get_mut(account) {
+        if let Some(bucket) = self.whole_buckets.get_mut(account) {
             bucket.available += units as f64;
         }
         if let Some(own) = self.own.accounts.get_mut(account) {
@@ -146,7 +148,7 @@
     /// Creates the bucket of a client account even if this node received none of its requests, so
     /// that the node can report the level to others.
     pub fn track(&mut self, now: Millis, account: &str, limit: Limit, reach: Reachability) {
-        if limit.rate_per_second > 0.0 && !self.whole.contains_key(account) {
+        if limit.rate_per_second > 0.0 && !self.whole_buckets.contains_key(account) {
             let limit = self.tolerance.raise(limit, get_raised_fraction(reach));
             self.refill_whole(now, account, limit, reach);
         }
@@ -158,7 +160,7 @@
         self.own.counted_for = now.saturating_sub(self.counted_since);
         for (account, units) in &mut self.own.accounts {
             units.requested_per_second = self.own_rates.measure_requested(now, account, units);
-            if let Some(bucket) = self.whole.get_mut(account) {
+            if let Some(bucket) = self.whole_buckets.get_mut(account) {
                 bucket.refill(now);
                 units.level = Some((bucket.available + bucket.reserved) as i64);
             }
@@ -202,7 +204,7 @@
             }
         }
         for (account, units) in &mut sum.accounts {
-            if let Some(bucket) = self.whole.get_mut(account) {
+            if let Some(bucket) = self.whole_buckets.get_mut(account) {
                 bucket.refill(now);
                 units.level = Some((bucket.available + bucket.reserved) as i64);
             }
@@ -257,7 +259,8 @@
     /// Lowers the levels of the buckets to those that this node's aggregator reports.
     fn lower_levels(&mut self, now: Millis, total: &Report) {
         for (account, units) in &total.accounts {
-            let (Some(bucket), Some(level)) = (self.whole.get_mut(account), units.level) else {
+            let (Some(bucket), Some(level)) = (self.whole_buckets.get_mut(account), units.level)
+            else {
                 continue;
             };
             bucket.refill(now);
@@ -287,11 +290,11 @@
             _ if own_age < NEW_NODE_PERIOD_MS => rates.is_older,
             _ => report.counted_for > NEW_NODE_PERIOD_MS,
         };
-        let takes_level = is_first && is_counted_elsewhere;
+        let adopts_level = is_first && is_counted_elsewhere;
         let newly_admitted = rates.update(now, report);
-        refund_all(&mut self.whole, charged);
+        refund_all(&mut self.whole_buckets, charged);
         for (account, admitted) in newly_admitted {
-            if takes_level {
+            if adopts_level {
                 self.lower_level(now, source, &account, report);
                 continue;
             }
@@ -303,7 +306,7 @@
             if let Some(sums) = sums {
                 *sums.entry(account.clone()).or_default() += admitted;
             }
-            if let Some(bucket) = self.whole.get_mut(&account) {
+            if let Some(bucket) = self.whole_buckets.get_mut(&account) {
                 bucket.refill(now);
                 charge(self.tolerance, bucket, admitted);
             }
@@ -315,12 +318,12 @@
     /// The usage of others since their last reports is charged by estimate, because the next
     /// aggregator may know less if it has just started.
     fn forget_aggregators(&mut self, now: Millis) {
-        let whole = &mut self.whole;
+        let whole_buckets = &mut self.whole_buckets;
         self.peers.retain(|(source, _, _), rates| {
             if *source != Source::Aggregator {
                 return true;
             }
-            for (account, bucket) in whole.iter_mut() {
+            for (account, bucket) in whole_buckets.iter_mut() {
                 bucket.available -= rates.estimate_unreported_of_group(now, account);
             }
             false
@@ -330,7 +333,9 @@
     /// Lowers the level of a client account's bucket to the one that a peer reports.
     fn lower_level(&mut self, now: Millis, source: Source, account: &str, report: &Report) {
         let level = report.accounts.get(account).and_then(|units| units.level);
-        let (Some(bucket), Some(level)) = (self.whole.get_mut(account), level) else { return };
+        let (Some(bucket), Some(level)) = (self.whole_buckets.get_mut(account), level) else {
+            return;
+        };
         bucket.refill(now);
         // A peer that this node has just met has not counted this node's admitted units yet.
         let is_new = now.saturating_sub(self.started_at) < NEW_NODE_PERIOD_MS;
@@ -345,7 +350,7 @@
     /// The value is negative if more was admitted than the limit allows. Returns `None` before the
     /// first request of the account.
     pub fn get_available(&self, now: Millis, account: &str) -> Option<f64> {
-        let mut bucket = *self.whole.get(account)?;
+        let mut bucket = *self.whole_buckets.get(account)?;
         bucket.refill(now);
         Some(bucket.available)
     }
@@ -358,7 +363,7 @@
     }
 
     fn admit(&mut self, account: &str, units: u64) {
-        if let Some(bucket) = self.whole.get_mut(account) {
+        if let Some(bucket) = self.whole_buckets.get_mut(account) {
             bucket.available -= units as f64;
         }
         self.own.accounts.entry(account.to_owned()).or_default().admitted += units as i64;
@@ -388,11 +393,11 @@
             charged += peer.charge_unreported(now, account);
         }
         let reserved = self.get_restart_units(limit) * (1.0 - fraction);
-        if !self.whole.contains_key(account) {
+        if !self.whole_buckets.contains_key(account) {
             let bucket = self.make_bucket(now, account, limit, reserved);
-            self.whole.insert(account.to_owned(), bucket);
+            self.whole_buckets.insert(account.to_owned(), bucket);
         }
-        let Some(bucket) = self.whole.get_mut(account) else { return 0.0 };
+        let Some(bucket) = self.whole_buckets.get_mut(account) else { return 0.0 };
         bucket.release(reserved);
         bucket.set_limits(now, rate, capacity);
         if charged > 0.0 {
--- a/crates/gateway/src/node/peers/pending_queries.rs
+++ b/crates/gateway/src/node/peers/pending_queries.rs
@@ -40,7 +40,7 @@
     }
 
     /// Delivers an answer; returns `false` if the query is no longer pending.
-    pub(super) fn answer(&self, id: u32, answer: T) -> bool {
+    pub(super) fn deliver(&self, id: u32, answer: T) -> bool {
         let waiting = lock(&self.waiting).remove(&id);
         waiting.is_some_and(|sender| sender.try_send(answer).is_ok())
     }
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -155,7 +155,7 @@
     key: InstanceKey,
     decision: Decision,
 ) {
-    let is_taken = node.pending_permits.answer(query_id, decision);
+    let is_taken = node.pending_permits.deliver(query_id, decision);
     if !is_taken && decision == Decision::Granted {
         node.link.send(node.now(), from, &Message::ReleasePermit(key)).await;
     }
--- a/crates/gateway/src/node/peers/quota.rs
+++ b/crates/gateway/src/node/peers/quota.rs
@@ -126,7 +126,7 @@
     units: u64,
     decision: Decision,
 ) {
-    let is_taken = node.pending_decisions.answer(query_id, decision);
+    let is_taken = node.pending_decisions.deliver(query_id, decision);
     if !is_taken && decision == Decision::Admitted {
         node.with(|state| state.quotas.refund(account, units));
     }
