--- a/crates/gateway/src/exchange/source.rs
+++ b/crates/gateway/src/exchange/source.rs
@@ -255,7 +255,7 @@
     fn finish(&mut self) {
         let is_truncated = self.splitter.as_ref().is_some_and(|s| !s.get_rest().is_empty());
         match is_truncated {
-            true => self.stop(StreamEnd::Broken("the stream ended within an event")),
+            true => self.stop(StreamEnd::Broken("an event is cut")),
             false => {
                 relay::record_success(&self.node, &self.exchange, self.status);
                 self.record.set_outcome(self.status, ANSWERED);
@@ -297,7 +297,7 @@
             why: "broke_off",
         });
         let Some(splitter) = self.splitter.as_mut() else {
-            return self.stop(StreamEnd::Broken("the server closed the connection early"));
+            return self.stop(StreamEnd::Broken("the server broke off"));
         };
         *splitter = Splitter::default();
         let last_event_id = self.sequence.get_last();
@@ -328,7 +328,7 @@
                     self.finish();
                 }
             }
-            None => self.stop(StreamEnd::Broken("no server resumed the stream")),
+            None => self.stop(StreamEnd::Broken("no server goes on")),
         }
     }
 }
