--- a/crates/gateway/src/metrics/gauges.rs
+++ b/crates/gateway/src/metrics/gauges.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::node::memory::read_resident_bytes;
 
-/// The state of a node as gauges. It is read when the metrics are rendered.
+/// Gauges of a node's state, updated when the metrics are rendered.
 #[derive(Default)]
 pub(super) struct Gauges {
     retries_left: Family<ServiceLabels, Gauge<f64, AtomicU64>>,
@@ -29,7 +29,7 @@
     resident: Gauge<i64, AtomicI64>,
     memory_held: Family<MemoryKindLabels, Gauge>,
     memory_capacity: Gauge<i64, AtomicI64>,
-    memory_part: Gauge<f64, AtomicU64>,
+    memory_in_use: Gauge<f64, AtomicU64>,
     is_short_of_memory: Gauge<i64, AtomicI64>,
     descriptors: Gauge<i64, AtomicI64>,
     region_round_trip: Family<RegionLabels, Gauge<f64, AtomicU64>>,
@@ -102,7 +102,7 @@
         registry.register(
             "memory_in_use",
             "Part of the memory in use, from 0 to 1",
-            self.memory_part.clone(),
+            self.memory_in_use.clone(),
         );
         registry.register(
             "memory_short",
@@ -162,7 +162,7 @@
         self.descriptors.set(std::fs::read_dir("/proc/self/fd").map_or(0, |d| d.count() as i64));
         node.with(|state| {
             self.read_ahead.set(state.memory.get_held(Kind::ReadAhead) as i64);
-            self.held_at_servers.set(state.server_held_bytes.get_total() as i64);
+            self.held_at_servers.set(state.in_flight_bytes.get_total() as i64);
             self.skipped_entries.set(state.skipped_entries.count() as i64);
             self.quarantined.set(state.quarantine.count_quarantined(now) as i64);
             self.in_back_off.set(state.backpressure.count_in_back_off(now) as i64);
@@ -172,7 +172,7 @@
             let version = state.configuration.as_ref().map_or(0, |known| known.version);
             self.configuration_version.set(version as i64);
             self.memory_capacity.set(state.memory.get_capacity() as i64);
-            self.memory_part.set(state.memory.get_usage().part);
+            self.memory_in_use.set(state.memory.get_usage().part);
             self.is_short_of_memory.set(state.memory.is_under_pressure().into());
             for kind in Kind::ALL {
                 let labels = MemoryKindLabels { kind: kind.as_str().to_owned() };
@@ -199,9 +199,11 @@
                 self.retries_left.get_or_create(&labels).set(retries);
             }
             for account in configuration.accounts.iter().flatten() {
-                let Some(left) = state.quotas.get_left(now, &account.name) else { continue };
+                let Some(available) = state.quotas.get_available(now, &account.name) else {
+                    continue;
+                };
                 let labels = AccountLabels { account: account.name.clone() };
-                self.quota_left.get_or_create(&labels).set(left);
+                self.quota_left.get_or_create(&labels).set(available);
             }
         });
     }
--- a/crates/gateway/src/node/uploads.rs
+++ b/crates/gateway/src/node/eviction_signals.rs
@@ -1,4 +1,4 @@
-//! The signals by which uploads learn that their memory is needed.
+//! Signals that tell uploads that their memory is reclaimed.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,11 +8,11 @@
 use crate::http::StopSignal;
 use crate::runtime::lock;
 
-/// Signals to uploads that they are evicted.
+/// The eviction signals of uploads, by reservation.
 #[derive(Default)]
-pub(crate) struct Uploads(pub(super) Mutex<HashMap<ReservationId, StopSignal>>);
+pub(crate) struct EvictionSignals(pub(super) Mutex<HashMap<ReservationId, StopSignal>>);
 
-impl Uploads {
+impl EvictionSignals {
     pub(super) fn evict(&self, ids: &[ReservationId]) {
         let stops = lock(&self.0);
         for stop in ids.iter().filter_map(|id| stops.get(id)) {
--- a/crates/gateway/src/node/peers/notifications.rs
+++ b/crates/gateway/src/node/peers/notifications.rs
@@ -1,9 +1,9 @@
-//! Passes on what must not wait for the next report: changed servers, a new configuration, long
-//! prompts, limits and departures of servers, requests that crash servers.
+//! Sends and forwards changes that must not wait for the next report: server list changes, a new
+//! configuration, long prompts, limits and departures of servers, and requests that crash servers.
 //!
-//! Where nodes report in groups, news goes from a node to its aggregator, from there to the other
-//! aggregators, and from each of these to its group. An aggregator passes on what is new to it, and
-//! no more. What does not arrive shows in the next report.
+//! If nodes report in groups, a notification goes from a node to its aggregator, from there to the
+//! other aggregators, and from each of these to its group. An aggregator forwards only what is new
+//! to it. The next report carries what was lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,22 +22,22 @@
 use crate::node::{Node, rollouts, table, watch};
 use crate::runtime;
 
-/// The part of the period between two reports that a prompt takes to read, at the least, for its
-/// request to be notified at once.
-const REPORT_AT_ONCE_PART: f64 = 0.1;
-/// The part of the time in which a configuration must be in force for which a carrier waits before it
-/// gets from another region what this one's readers did not get: these have it from the table service
-/// at once, and the rest must do for the way.
-const FAR_NEWS_PART: f64 = 0.25;
+/// The minimum prefill time of a prompt that is notified at once, as a fraction of the report
+/// period.
+const MIN_NOTIFIED_PREFILL_FRACTION: f64 = 0.1;
+/// How long a carrier waits for the readers of its own region before it fetches a document from
+/// another region, as a fraction of the time within which a configuration must be in force. The
+/// readers get it from the table service at once; the rest of the time is for the transfer.
+const CROSS_REGION_FETCH_DELAY_FRACTION: f64 = 0.25;
 
-/// Sends this node's news for as long as the process runs.
+/// Sends this node's notifications until the process ends.
 pub(super) async fn send(node: Arc<Node>) {
     while let Ok(notification) = node.notifications.1.recv().await {
         let now = node.now();
         let to = node.with(|state| match state.members.get_own_aggregator() {
             Some(aggregator) => vec![aggregator.address],
             None => {
-                let mut to = list_others(state, now);
+                let mut to = list_aggregators(state, now);
                 to.extend(state.members.get_group_addresses(now));
                 to
             }
@@ -46,87 +46,89 @@
     }
 }
 
-/// Sends a frozen window to the nodes that may hold the duties after this one, before it is reported.
+/// Sends a frozen window to the nodes that may hold the duty lease next, before it is reported.
 pub(in crate::node) async fn send_frozen(node: &Node, window: WindowNumber, counts: &Counts) {
     let now = node.now();
-    let to = node.with(|state| list_others(state, now));
+    let to = node.with(|state| list_aggregators(state, now));
     let notification = Notification::UsageFrozen(window, counts.clone());
     node.link.send_to_all(now, to, &Message::Notification(notification)).await;
 }
 
-/// Lists the other aggregators of this region, and the carriers of the others.
-fn list_others(state: &State, now: Millis) -> Vec<SocketAddr> {
+/// Lists the other aggregators of this region and the carriers of the other regions.
+fn list_aggregators(state: &State, now: Millis) -> Vec<SocketAddr> {
     let mut to = state.members.list_exchange_peers(now);
     to.extend(state.members.list_carriers(now, 0).concat());
     to
 }
 
-/// Announces to the other nodes a request that is sent to a server, where its prompt keeps the server
-/// busy for long. In groups nodes request the loads of servers instead.
+/// Notifies the other nodes of a request whose prompt will keep its server busy for long. In
+/// groups, nodes query the loads of servers instead.
 pub(crate) fn notify_request_started(
     node: &Node,
     server: &str,
-    work: &RequestCost,
-    reading_ms: Millis,
+    cost: &RequestCost,
+    prefill_ms: Millis,
 ) {
     let (is_grouped, period) =
         node.with(|state| (state.members.is_grouped(), state.members.get_period()));
-    let least = period.as_millis() as f64 * REPORT_AT_ONCE_PART;
-    if is_grouped || (reading_ms as f64) < least {
+    let min_prefill_ms = period.as_millis() as f64 * MIN_NOTIFIED_PREFILL_FRACTION;
+    if is_grouped || (prefill_ms as f64) < min_prefill_ms {
         return;
     }
     let (name, server) = (node.incarnation.node.clone(), short_id(server));
-    node.notify_peers(Notification::RequestStarted { node: name, server, work: *work, reading_ms });
+    node.notify_peers(Notification::RequestStarted { node: name, server, cost: *cost, prefill_ms });
 }
 
-/// Takes the news of another node.
-pub(super) async fn take(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
+/// Handles a notification of another node.
+pub(super) async fn handle(node: &Arc<Node>, from: SocketAddr, notification: Notification) {
     match notification {
-        Notification::RequestStarted { node: peer, server, work, reading_ms } => {
-            let until = node.now() + reading_ms;
-            node.with(|state| state.loads.merge_started(until, &peer, server, &work));
+        Notification::RequestStarted { node: peer, server, cost, prefill_ms } => {
+            let until = node.now() + prefill_ms;
+            node.with(|state| state.loads.merge_started(until, &peer, server, &cost));
         }
         Notification::RequestJudged(verdict) => {
-            if quarantine::take_verdict(node, verdict) {
-                pass_on(node, from, notification).await;
+            if quarantine::apply_verdict(node, verdict) {
+                forward(node, from, notification).await;
             }
         }
-        Notification::LimitSeen(sighting) => {
-            if permits::take_sighting(node, &sighting) {
-                pass_on(node, from, notification).await;
+        Notification::LimitObserved(observation) => {
+            if permits::apply_observation(node, &observation) {
+                forward(node, from, notification).await;
             }
         }
         Notification::ServerLeaving(ref departure) => {
             if watch::apply_departure(node, departure) {
-                pass_on(node, from, notification).await;
+                forward(node, from, notification).await;
             }
         }
         Notification::UsageFrozen(window, counts) => {
-            node.with(|state| state.frozen.record_remote(window, &counts));
+            node.with(|state| state.frozen_usage.record_remote(window, &counts));
         }
-        Notification::RolloutChanged(announcement) => take_rollout(node, from, announcement).await,
-        Notification::ServersChanged(batch) => take_servers(node, from, batch).await,
+        Notification::RolloutChanged(announcement) => {
+            handle_rollout(node, from, announcement).await
+        }
+        Notification::ServersChanged(batch) => handle_servers(node, from, batch).await,
         Notification::ConfigurationChanged { version } => {
             let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
             if known < Some(version) {
-                runtime::spawn(get_configuration(node.clone(), from, version));
+                runtime::spawn(fetch_configuration(node.clone(), from, version));
             }
         }
     }
 }
 
-/// Takes the news of a roll-out, and passes on what is new.
-async fn take_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
+/// Handles a rollout announcement, and forwards it if it is new.
+async fn handle_rollout(node: &Node, from: SocketAddr, announcement: Announcement) {
     let now = node.now();
     if node.with(|state| rollouts::merge(state, now, &announcement)) {
-        pass_on(node, from, Notification::RolloutChanged(announcement)).await;
+        forward(node, from, Notification::RolloutChanged(announcement)).await;
     }
 }
 
-/// Takes changes of the list of servers, or gets the whole list where some are missing.
-async fn take_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
+/// Handles changes of the server list, or fetches the list if some changes are missing.
+async fn handle_servers(node: &Arc<Node>, from: SocketAddr, batch: Batch) {
     let version = batch.version;
-    table::note_era(node, version.era);
+    table::record_era(node, version.era);
     let notification = Notification::ServersChanged(batch.clone());
     let (changes, is_new) = node.with(|state| {
         let before = state.directory.get_version();
@@ -135,56 +137,56 @@
     });
     match changes {
         Some(changes) => watch::apply(node, changes),
-        None => runtime::spawn(get_servers(node.clone(), from, version)),
+        None => runtime::spawn(fetch_servers(node.clone(), from, version)),
     }
     if is_new {
-        pass_on(node, from, notification).await;
+        forward(node, from, notification).await;
     }
 }
 
-/// Leaves this region's readers time where another one has news of a table: a document crosses only
-/// where they do not get it themselves.
+/// Gives the readers of this region time to read a table that another region has a newer version
+/// of. A document is transferred between regions only if they fail.
 async fn wait_for_readers(node: &Node, from: SocketAddr) {
-    if node.link.get_far_region(from).is_some() {
-        let bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
-        runtime::sleep(bound.mul_f64(FAR_NEWS_PART)).await;
+    if node.link.get_remote_region(from).is_some() {
+        let apply_bound = Duration::from_millis(node.settings.bounds.config_apply_ms);
+        runtime::sleep(apply_bound.mul_f64(CROSS_REGION_FETCH_DELAY_FRACTION)).await;
     }
 }
 
-/// Gets the list of servers where this node's is older than a version.
-async fn get_servers(node: Arc<Node>, from: SocketAddr, version: TableVersion) {
+/// Fetches the server list if this node's list is older than a version.
+async fn fetch_servers(node: Arc<Node>, from: SocketAddr, version: TableVersion) {
     wait_for_readers(&node, from).await;
     if node.with(|state| !state.directory.is_known() || state.directory.get_version() < version) {
-        calls::get_servers(node, from).await;
+        calls::fetch_servers(node, from).await;
     }
 }
 
-/// Gets a configuration, and passes on that it is there once this node can give it to others.
-async fn get_configuration(node: Arc<Node>, from: SocketAddr, version: u64) {
+/// Fetches a configuration, and notifies others of it once this node can serve it.
+async fn fetch_configuration(node: Arc<Node>, from: SocketAddr, version: u64) {
     wait_for_readers(&node, from).await;
     let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
     if known < Some(version) {
-        calls::get_configuration(node.clone(), from).await;
+        calls::fetch_configuration(node.clone(), from).await;
     }
     let known = node.with(|state| state.configuration.as_ref().map(|known| known.version));
     if known >= Some(version) {
-        pass_on(&node, from, Notification::ConfigurationChanged { version }).await;
+        forward(&node, from, Notification::ConfigurationChanged { version }).await;
     }
 }
 
-/// Passes news on: to this node's group, to the other aggregators where it came from the group, and
-/// to those of this region where it came from another one.
-async fn pass_on(node: &Node, from: SocketAddr, notification: Notification) {
+/// Forwards a notification: to this node's group, to the other aggregators if it came from the
+/// group, and to those of this region if it came from another region.
+async fn forward(node: &Node, from: SocketAddr, notification: Notification) {
     let now = node.now();
-    let is_far = node.link.get_far_region(from).is_some();
+    let is_remote = node.link.get_remote_region(from).is_some();
     let to = node.with(|state| {
         if !state.members.is_grouped() || !state.members.is_aggregator() {
             return Vec::new();
         }
         let mut to = state.members.get_group_addresses(now);
         if to.contains(&from) {
-            to.extend(list_others(state, now));
-        } else if is_far {
+            to.extend(list_aggregators(state, now));
+        } else if is_remote {
             to.extend(state.members.list_exchange_peers(now));
         }
         to.retain(|address| *address != from);
--- a/crates/gateway/src/node/peers/permits.rs
+++ b/crates/gateway/src/node/peers/permits.rs
@@ -1,8 +1,9 @@
-//! Asks the owners of limited servers for permits (see [`keeljunction_core::serving::backpressure`]).
+//! Acquires permits from the owners of limited servers (see
+//! [`keeljunction_core::serving::backpressure`]).
 //!
-//! The owner of a server is the aggregator that keeps its load, which every node finds by itself. A node
-//! that gets no decision sends nothing to the server for a while: a limit holds also where its owner is
-//! out of reach, and other servers get the request.
+//! The owner of a server is the aggregator that owns its load, which every node determines locally.
+//! A node that gets no decision sends nothing to the server for a while: a limit holds even if its
+//! owner is unreachable, and the request goes to another server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,62 +16,62 @@
 use crate::node::Node;
 use crate::node::state::State;
 
-/// How long a decision is waited for: some times the way there and back within a region, and the time
-/// for which a small VM lets a task wait. From another region it is waited for as long as the way there
-/// and back is measured to take.
-const DECIDED_WITHIN: Millis = 40;
-/// How long a server gets nothing from a node that got no decision, in milliseconds: one period of
-/// reports, after which the node may have found another owner.
-const UNDECIDED_FOR: Millis = 200;
+/// The timeout for a decision: several round trips within a region, and the scheduling delay of a
+/// task on a small VM. For other regions it follows the measured round-trip times.
+const DECISION_TIMEOUT_MS: Millis = 40;
+/// How long a node that got no decision sends nothing to the server: one report period, after which
+/// it may have found another owner.
+const UNDECIDED_BACK_OFF_MS: Millis = 200;
 
 /// A permit to send a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
-    /// The server names no limit.
+    /// The server has no limit.
     Unlimited,
-    /// It counts at the server's owner; `None` where that is this node.
+    /// The permit is counted by the server's owner; `None` if that is this node.
     Counted(Option<SocketAddr>),
 }
 
 /// The node that owns a server.
 struct Owner {
     address: SocketAddr,
-    /// Its region, where that is another one.
-    far_region: Option<String>,
+    /// Its region; `None` if it is this node's region.
+    remote_region: Option<String>,
 }
 
-/// Takes a permit to send a request to a server; `None` where the server takes none now.
+/// Acquires a permit to send a request to a server; returns `None` if the server does not accept
+/// one now.
 pub(crate) async fn acquire(node: &Node, server: &Server) -> Option<Permit> {
     let now = node.now();
-    let sighting = node.with(|state| state.backpressure.get_limit(now, server));
-    let permit = match sighting {
+    let observation = node.with(|state| state.backpressure.get_limit(now, server));
+    let permit = match observation {
         None => Permit::Unlimited,
-        Some(sighting) => take_counted(node, server, sighting).await?,
+        Some(observation) => acquire_counted(node, server, observation).await?,
     };
-    // The server may have said something while the decision was waited for.
+    // The server may have requested a backoff while the decision was pending.
     let now = node.now();
-    if node.with(|state| state.is_in_backoff(now, server)) {
+    if node.with(|state| state.is_throttled(now, server)) {
         release_unused(node, server, permit).await;
         return None;
     }
     Some(permit)
 }
 
-/// Takes a permit of the owner of a limited server.
-async fn take_counted(node: &Node, server: &Server, sighting: Observation) -> Option<Permit> {
+/// Acquires a permit from the owner of a limited server.
+async fn acquire_counted(node: &Node, server: &Server, observation: Observation) -> Option<Permit> {
     let owner = node.with(|state| {
-        let found = state.members.find_load_owner(sighting.key.server, &server.data_centre)?;
-        let far_region = found.remote_region.map(str::to_owned);
-        Some(Owner { address: found.address, far_region })
+        let found = state.members.find_load_owner(observation.key.server, &server.data_centre)?;
+        let remote_region = found.remote_region.map(str::to_owned);
+        Some(Owner { address: found.address, remote_region })
     });
     let now = node.now();
     let decision = match &owner {
-        Some(owner) => ask(node, owner, server, sighting).await,
-        None => node.with(|state| decide(state, now, &server.data_centre, &sighting)),
+        Some(owner) => request_from_owner(node, owner, server, observation).await,
+        None => node.with(|state| decide(state, now, &server.data_centre, &observation)),
     };
     let now = node.now();
     let is_granted = node.with(|state| {
-        state.backpressure.apply_decision(now, sighting.key, decision, UNDECIDED_FOR)
+        state.backpressure.apply_decision(now, observation.key, decision, UNDECIDED_BACK_OFF_MS)
     });
     if !is_granted {
         node.metrics.permits_denied.inc();
@@ -82,19 +83,24 @@
     })
 }
 
-/// Asks the owner of a server; undecided where it does not answer in time.
-async fn ask(node: &Node, owner: &Owner, server: &Server, sighting: Observation) -> Decision {
-    let question = node.pending_permits.begin();
+/// Requests a decision from the owner of a server; undecided if it does not answer in time.
+async fn request_from_owner(
+    node: &Node,
+    owner: &Owner,
+    server: &Server,
+    observation: Observation,
+) -> Decision {
+    let query = node.pending_permits.begin();
     let data_centre = match node.topology.is_multi_region() {
         true => server.data_centre.clone(),
         false => String::new(),
     };
-    let message = Message::AskPermit { question: question.number, sighting, data_centre };
+    let message = Message::RequestPermit { query_id: query.id, observation, data_centre };
     node.link.send(node.now(), owner.address, &message).await;
-    let wait = owner.far_region.as_deref().map_or(DECIDED_WITHIN, |region| {
-        node.with(|state| state.round_trips.get_timeout(region, DECIDED_WITHIN))
+    let wait = owner.remote_region.as_deref().map_or(DECISION_TIMEOUT_MS, |region| {
+        node.with(|state| state.round_trips.get_timeout(region, DECISION_TIMEOUT_MS))
     });
-    let decision = question.wait(Duration::from_millis(wait)).await;
+    let decision = query.wait(Duration::from_millis(wait)).await;
     decision.unwrap_or_else(|| {
         node.metrics.unanswered_permit_questions.inc();
         Decision::Undecided
@@ -108,62 +114,67 @@
         Permit::Unlimited => {}
         Permit::Counted(None) => node.with(|state| state.backpressure.return_permit(key)),
         Permit::Counted(Some(owner)) => {
-            node.link.send(node.now(), owner, &Message::ReturnPermit(key)).await;
+            node.link.send(node.now(), owner, &Message::ReleasePermit(key)).await;
         }
     }
 }
 
-/// Decides as the owner; undecided where this node is not the owner.
-fn decide(state: &mut State, now: Millis, data_centre: &str, sighting: &Observation) -> Decision {
-    if !state.members.is_load_owner(sighting.key.server, data_centre) {
+/// Decides as the owner; undecided if this node is not the owner.
+fn decide(
+    state: &mut State,
+    now: Millis,
+    data_centre: &str,
+    observation: &Observation,
+) -> Decision {
+    if !state.members.is_load_owner(observation.key.server, data_centre) {
         return Decision::Undecided;
     }
-    let reach = state.members.get_reachability(now);
-    state.backpressure.decide(now, sighting, reach)
+    let reachability = state.members.get_reachability(now);
+    state.backpressure.decide(now, observation, reachability)
 }
 
-/// Answers another node.
-pub(super) async fn answer(
+/// Answers the permit request of another node.
+pub(super) async fn answer_request(
     node: &Node,
     from: SocketAddr,
-    question: u32,
-    sighting: &Observation,
+    query_id: u32,
+    observation: &Observation,
     data_centre: &str,
 ) {
     let now = node.now();
-    let key = sighting.key;
-    let decision = node.with(|state| decide(state, now, data_centre, sighting));
-    node.link.send(now, from, &Message::Permit { question, key, decision }).await;
+    let key = observation.key;
+    let decision = node.with(|state| decide(state, now, data_centre, observation));
+    node.link.send(now, from, &Message::Permit { query_id, key, decision }).await;
 }
 
-/// Takes a decision. A permit that comes too late is returned.
-pub(super) async fn take_answer(
+/// Handles a decision. A permit that arrives too late is returned.
+pub(super) async fn handle_decision(
     node: &Node,
     from: SocketAddr,
-    question: u32,
+    query_id: u32,
     key: InstanceKey,
     decision: Decision,
 ) {
-    let is_taken = node.pending_permits.answer(question, decision);
+    let is_taken = node.pending_permits.deliver(query_id, decision);
     if !is_taken && decision == Decision::Granted {
-        node.link.send(node.now(), from, &Message::ReturnPermit(key)).await;
+        node.link.send(node.now(), from, &Message::ReleasePermit(key)).await;
     }
 }
 
-/// Takes back the permit of a request that another node did not send.
-pub(super) fn take_back(node: &Node, key: InstanceKey) {
+/// Handles the return of an unused permit by another node.
+pub(super) fn handle_release(node: &Node, key: InstanceKey) {
     node.with(|state| state.backpressure.return_permit(key));
 }
 
-/// Takes what another node saw of a server's limit; returns `true` if it is news.
-pub(super) fn take_sighting(node: &Node, sighting: &Observation) -> bool {
+/// Applies a server limit observed by another node; returns `true` if it is new.
+pub(super) fn apply_observation(node: &Node, observation: &Observation) -> bool {
     let now = node.now();
-    node.with(|state| state.backpressure.merge(now, sighting))
+    node.with(|state| state.backpressure.merge(now, observation))
 }
 
-/// Takes the sightings that came with a report.
-pub(super) fn take_sightings(node: &Node, sightings: &[Observation]) {
-    for sighting in sightings {
-        take_sighting(node, sighting);
+/// Applies the server limits in a report.
+pub(super) fn apply_observations(node: &Node, observations: &[Observation]) {
+    for observation in observations {
+        apply_observation(node, observation);
     }
 }
--- a/crates/gateway/src/node/peers/report.rs
+++ b/crates/gateway/src/node/peers/report.rs
@@ -1,8 +1,8 @@
-//! Exchanges counts with other nodes, some times a second.
+//! Exchanges counts with other nodes several times a second.
 //!
-//! A node that is no aggregator reports to one, and gets an overview of the whole from it. An
-//! aggregator exchanges summaries of its group with the others. Which of the two a node is follows
-//! from [`keeljunction_core::serving::members`].
+//! A node that is no aggregator reports to one and receives an overview of all nodes from it. An
+//! aggregator exchanges summaries of its group with the other aggregators.
+//! [`keeljunction_core::serving::members`] determines which nodes are aggregators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,38 +15,38 @@
 use keeljunction_core::serving::report_log::Snapshot;
 use keeljunction_core::serving::usage::{Counts, Incarnation, WindowNumber};
 
-use super::audience::{Audience, Samples, pass_on};
 use super::message::{Message, Overview, Report, Sender, Summary, Totals};
-use super::{calls, carry, loads, permits, quarantine, versions};
+use super::report_target::{ReportTarget, Samples, buffer_samples};
+use super::{calls, loads, permits, quarantine, summary_relay, versions};
 use crate::event::{self, Event};
-use crate::node::pauses::Pauses;
+use crate::node::pause_detector::PauseDetector;
 use crate::node::state::State;
 use crate::node::{Node, rollouts, staleness, watch};
 use crate::runtime;
 
-/// The counts of a node are used for this many periods.
-const COUNTS_LAST_PERIODS: u32 = 7;
-/// Windows of usage in each report.
-const WINDOWS_REPORTED: usize = 4;
+/// The number of report periods for which a node's counts stay valid.
+const COUNTS_TTL_PERIODS: u32 = 7;
+/// The maximum number of usage windows in a report.
+const MAX_REPORTED_WINDOWS: usize = 4;
 
-/// Reports for as long as the process runs.
+/// Sends reports until the process ends.
 pub(super) async fn run(node: Arc<Node>) {
     let mut turn = 0;
-    let mut pauses = Pauses::begin(node.now());
+    let mut pause_detector = PauseDetector::begin(node.now());
     loop {
         let now = node.now();
-        pauses.look(&node, now);
+        pause_detector.check(&node, now);
         watch::expire_lapsed(&node);
         node.with(|state| refresh(state, now));
-        carry::refresh(&node, turn);
+        summary_relay::refresh(&node, turn);
         let is_grouped = node.with(|state| state.members.is_grouped());
-        match node.with(|state| state.audience.clone()) {
-            Audience::Aggregators => report_to_aggregators(&node, now, turn).await,
-            Audience::Aggregator(name) => report_to_aggregator(&node, now, &name).await,
+        match node.with(|state| state.report_target.clone()) {
+            ReportTarget::AllAggregators => report_to_aggregators(&node, now, turn).await,
+            ReportTarget::OwnAggregator(name) => report_to_aggregator(&node, now, &name).await,
         }
         if is_grouped {
-            loads::repeat(&node, turn);
-            get_additions(&node, now);
+            loads::repeat_own(&node, turn);
+            fetch_roster_delta(&node, now);
         }
         quarantine::step(&node).await;
         turn += 1;
@@ -56,15 +56,15 @@
     }
 }
 
-/// Gets from another node what its list of nodes holds and this one's lacks.
-fn get_additions(node: &Arc<Node>, now: Millis) {
+/// Fetches missing entries of the roster from another node.
+fn fetch_roster_delta(node: &Arc<Node>, now: Millis) {
     if let Some((from, after)) = node.with(|state| state.members.pick_roster_source(now)) {
-        runtime::spawn(calls::get_additions(node.clone(), from, after));
+        runtime::spawn(calls::fetch_roster_delta(node.clone(), from, after));
     }
 }
 
-/// Brings what the node knows of others up to date, and begins to count anew where it reports to
-/// another node than before.
+/// Updates the node's view of the others, and starts a new incarnation of the counts if the report
+/// target changes.
 fn refresh(state: &mut State, now: Millis) {
     state.members.refresh(now);
     state.loads.expire(now);
@@ -72,38 +72,39 @@
     state.demand.sample_all(now);
     state.throughputs.values_mut().for_each(|throughput| throughput.rate_servers(now));
     let own_aggregator = state.members.get_own_aggregator();
-    let audience = match own_aggregator {
-        Some(entry) => Audience::Aggregator(entry.name.clone()),
-        None => Audience::Aggregators,
+    let report_target = match own_aggregator {
+        Some(entry) => ReportTarget::OwnAggregator(entry.name.clone()),
+        None => ReportTarget::AllAggregators,
     };
-    if audience != state.audience {
-        let was_own_sum = state.audience == Audience::Aggregators;
-        state.audience = audience;
-        begin_incarnation(state, now, was_own_sum);
-        emit_change(state, now);
+    if report_target != state.report_target {
+        let was_aggregator = state.report_target == ReportTarget::AllAggregators;
+        state.report_target = report_target;
+        begin_incarnation(state, now, was_aggregator);
+        emit_target_change(state, now);
     }
 }
 
-fn emit_change(state: &State, now: Millis) {
-    let aggregator = match &state.audience {
-        Audience::Aggregator(name) => Some(name.as_str()),
-        Audience::Aggregators => None,
+fn emit_target_change(state: &State, now: Millis) {
+    let aggregator = match &state.report_target {
+        ReportTarget::OwnAggregator(name) => Some(name.as_str()),
+        ReportTarget::AllAggregators => None,
     };
-    let reach = state.members.get_reachability(now);
+    let reachability = state.members.get_reachability(now);
     event::emit(&Event::AggregatorChanged {
         aggregator,
-        nodes_heard: reach.heard,
-        nodes_known: reach.known,
+        nodes_heard: reachability.heard,
+        nodes_known: reachability.known,
     });
 }
 
-/// Begins to count from what did not arrive where this node reported until now.
-fn begin_incarnation(state: &mut State, now: Millis, was_own_sum: bool) {
-    let former = state.handover.get_incarnation().clone();
-    let arrived = state.handover.begin_incarnation(fastrand::u64(..));
-    let next = state.handover.get_incarnation().clone();
-    state.quotas.hand_over(now, &arrived.quota);
-    state.usage.hand_over(&former, &next, &arrived.usage, was_own_sum);
+/// Starts a new incarnation of the counts with those that the previous report target did not
+/// receive.
+fn begin_incarnation(state: &mut State, now: Millis, was_aggregator: bool) {
+    let previous = state.report_log.get_incarnation().clone();
+    let acknowledged = state.report_log.begin_incarnation(fastrand::u64(..));
+    let next = state.report_log.get_incarnation().clone();
+    state.quotas.hand_over(now, &acknowledged.quota);
+    state.usage.hand_over(&previous, &next, &acknowledged.usage, was_aggregator);
     state.rollouts.reset_counts();
     state.samples.clear();
 }
@@ -112,7 +113,7 @@
     let holds_duties = state.lease.get_fence(now).is_some();
     Sender {
         entry: node.get_entry(),
-        incarnation: state.handover.get_incarnation().number,
+        incarnation: state.report_log.get_incarnation().number,
         is_stopping: node.is_stopping(),
         holder_age: if holds_duties { Some(0) } else { state.members.get_duty_holder_age(now) },
         rollouts: state.rollouts.list_announcements(now),
@@ -120,11 +121,11 @@
 }
 
 fn get_own_usage(state: &State) -> Vec<(WindowNumber, Counts)> {
-    let mut usage = state.usage.list_incarnation_counts(state.handover.get_incarnation());
-    usage.split_off(usage.len().saturating_sub(WINDOWS_REPORTED))
+    let mut usage = state.usage.list_incarnation_counts(state.report_log.get_incarnation());
+    usage.split_off(usage.len().saturating_sub(MAX_REPORTED_WINDOWS))
 }
 
-/// Takes the samples that peers were not sent yet.
+/// Takes the samples that were not sent to peers yet.
 fn take_samples(state: &mut State) -> Samples {
     let throughputs = state.throughputs.iter_mut();
     let unreported =
@@ -140,10 +141,10 @@
         let usage = get_own_usage(state);
         let snapshot =
             Snapshot { quota: quota.accounts.clone(), usage: usage.iter().cloned().collect() };
-        if let Some(arrived) = state.handover.get_acknowledged() {
-            quota.accounts.retain(|account, units| arrived.quota.get(account) != Some(units));
+        if let Some(acknowledged) = state.report_log.get_acknowledged() {
+            quota.accounts.retain(|account, units| acknowledged.quota.get(account) != Some(units));
         }
-        state.handover.record(now, snapshot);
+        state.report_log.record(now, snapshot);
         let totals = Totals {
             quota,
             usage,
@@ -163,16 +164,16 @@
         let sender = make_sender(node, state, now);
         let is_region_overdue = state.members.is_region_overdue(now);
         if is_region_overdue {
-            state.quotas.note_overdue_region(now);
+            state.quotas.record_overdue_region(now);
         }
         let own = state.quotas.report(now);
         track_accounts(state, now);
         let quota = state.quotas.add_group_usage(now, &own);
         let usage = get_own_usage(state);
         let snapshot = Snapshot { quota: own.accounts, usage: usage.into_iter().collect() };
-        state.handover.record(now, snapshot);
-        let sums = state.usage.sum_group(state.handover.get_incarnation(), WINDOWS_REPORTED);
-        // What crosses between regions is sent at a pace of its own, and holds all windows each time.
+        state.report_log.record(now, snapshot);
+        let sums = state.usage.sum_group(state.report_log.get_incarnation(), MAX_REPORTED_WINDOWS);
+        // Summaries to other regions have their own pace, and carry all windows each time.
         let usage = match state.members.is_using_carriers() {
             true => sums,
             false => state.outgoing_usage.select(turn, sums),
@@ -183,10 +184,10 @@
         let overview = Overview {
             sender: sender.clone(),
             quota: state.quotas.add_other_usage(now, &quota),
-            throughputs: take_passed_on(state, &throughputs),
-            reach: state.members.get_overview(),
+            throughputs: take_forwarded_samples(state, &throughputs),
+            reachability: state.members.get_overview(),
             silent: state.members.list_silent(),
-            lost_regions: state.members.list_unreachable_regions(),
+            unreachable_regions: state.members.list_unreachable_regions(),
             is_region_overdue,
             aggregators: state.members.list_aggregator_ids(),
             roster: state.members.get_roster_summary(),
@@ -215,49 +216,48 @@
             limits: overview.limits.clone(),
             departures: overview.departures.clone(),
             versions,
-            frozen_windows: state.frozen.get_windows(),
-            frozen: state.frozen.list_due(),
+            frozen_windows: state.frozen_usage.get_windows(),
+            frozen: state.frozen_usage.list_due(),
         };
         let aggregators = state.members.list_exchange_peers(now);
         (summary, overview, aggregators, state.members.get_group_addresses(now))
     });
-    let summary = carry::send(node, now, summary).await;
+    let summary = summary_relay::send(node, now, summary).await;
     node.link.send_to_all(now, aggregators, &Message::Summary(Box::new(summary))).await;
     if !group.is_empty() {
         node.link.send_to_all(now, group, &Message::Overview(Box::new(overview))).await;
     }
 }
 
-/// Keeps the buckets of all client accounts, whose levels are sent to the nodes of the group.
+/// Tracks the buckets of all client accounts, whose levels are sent to the nodes of the group.
 fn track_accounts(state: &mut State, now: Millis) {
     if !state.members.is_grouped() {
         return;
     }
     let Some(configuration) = state.configuration.clone() else { return };
-    let reach = state.members.get_reachability(now);
+    let reachability = state.members.get_reachability(now);
     for account in configuration.accounts.iter().flatten() {
         let limit = Limit { rate_per_second: account.rate_per_second, burst: account.burst };
-        state.quotas.track(now, &account.name, limit, reach);
+        state.quotas.track(now, &account.name, limit, reachability);
     }
 }
 
-/// Takes the samples for the nodes of this node's group: those of the other aggregators, and the
-/// group's own.
-fn take_passed_on(state: &mut State, own: &Samples) -> Samples {
+/// Takes the samples for this node's group: those of the other aggregators and the group's own.
+fn take_forwarded_samples(state: &mut State, own: &Samples) -> Samples {
     let mut samples = std::mem::take(&mut state.samples);
     samples.extend(own.iter().cloned());
     samples
 }
 
-/// Takes over what a node of this node's group counts.
-pub(super) fn take_report(node: &Node, asked_at: Option<Millis>, report: Report) {
+/// Handles the report of a node of this node's group.
+pub(super) fn handle_report(node: &Node, echoed_at: Option<Millis>, report: Report) {
     let now = node.now();
     let Report { sender, totals } = report;
     if sender.entry.name == node.incarnation.node {
         return;
     }
     node.with(|state| {
-        hear(state, now, &sender, Role::Member, asked_at);
+        record_heard(state, now, &sender, Role::Member, echoed_at);
         let from = (sender.entry.name.as_str(), sender.incarnation);
         state.quotas.merge(now, Source::Member, from, &totals.quota);
         let incarnation =
@@ -274,9 +274,8 @@
     });
 }
 
-/// Takes over what another aggregator counts for its group; `asked_at` where it came from there
-/// directly.
-pub(super) fn take_summary(node: &Arc<Node>, asked_at: Option<Millis>, summary: Summary) {
+/// Handles the summary of another aggregator; `echoed_at` is set if it came directly from there.
+pub(super) fn handle_summary(node: &Arc<Node>, echoed_at: Option<Millis>, summary: Summary) {
     let now = node.now();
     let Summary { sender, totals, loads, group, group_age, roster, joined, .. } = summary;
     let (verdicts, limits, departures) = (summary.verdicts, summary.limits, summary.departures);
@@ -285,7 +284,7 @@
         return;
     }
     node.with(|state| {
-        hear(state, now, &sender, Role::Aggregator, asked_at);
+        record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         state.members.merge_entries(now, &joined);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
@@ -298,75 +297,76 @@
         }
         state.demand.merge(now, false, from, &totals.demand);
         state.rollouts.merge(false, from, &totals.rollouts);
-        state.frozen.record_announced(frozen_windows);
+        state.frozen_usage.record_announced(frozen_windows);
         for (window, counts) in &frozen {
-            state.frozen.record_remote(*window, counts);
+            state.frozen_usage.record_remote(*window, counts);
         }
         let is_grouped = state.members.is_grouped();
         for (service, samples) in totals.throughputs {
             let throughput = state.throughputs.entry(service.clone()).or_default();
             samples.iter().for_each(|sample| throughput.merge(now, *sample));
             if is_grouped {
-                pass_on(&mut state.samples, service, samples);
+                buffer_samples(&mut state.samples, service, samples);
             }
         }
         if !is_grouped {
-            let counts_last = state.members.get_period() * COUNTS_LAST_PERIODS;
+            let counts_last = state.members.get_period() * COUNTS_TTL_PERIODS;
             let valid_until = now + counts_last.as_millis() as Millis;
             state.loads.merge(valid_until, name, loads);
         }
     });
-    quarantine::take_verdicts(node, verdicts);
-    permits::take_sightings(node, &limits);
+    quarantine::apply_verdicts(node, verdicts);
+    permits::apply_observations(node, &limits);
     watch::apply_departures(node, &departures);
 }
 
-/// Takes over what this node's aggregator says of the whole.
-pub(super) fn take_overview(
+/// Handles the overview of this node's aggregator.
+pub(super) fn handle_overview(
     node: &Arc<Node>,
     from: SocketAddr,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
     overview: Overview,
 ) {
     let now = node.now();
-    let Overview { sender, quota, throughputs, reach, silent, versions, .. } = overview;
+    let Overview { sender, quota, throughputs, reachability, silent, versions, .. } = overview;
     let (verdicts, limits) = (overview.verdicts, overview.limits);
     let departures = overview.departures;
-    let (lost_regions, is_region_overdue) = (overview.lost_regions, overview.is_region_overdue);
+    let (unreachable_regions, is_region_overdue) =
+        (overview.unreachable_regions, overview.is_region_overdue);
     let (aggregators, roster) = (overview.aggregators, overview.roster);
     node.with(|state| {
-        let arrived = hear(state, now, &sender, Role::Aggregator, asked_at);
+        let acknowledged = record_heard(state, now, &sender, Role::Aggregator, echoed_at);
         let name = sender.entry.name.as_str();
         state.members.record_roster_summary(name, roster);
-        state.members.apply_overview(now, name, reach, &silent);
+        state.members.apply_overview(now, name, reachability, &silent);
         state.members.follow_aggregators(name, aggregators);
-        state.members.set_unreachable_regions(name, lost_regions);
-        let is_own = state.audience == Audience::Aggregator(name.to_owned());
+        state.members.set_unreachable_regions(name, unreachable_regions);
+        let is_own = state.report_target == ReportTarget::OwnAggregator(name.to_owned());
         if is_own && is_region_overdue {
-            state.quotas.note_overdue_region(now);
+            state.quotas.record_overdue_region(now);
         }
-        if let Some(arrived) = arrived.filter(|_| is_own) {
-            state.quotas.merge_total(now, (name, sender.incarnation), &quota, &arrived.quota);
+        if let Some(acknowledged) = acknowledged.filter(|_| is_own) {
+            state.quotas.merge_total(now, (name, sender.incarnation), &quota, &acknowledged.quota);
         }
         for (service, samples) in throughputs {
             let throughput = state.throughputs.entry(service).or_default();
             samples.into_iter().for_each(|sample| throughput.merge(now, sample));
         }
     });
-    quarantine::take_verdicts(node, verdicts);
-    permits::take_sightings(node, &limits);
+    quarantine::apply_verdicts(node, verdicts);
+    permits::apply_observations(node, &limits);
     watch::apply_departures(node, &departures);
-    versions::take(node, from, asked_at, &versions);
+    versions::handle(node, from, echoed_at, &versions);
 }
 
-/// Notes that a node was heard, and which of this node's reports it had got by then; returns the
-/// counts in that one.
-fn hear(
+/// Records that a node was heard, and which of this node's reports it had received; returns the
+/// counts in that report.
+fn record_heard(
     state: &mut State,
     now: Millis,
     sender: &Sender,
     role: Role,
-    asked_at: Option<Millis>,
+    echoed_at: Option<Millis>,
 ) -> Option<Snapshot> {
     let name = &sender.entry.name;
     for announcement in &sender.rollouts {
@@ -379,14 +379,14 @@
         role,
         holder_age: sender.holder_age,
     };
-    if let Some(former) = state.members.record_heartbeat(now, &heard) {
-        state.quotas.forget(name, former);
-        state.demand.forget(name, former);
-        state.rollouts.forget(name, former);
-        // The aggregator began anew and knows nothing of what this node reported.
-        if state.audience == Audience::Aggregator(name.clone()) {
+    if let Some(previous) = state.members.record_heartbeat(now, &heard) {
+        state.quotas.forget(name, previous);
+        state.demand.forget(name, previous);
+        state.rollouts.forget(name, previous);
+        // The aggregator has restarted and does not know what this node reported.
+        if state.report_target == ReportTarget::OwnAggregator(name.clone()) {
             begin_incarnation(state, now, false);
         }
     }
-    state.handover.acknowledge(asked_at?).cloned()
+    state.report_log.acknowledge(echoed_at?).cloned()
 }
--- a/crates/gateway/src/node/quarantine_rows.rs
+++ b/crates/gateway/src/node/quarantine_rows.rs
@@ -1,9 +1,10 @@
-//! Keeps which requests crash servers in the platform's table, so that all nodes may end at once.
+//! Persists quarantined requests in a table of the platform, so that they survive a restart of all
+//! nodes.
 //!
-//! The keepers of the services write what they decide, a row for each request that is refused. A node
-//! that becomes a keeper reads the rows once, sends them to the other nodes, and removes rows that have ended. A
-//! row may be written twice without harm. After a return of the table service from an older copy a keeper
-//! writes again what it knows.
+//! The owner of a service (the aggregator that owns its name) writes its decisions, one row for
+//! each refused request. A node that becomes an owner reads the rows once, sends them to the other
+//! nodes, and removes expired rows. Writing a row twice is harmless. After the table service was
+//! restored from an older copy, an owner writes what it knows again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,72 +12,74 @@
 use keeljunction_core::Millis;
 use keeljunction_core::serving::era::Era;
 use keeljunction_core::serving::load::short_id;
-use keeljunction_core::serving::quarantine::{Fingerprint, QUARANTINE_PERIOD, Standing, Verdict};
+use keeljunction_core::serving::quarantine::{
+    Fingerprint, QUARANTINE_PERIOD_MS, Standing, Verdict,
+};
 use serde::{Deserialize, Serialize};
 
-use super::pause::Pause;
+use super::back_off::BackOff;
 use super::{Node, peers, table};
 use crate::event::{self, Event};
 use crate::port::{Row, TableError, TableName, Transaction, Write};
 use crate::runtime;
 
 const TABLE: &str = "quarantine";
-const CALL_WITHIN: Duration = Duration::from_millis(500);
-/// The time between two looks whether there is something to read or write.
-const LOOK: Duration = Duration::from_millis(200);
-/// The most rows that are removed in one transaction; the platform takes a hundred.
-const MOST_REMOVED: usize = 90;
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The interval between checks for rows to read or write.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The maximum number of rows removed in one transaction; the platform accepts a hundred.
+const MAX_REMOVALS: usize = 90;
 
-/// A request that is refused, as its row holds it; the key is the fingerprint.
+/// The row of a refused request. Its key is the fingerprint of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Refused {
+struct QuarantineRow {
     /// The short name of the service.
     service: u64,
-    /// The time on the table service's clock until which the request is refused.
+    /// The time until which the request is refused, on the table service's clock.
     until: Millis,
-    /// Servers that crashed under the request.
+    /// The number of servers that crashed while serving the request.
     servers_crashed: u32,
 }
 
-/// A time on the table service's clock, with the time on this node's clock.
+/// A time on the table service's clock, paired with the time on this node's clock.
 #[derive(Clone, Copy, Debug)]
-struct TableClock {
+struct ClockReading {
     era: Era,
     table_time: Millis,
     node_time: Millis,
 }
 
-impl TableClock {
+impl ClockReading {
     fn get(&self, now: Millis) -> Millis {
         self.table_time + now.saturating_sub(self.node_time)
     }
 }
 
-/// Reads and writes rows for as long as the process runs.
+/// Reads and writes the rows until the process ends.
 pub(super) async fn run(node: Arc<Node>) {
     let mut clock = None;
-    let mut pause = Pause::default();
+    let mut back_off = BackOff::default();
     loop {
-        runtime::sleep(LOOK).await;
+        runtime::sleep(POLL_INTERVAL).await;
         let Err(error) = step(&node, &mut clock).await else {
-            pause.reset();
+            back_off.reset();
             continue;
         };
         event::emit(&Event::TableCallFailed { what: TABLE, error: error.to_string() });
-        pause.wait().await;
+        back_off.wait().await;
     }
 }
 
-/// Reads the rows, once this node keeps evidence; after that, writes what it has decided.
-async fn step(node: &Arc<Node>, clock: &mut Option<TableClock>) -> Result<(), TableError> {
+/// Loads the rows when this node becomes an owner; afterwards, writes its decisions.
+async fn step(node: &Arc<Node>, clock: &mut Option<ClockReading>) -> Result<(), TableError> {
     let era = node.with(|state| state.eras.get());
     let Some(known) = clock.filter(|known| known.era == era) else {
-        if is_keeper(node) {
+        if is_owner(node) {
             *clock = Some(load(node).await?);
             let now = node.now();
             node.with(|state| {
                 if state.eras.is_restored() {
-                    // The rows of what was decided before may be gone.
+                    // The rows of earlier decisions may be lost.
                     state.quarantine.save_all(now);
                 }
             });
@@ -93,8 +96,8 @@
     Ok(())
 }
 
-/// Returns `true` if this node keeps the evidence of a service.
-fn is_keeper(node: &Node) -> bool {
+/// Returns `true` if this node owns a service.
+fn is_owner(node: &Node) -> bool {
     let now = node.now();
     node.with(|state| {
         let Some(configuration) = &state.configuration else { return false };
@@ -104,35 +107,36 @@
     })
 }
 
-/// Takes over the rows that hold, and removes the others.
-async fn load(node: &Arc<Node>) -> Result<TableClock, TableError> {
+/// Applies the rows that are still valid, and removes the expired ones.
+async fn load(node: &Arc<Node>) -> Result<ClockReading, TableError> {
     let asked_at = node.now();
-    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN).await?;
+    let rows = table::read_all(node, TableName::Internal(TABLE), CALL_TIMEOUT).await?;
     let mut removals = Vec::new();
     for row in &rows.rows {
         match decode(row) {
             Some((fingerprint, refused)) if rows.table_time < refused.until => {
-                // The clock of an older copy may be behind the one that the row was written by.
-                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD);
-                peers::quarantine::take_kept(node, make_verdict(fingerprint, refused, left));
+                // The clock of a restored copy may be behind the clock that set the time in the
+                // row.
+                let left = (refused.until - rows.table_time).min(QUARANTINE_PERIOD_MS);
+                peers::quarantine::apply_persisted(node, make_verdict(fingerprint, refused, left));
             }
             Some(_) => removals.push(make_removal(row.key.clone())),
             None => {
-                let error = format!("a row of {TABLE} cannot be read: {}", row.key);
+                let error = format!("malformed row in table {TABLE}: {}", row.key);
                 event::emit(&Event::DocumentRejected { error });
             }
         }
     }
-    removals.truncate(MOST_REMOVED);
+    removals.truncate(MAX_REMOVALS);
     if !removals.is_empty() {
         commit(node, removals).await?;
     }
-    Ok(TableClock { era: rows.version.era, table_time: rows.table_time, node_time: asked_at })
+    Ok(ClockReading { era: rows.version.era, table_time: rows.table_time, node_time: asked_at })
 }
 
 async fn commit(node: &Node, writes: Vec<Write>) -> Result<(), TableError> {
     let transaction = Transaction { conditions: Vec::new(), writes };
-    table::commit(node, transaction, CALL_WITHIN).await.map(|_| ())
+    table::commit(node, transaction, CALL_TIMEOUT).await.map(|_| ())
 }
 
 fn make_write(verdict: &Verdict, until: Millis) -> Write {
@@ -141,7 +145,7 @@
         return make_removal(key);
     }
     let Verdict { service, servers_crashed, .. } = *verdict;
-    let value = serde_json::to_vec(&Refused { service, until, servers_crashed }).ok();
+    let value = serde_json::to_vec(&QuarantineRow { service, until, servers_crashed }).ok();
     Write { table: TableName::Internal(TABLE), key, value }
 }
 
@@ -149,12 +153,12 @@
     Write { table: TableName::Internal(TABLE), key, value: None }
 }
 
-fn make_verdict(fingerprint: Fingerprint, refused: Refused, left: Millis) -> Verdict {
-    let Refused { service, servers_crashed, .. } = refused;
+fn make_verdict(fingerprint: Fingerprint, refused: QuarantineRow, left: Millis) -> Verdict {
+    let QuarantineRow { service, servers_crashed, .. } = refused;
     Verdict { fingerprint, service, standing: Standing::Quarantined, left, servers_crashed }
 }
 
-fn decode(row: &Row) -> Option<(Fingerprint, Refused)> {
+fn decode(row: &Row) -> Option<(Fingerprint, QuarantineRow)> {
     let refused = serde_json::from_slice(row.value.as_deref()?).ok()?;
     let number = u64::from_str_radix(&row.key, 16).ok()?;
     Some((Fingerprint::from_number(number), refused))
--- a/crates/gateway/src/node/rollout_duty.rs
+++ b/crates/gateway/src/node/rollout_controller.rs
@@ -1,13 +1,15 @@
-//! Decides the stages of roll-outs, as the holder of the duties.
+//! Decides the stages of rollouts while this node holds the duty lease.
 //!
-//! Each decision is first written to a row of the product's own, on the condition that no other
-//! holder wrote it meanwhile, and then published to the operator and to all nodes. A holder that ends
-//! halfway leaves a row from which the next one goes on; it counts answers anew from what the nodes
-//! report, and never takes a verdict back. Only a roll-back is announced to nodes before it is written:
-//! nothing more should reach a bad version, and a stage never goes back.
+//! Each decision is first written to an internal table, conditional on the version of the row so
+//! that a concurrent holder's write is not overwritten, and then published to the operator and to
+//! all nodes. If a holder stops halfway, the next one continues from the row: it counts responses
+//! anew from the nodes' reports, and never revokes a verdict. Only a rollback is announced to the
+//! nodes before it is written, because no further request should reach a bad version and a stage
+//! never goes back.
 //!
-//! After a return of the table service from an older copy a row may hold an earlier stage than the nodes know, or
-//! be gone. What is known goes on, and is written again under the order's new number.
+//! After the table service was restored from an older copy, a row may hold an earlier stage than
+//! the nodes know, or be missing. The known stage stays in force and is written again under the
+//! order's new number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,32 +30,32 @@
 use crate::port::{Row, Rows, TableError, TableName};
 
 const TABLE: &str = "rollouts";
-const CALL_WITHIN: Duration = Duration::from_millis(500);
-/// The pause after a call of the table service failed.
-const FAILED_PAUSE: Millis = 300;
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The backoff after a failed call to the table service.
+const FAILURE_BACK_OFF_MS: Millis = 300;
 
-/// What the holder of the duties knows of the roll-outs.
+/// The duty holder's state of the rollouts.
 #[derive(Debug, Default)]
-pub struct RolloutDuty {
+pub struct RolloutController {
     fence: Option<u64>,
     /// The era of the rows that were read.
     era: Era,
     clock: Option<TableClock>,
-    records: BTreeMap<String, Written>,
+    records: BTreeMap<String, StoredRecord>,
     progress: BTreeMap<String, (TableVersion, Progress)>,
     statuses: Statuses,
-    paused_until: Millis,
+    back_off_until: Millis,
 }
 
-/// How far a roll-out has come, as the table keeps it.
+/// The progress of a rollout, as stored in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
-    /// The number of the order, in its era.
+    /// The number of the order within its era.
     order: u64,
     #[serde(default)]
     era: Era,
     target_version: String,
-    /// When the first holder began with it, on the table's clock.
+    /// When the first holder started it, on the table service's clock.
     began_at: Millis,
     stage: Stage,
     /// Versions of earlier orders that were never completed.
@@ -62,7 +64,7 @@
 
 /// A record with the version of its row.
 #[derive(Clone, Debug)]
-struct Written {
+struct StoredRecord {
     record: Record,
     version: TableVersion,
 }
@@ -73,34 +75,35 @@
     }
 }
 
-/// Why a stage was decided, for the log.
+/// Why a stage was decided, for the event log.
 struct Reason {
     why: &'static str,
     route: Option<String>,
     in_flight: u32,
 }
 
-impl RolloutDuty {
-    /// Decides what is due. While nothing is ordered this calls nothing.
+impl RolloutController {
+    /// Decides the stages that are due. Makes no calls if there are no orders.
     pub async fn step(&mut self, node: &Node) {
         let now = node.now();
         let orders = node.with(|state| state.rollouts.list_orders());
-        if orders.is_empty() || now < self.paused_until {
+        if orders.is_empty() || now < self.back_off_until {
             return;
         }
-        let is_done = match self.load(node).await {
+        let is_done = match self.load_records(node).await {
             true => self.step_all(node, orders).await,
             false => false,
         };
         if !is_done {
-            // A write may have been done or may still be: read the rows before the next try.
+            // The write may have succeeded or may still succeed: read the rows before the next
+            // attempt.
             self.fence = None;
-            self.paused_until = node.now() + FAILED_PAUSE;
+            self.back_off_until = node.now() + FAILURE_BACK_OFF_MS;
         }
     }
 
-    /// Reads what earlier holders decided, once for each time that the lease is taken.
-    async fn load(&mut self, node: &Node) -> bool {
+    /// Reads the decisions of earlier holders, once per acquisition of the lease.
+    async fn load_records(&mut self, node: &Node) -> bool {
         let fence = node.with(|state| state.lease.get_fence(node.now()));
         if fence.is_none() {
             return false;
@@ -109,16 +112,16 @@
             return true;
         }
         let asked_at = node.now();
-        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_WITHIN);
+        let reading = table::read_all(node, TableName::Internal(TABLE), CALL_TIMEOUT);
         let Ok(rows) = reading.await else { return false };
         let era = rows.version.era;
-        let is_return = era != self.era;
+        let is_store_restored = era != self.era;
         *self = Self {
             fence,
             era,
             clock: Some(TableClock { asked_at, table_time: rows.table_time }),
             records: decode_all(&rows),
-            statuses: match is_return {
+            statuses: match is_store_restored {
                 true => Statuses::default(),
                 false => std::mem::take(&mut self.statuses).forget_written(),
             },
@@ -127,7 +130,7 @@
         true
     }
 
-    /// Advances all roll-outs; returns `false` where a write did not succeed.
+    /// Advances all rollouts; returns `false` if a write failed.
     async fn step_all(&mut self, node: &Node, orders: Vec<(Order, Stage)>) -> bool {
         for (order, known_stage) in orders {
             let known = self.records.get(&order.service).map(|written| written.record.get_order());
@@ -142,13 +145,13 @@
         true
     }
 
-    /// Publishes the stage that is written.
+    /// Publishes the stored stage.
     async fn publish(&mut self, node: &Node, order: &Order) -> bool {
         let Some(written) = self.records.get(&order.service) else { return true };
         self.statuses.publish(node, self.era, order, written.record.stage).await
     }
 
-    /// Returns the record of an order, also where the order got its number in an earlier era.
+    /// Returns the record of an order, including one whose order was numbered in an earlier era.
     fn find_record(&self, order: &Order) -> Option<&Record> {
         let record = &self.records.get(&order.service)?.record;
         let is_earlier = record.era < order.number.era;
@@ -156,7 +159,8 @@
         (is_carried || record.get_order() == order.number).then_some(record)
     }
 
-    /// Advances a roll-out of which the nodes know a stage; returns `false` where a write did not succeed.
+    /// Advances a rollout whose stage the nodes know as `known_stage`; returns `false` if a write
+    /// failed.
     async fn step_one(&mut self, node: &Node, order: &Order, known_stage: Stage) -> bool {
         let now = node.now();
         let Some(clock) = self.clock else { return false };
@@ -170,7 +174,7 @@
                 state.rollouts.bar(service, number, &known.barred);
             });
         } else if let Some(earlier) = self.records.get(&order.service) {
-            bar_earlier(node, order, &earlier.record);
+            bar_earlier_versions(node, order, &earlier.record);
         }
         let began_at = known.as_ref().map_or(table_time, |record| record.began_at);
         let is_written = known
@@ -184,7 +188,7 @@
             return true;
         }
         let elapsed = table_time.saturating_sub(began_at);
-        let Some(report) = sum_all(node, order) else { return true };
+        let Some(report) = sum_reports(node, order) else { return true };
         let (target_servers, other_servers) = count_servers(node, order);
         let snapshot = Snapshot {
             stage,
@@ -199,7 +203,7 @@
         if progress.0 != order.number {
             *progress = (order.number, Progress::default());
         }
-        let Some((next, reason)) = get_stage(progress.1.step(&snapshot)) else { return true };
+        let Some((next, reason)) = get_next_stage(progress.1.step(&snapshot)) else { return true };
         self.emit(order, next, &reason, &snapshot);
         let record = make_record(node, order, began_at, next);
         if next == Stage::RolledBack {
@@ -236,17 +240,17 @@
         let value = serde_json::to_vec(&record).ok();
         let key = table::era_key(service, self.era);
         let writing =
-            table::replace(node, TableName::Internal(TABLE), &key, version, value, CALL_WITHIN);
-        let Ok(rows) = writing.await.inspect_err(note_failure) else {
+            table::replace(node, TableName::Internal(TABLE), &key, version, value, CALL_TIMEOUT);
+        let Ok(rows) = writing.await.inspect_err(emit_failure) else {
             return false;
         };
-        let written = Written { record, version: rows.version };
+        let written = StoredRecord { record, version: rows.version };
         self.records.insert(service.to_owned(), written);
         true
     }
 }
 
-fn note_failure(error: &TableError) {
+fn emit_failure(error: &TableError) {
     event::emit(&Event::TableCallFailed { what: "roll-out", error: error.to_string() });
 }
 
@@ -261,8 +265,8 @@
     }
 }
 
-/// Returns the stage that follows, and why; `None` where it stays.
-fn get_stage(next: Action) -> Option<(Stage, Reason)> {
+/// Returns the next stage and its reason; `None` if the stage stays.
+fn get_next_stage(next: Action) -> Option<(Stage, Reason)> {
     let reason = |why| Reason { why, route: None, in_flight: 0 };
     match next {
         Action::Wait => None,
@@ -282,7 +286,7 @@
     }
 }
 
-/// Announces a stage to all nodes, this one first.
+/// Announces a stage to all nodes, including this one first.
 fn announce(node: &Node, order: &Order, stage: Stage) {
     let now = node.now();
     node.with(|state| state.rollouts.confirm_stage(now, &order.service, order.number, stage));
@@ -291,9 +295,9 @@
     node.notify_peers(Notification::RolloutChanged(announcement));
 }
 
-/// Bars the versions of earlier orders, as the table keeps them: nodes that all started again know
-/// the newest order only.
-fn bar_earlier(node: &Node, order: &Order, earlier: &Record) {
+/// Bars the versions of earlier orders that the table holds. Nodes that were all restarted know the
+/// newest order only.
+fn bar_earlier_versions(node: &Node, order: &Order, earlier: &Record) {
     let mut barred = earlier.barred.clone();
     if earlier.stage != Stage::Completed {
         barred.push(earlier.target_version.clone());
@@ -301,14 +305,14 @@
     node.with(|state| state.rollouts.bar(&order.service, order.number, &barred));
 }
 
-fn sum_all(node: &Node, order: &Order) -> Option<Report> {
+fn sum_reports(node: &Node, order: &Order) -> Option<Report> {
     node.with(|state| {
-        let in_flight = |order: &Order| state.count_on_other_versions(order);
+        let in_flight = |order: &Order| state.count_in_flight_on_other_versions(order);
         state.rollouts.sum_all(&order.service, in_flight)
     })
 }
 
-/// Counts the servers of the new version and the others that take requests.
+/// Counts the ready servers of the target version and the usable ones of other versions.
 fn count_servers(node: &Node, order: &Order) -> (usize, usize) {
     node.with(|state| {
         let ready = state.directory.iter_ready(&order.service);
@@ -319,17 +323,18 @@
     })
 }
 
-/// Decodes the newest record of each service. One of an earlier era is replaced by a row of this one.
-fn decode_all(rows: &Rows) -> BTreeMap<String, Written> {
+/// Decodes the newest record of each service. A record of an earlier era is replaced by a row of
+/// the current one.
+fn decode_all(rows: &Rows) -> BTreeMap<String, StoredRecord> {
     let era = rows.version.era;
-    let mut newest: BTreeMap<String, (Era, Written)> = BTreeMap::new();
+    let mut newest: BTreeMap<String, (Era, StoredRecord)> = BTreeMap::new();
     for row in &rows.rows {
         let Some((service, written_in)) = table::split_key(&row.key) else { continue };
         let Some(record) = decode(row).filter(|_| written_in <= era) else { continue };
         let version = if written_in == era { row.version } else { TableVersion::absent(era) };
         let known = newest.get(service).map(|(known, _)| *known);
         if known < Some(written_in) {
-            newest.insert(service.to_owned(), (written_in, Written { record, version }));
+            newest.insert(service.to_owned(), (written_in, StoredRecord { record, version }));
         }
     }
     newest.into_iter().map(|(service, (_, written))| (service, written)).collect()
@@ -338,7 +343,7 @@
 fn decode(row: &Row) -> Option<Record> {
     let decoded = serde_json::from_slice(row.value.as_deref()?);
     let report = |error: &serde_json::Error| {
-        let error = format!("the record of a roll-out cannot be read: {error}");
+        let error = format!("malformed rollout record: {error}");
         event::emit(&Event::DocumentRejected { error });
     };
     decoded.inspect_err(report).ok()
--- a/crates/gateway/src/node/rollouts.rs
+++ b/crates/gateway/src/node/rollouts.rs
@@ -1,4 +1,4 @@
-//! Takes orders of roll-outs, what other nodes announce of them, and what answers show.
+//! Applies rollout orders, announcements of other nodes, and the outcomes of responses.
 
 use keeljunction_core::Millis;
 use keeljunction_core::serving::directory::Server;
@@ -12,12 +12,13 @@
 use crate::event::{self, Event};
 use crate::port::Row;
 
-/// Takes an order from the operator's table, and announces it where it is new.
+/// Applies an order from the operator's table, and announces it if it is new.
 ///
-/// An order whose row is gone goes on: its servers run, and only a verdict ends that.
-pub(super) fn take_order(node: &Node, row: &Row) {
+/// A rollout continues if the row of its order is deleted: its servers are running, and only a
+/// verdict ends it.
+pub(super) fn apply_order(node: &Node, row: &Row) {
     let Some(value) = row.value.as_deref() else {
-        log::warn!("the order {} is gone from its table: the roll-out goes on", row.key);
+        log::warn!("the row of rollout order {} was deleted; the rollout continues", row.key);
         return;
     };
     let order = match (node.platform.rollout_codec.decode)(&row.key, value, row.version) {
@@ -31,8 +32,8 @@
     }
 }
 
-/// Takes the orders that were read before the era was settled, and announces them.
-pub(super) fn take_deferred(node: &Node) {
+/// Applies the orders that were read before the era settled, and announces them.
+pub(super) fn announce_deferred(node: &Node) {
     let now = node.now();
     let orders = node.with(|state| match state.eras.is_settled(now) {
         true => state.rollouts.apply_deferred(),
@@ -46,7 +47,7 @@
     }
 }
 
-/// Merges what another node announces of a roll-out; returns `true` if that was new.
+/// Merges a rollout announcement of another node; returns `true` if it was new.
 pub(super) fn merge(state: &mut State, now: Millis, announcement: &Announcement) -> bool {
     let is_settled = state.eras.is_settled(now);
     let is_new = state.rollouts.apply_order(announcement.order.clone(), is_settled);
@@ -67,8 +68,8 @@
     });
 }
 
-/// Decides which servers of a service a request may go to.
-pub(crate) fn pick_side(node: &Node, service: &str, is_first: bool) -> VersionFilter {
+/// Picks the side of a rollout whose servers may receive a request.
+pub(crate) fn pick_filter(node: &Node, service: &str, is_first: bool) -> VersionFilter {
     let now = node.now();
     node.with(|state| {
         if !is_first {
@@ -79,7 +80,7 @@
     })
 }
 
-/// Lists the servers that the canary's requests go to.
+/// Lists the servers that may receive canary requests.
 pub(crate) fn list_canaries(node: &Node, service: &str) -> Vec<String> {
     let now = node.now();
     node.with(|state| {
@@ -96,8 +97,8 @@
     Tolerance { share: bounds.expose_share, slack: bounds.canary_slack, nodes }
 }
 
-/// Counts a good answer of a server, or a phase of it.
-pub(crate) fn note_success(
+/// Records the success of a response, or of a phase of it.
+pub(crate) fn record_success(
     node: &Node,
     server: &Server,
     route: &str,
@@ -108,7 +109,7 @@
     node.with(|state| state.rollouts.record_success(now, server, route, phase, latency));
 }
 
-/// Counts an answer of a server that failed.
-pub(crate) fn note_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
+/// Records the failure of a response.
+pub(crate) fn record_failure(node: &Node, server: &Server, route: &str, phase: Phase) {
     node.with(|state| state.rollouts.record_failure(server, route, phase));
 }
--- a/crates/gateway/src/node/serve.rs
+++ b/crates/gateway/src/node/serve.rs
@@ -12,8 +12,8 @@
 use keeljunction_core::{Error, ErrorKind};
 
 use super::peers::link::Link;
-use super::state::{BYTES_PER_MB, Start};
-use super::{Node, connections, duty, listeners, memory, peers, quarantine_rows, stop, watch};
+use super::state::{BYTES_PER_MB, ProcessContext};
+use super::{Node, connections, leader, listeners, memory, peers, quarantine_rows, stop, watch};
 use crate::event::{self, Event};
 use crate::exchange;
 use crate::http::{Limits, Server, StopSignal};
@@ -21,29 +21,29 @@
 use crate::runtime::{self, Clock};
 use crate::settings::Settings;
 
-/// Descriptors kept back from callers' connections, for files, servers and peers.
-const DESCRIPTORS_KEPT: usize = 1_000;
-/// The part of the process's memory that callers' connections may take: as much as bodies and
-/// answers may. Where both are full, samples of the resident memory take off the latter.
-const CONNECTIONS_PART: f64 = 0.4;
-/// Memory of a connection, in bytes: 42 kB of resident memory for each of 300 whose small bodies
-/// rested, and what the system keeps for its socket.
+/// File descriptors reserved for files, servers and peers; client connections may use the rest.
+const RESERVED_DESCRIPTORS: usize = 1_000;
+/// The fraction of the process's memory that client connections may use, the same as for buffered
+/// bodies and responses. If both are full, the samples of resident memory reduce the latter.
+const CONNECTION_MEMORY_FRACTION: f64 = 0.4;
+/// The memory of one connection: 42 kB of resident memory were measured for each of 300 connections
+/// with small buffered bodies, and the kernel needs memory for the socket.
 const BYTES_PER_CONNECTION: f64 = 50_000.0;
-/// Connections that are taken in any case, for operators and probes.
-const LEAST_CONNECTIONS: usize = 100;
-/// Time for answers in flight to be written out at the very end.
-const WRITE_OUT: Duration = Duration::from_millis(300);
+/// The minimum number of accepted connections, which leaves room for operators and probes.
+const MIN_CONNECTIONS: usize = 100;
+/// The timeout for writing out in-flight responses at the very end.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs a node until it has stopped.
 ///
 /// # Errors
 ///
-/// Returns [`ErrorKind::Unavailable`] where an address cannot be listened at.
+/// Returns [`ErrorKind::Unavailable`] if a listener cannot be bound to its address.
 pub async fn serve(settings: Settings, path: PathBuf, platform: Platform) -> Result<(), Error> {
     let mut settings = settings;
-    let closing = StopSignal::new();
+    let listener_stop = StopSignal::new();
     let (callers, at) =
-        bind("listen.callers", settings.listen.callers, &settings, &closing).await?;
+        bind("listen.callers", settings.listen.callers, &settings, &listener_stop).await?;
     settings.listen.callers = at;
     let never = StopSignal::new();
     let (readiness, at) =
@@ -55,10 +55,10 @@
     settings.listen.peers = at;
     let incarnation = Incarnation { node: settings.node.name.clone(), number: fastrand::u64(..) };
     let link = Link::bind(at, incarnation.number, settings.limits.link_mbps)
-        .map_err(|error| busy("listen.peers", at, &error))?;
+        .map_err(|error| make_bind_error("listen.peers", at, &error))?;
     let topology = settings.get_topology()?;
-    let start = Start { incarnation, clock: Clock::new(), link, topology };
-    let node = Node::new(settings, platform, closing, start);
+    let context = ProcessContext { incarnation, clock: Clock::new(), link, topology };
+    let node = Node::new(settings, platform, listener_stop, context);
     let listen = &node.settings.listen;
     event::emit(&Event::Started {
         node: &node.incarnation.node,
@@ -68,26 +68,30 @@
         peers: listen.peers,
         metrics: listen.metrics,
     });
-    runtime::spawn(watch::configuration(node.clone()));
-    runtime::spawn(watch::freshness(node.clone()));
-    runtime::spawn(watch::servers(node.clone()));
+    runtime::spawn(watch::watch_configuration(node.clone()));
+    runtime::spawn(watch::confirm_freshness(node.clone()));
+    runtime::spawn(watch::watch_servers(node.clone()));
     runtime::spawn(connections::run(node.clone()));
     peers::start(&node);
-    let called = node.clone();
-    runtime::spawn(peer_calls.serve(move |request| peers::calls::serve(called.clone(), request)));
-    runtime::spawn(duty::run(node.clone()));
+    let peer_node = node.clone();
+    runtime::spawn(
+        peer_calls.serve(move |request| peers::calls::serve(peer_node.clone(), request)),
+    );
+    runtime::spawn(leader::run(node.clone()));
     runtime::spawn(quarantine_rows::run(node.clone()));
     runtime::spawn(memory::watch(node.clone()));
     exchange::watch_callers(&node);
-    let (checked, shown, answering) = (node.clone(), node.clone(), node.clone());
-    runtime::spawn(readiness.serve(move |request| listeners::readiness(checked.clone(), request)));
-    runtime::spawn(metrics.serve(move |request| listeners::metrics(shown.clone(), request)));
-    let resting = node.clone();
-    let callers = callers.with_head_timeout(Arc::new(move || resting.get_rest_bound()));
+    let (readiness_node, metrics_node, client_node) = (node.clone(), node.clone(), node.clone());
+    runtime::spawn(
+        readiness.serve(move |request| listeners::readiness(readiness_node.clone(), request)),
+    );
+    runtime::spawn(metrics.serve(move |request| listeners::metrics(metrics_node.clone(), request)));
+    let timeout_node = node.clone();
+    let callers = callers.with_head_timeout(Arc::new(move || timeout_node.get_idle_timeout()));
     let open = callers.get_connection_count();
-    runtime::spawn(callers.serve(move |request| exchange::handle(answering.clone(), request)));
-    wait_for_end(&node, path).await?;
-    runtime::timeout(WRITE_OUT, async {
+    runtime::spawn(callers.serve(move |request| exchange::handle(client_node.clone(), request)));
+    run_until_stopped(&node, path).await?;
+    runtime::timeout(FLUSH_TIMEOUT, async {
         while open.get() > 0 {
             runtime::sleep(Duration::from_millis(10)).await;
         }
@@ -97,13 +101,13 @@
     Ok(())
 }
 
-/// Returns how many connections a listener takes at once: as many as there are descriptors and
-/// memory for.
+/// Returns the maximum number of simultaneous connections of a listener, as limited by file
+/// descriptors and memory.
 fn count_connections(settings: &Settings) -> usize {
-    let descriptors = settings.limits.descriptors.saturating_sub(DESCRIPTORS_KEPT);
-    let bytes = settings.limits.memory_mb * BYTES_PER_MB * CONNECTIONS_PART;
+    let descriptors = settings.limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    let bytes = settings.limits.memory_mb * BYTES_PER_MB * CONNECTION_MEMORY_FRACTION;
     let fitting = (bytes / BYTES_PER_CONNECTION) as usize;
-    descriptors.min(fitting).max(LEAST_CONNECTIONS)
+    descriptors.min(fitting).max(MIN_CONNECTIONS)
 }
 
 async fn bind(
@@ -114,15 +118,15 @@
 ) -> Result<(Server, SocketAddr), Error> {
     let limits = Limits { connections: count_connections(settings), ..Limits::default() };
     let bound = Server::bind(address, limits, stop.clone()).await;
-    let server = bound.map_err(|error| busy(key, address, &error))?;
-    let at = server.get_address().map_err(|error| busy(key, address, &error))?;
+    let server = bound.map_err(|error| make_bind_error(key, address, &error))?;
+    let at = server.get_address().map_err(|error| make_bind_error(key, address, &error))?;
     Ok((server, at))
 }
 
-/// Waits for the signal to stop, and then until the node has stopped.
-async fn wait_for_end(node: &Arc<Node>, path: PathBuf) -> Result<(), Error> {
+/// Waits for a stop signal, and then until the node has stopped.
+async fn run_until_stopped(node: &Arc<Node>, path: PathBuf) -> Result<(), Error> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| {
-        Error::new(ErrorKind::Unavailable, format!("no signals can be had: {error}"))
+        Error::new(ErrorKind::Unavailable, format!("cannot register signal handlers: {error}"))
     })?;
     while let Some(signal) = signals.next().await {
         match signal {
@@ -134,7 +138,7 @@
     Ok(())
 }
 
-/// Reads the settings again. What is bound to sockets or a lease stays until the next start.
+/// Reloads the settings. Those bound to sockets or a lease take effect at the next start.
 fn reload(node: &Node, path: &std::path::Path) {
     match Settings::load(path) {
         Ok(settings) => {
@@ -147,7 +151,7 @@
     }
 }
 
-fn busy(key: &str, address: SocketAddr, error: &io::Error) -> Error {
+fn make_bind_error(key: &str, address: SocketAddr, error: &io::Error) -> Error {
     Error::new(ErrorKind::Unavailable, format!("cannot listen: {error}"))
         .key(key)
         .value(address.to_string())
--- a/crates/gateway/src/node/table.rs
+++ b/crates/gateway/src/node/table.rs
@@ -1,11 +1,12 @@
-//! Calls the table service, and follows its eras.
+//! Calls to the table service, and tracking of its eras.
 //!
-//! All calls pass here. An answer of an earlier era than the newest one that is known counts as none, and
-//! neither does a write under a condition that names a version of an earlier era: the number may be that of
-//! another row by now.
+//! All calls pass through this module. An answer from an earlier era than the newest known one is
+//! discarded, and so is a write whose condition names a version of an earlier era: the version
+//! number may belong to another row by now.
 //!
-//! A write that was sent before a return may still be done after it. Rows that are written under a condition
-//! therefore have a key for each era ([`era_key`]), under which nothing of an earlier era is written.
+//! A write that was sent before the table service was restored from an older copy may still be
+//! applied afterwards. Rows that are written conditionally therefore have one key per era
+//! ([`era_key`]), to which no write of an earlier era applies.
 
 use std::time::Duration;
 
@@ -18,13 +19,14 @@
     Condition, RowRange, Rows, TableError, TableName, Transaction, Write, with_timeout,
 };
 
-/// Stands between a row's key and its era.
-const ERA_MARK: char = '@';
+/// Separates the key of a row from its era.
+const ERA_SEPARATOR: char = '@';
 
-/// Reads all rows of a table, page by page, and waits for each page for a time at most: a long table takes as much
-/// longer as it has more pages.
+/// Reads all rows of a table, page by page, with a timeout for each page. A longer table takes
+/// longer in proportion to its pages.
 ///
-/// Later pages are of a later moment. The version is the first one's, from which a watch misses nothing.
+/// Later pages are read at a later time. The version is that of the first page, so a watch from it
+/// misses no change.
 ///
 /// # Errors
 ///
@@ -32,23 +34,23 @@
 pub(super) async fn read_all(
     node: &Node,
     table: TableName,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
-    let first = read_first(node, table, within).await?;
-    read_rest(node, table, within, first).await
+    let first = read_first(node, table, timeout).await?;
+    read_rest(node, table, timeout, first).await
 }
 
 /// Reads the first page of a table.
 ///
 /// # Errors
 ///
-/// Returns the call's error.
+/// Returns the error of the call.
 pub(super) async fn read_first(
     node: &Node,
     table: TableName,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, node.platform.table.read_first(table, within).await)
+    check_era(node, node.platform.table.read_first(table, timeout).await)
 }
 
 /// Reads the pages after the first one.
@@ -59,66 +61,67 @@
 pub(super) async fn read_rest(
     node: &Node,
     table: TableName,
-    within: Duration,
+    timeout: Duration,
     first: Rows,
 ) -> Result<Rows, TableError> {
-    take(node, node.platform.table.read_rest(table, within, first).await)
+    check_era(node, node.platform.table.read_rest(table, timeout, first).await)
 }
 
-/// Reads some rows of a table.
+/// Reads a selection of rows of a table.
 ///
 /// # Errors
 ///
-/// Returns the call's error.
+/// Returns the error of the call.
 pub(super) async fn read_some(
     node: &Node,
     selection: RowRange,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
-    take(node, with_timeout(within, (node.platform.table.read_range)(selection)).await)
+    check_era(node, with_timeout(timeout, (node.platform.table.read_range)(selection)).await)
 }
 
-/// Waits for rows that changed after a version. The service holds the call for `hold` where nothing changes,
-/// and the node waits for `within` longer.
+/// Waits for rows that changed after a version. The service holds the call for `hold` if nothing
+/// changes, and the node waits for `timeout` longer.
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::HistoryGone`] where the version is of an earlier era.
+/// Returns the error of the call, and [`TableError::HistoryGone`] if the version belongs to an
+/// earlier era.
 pub(super) async fn watch(
     node: &Node,
     table: TableName,
     after: TableVersion,
     hold: Duration,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
     if node.with(|state| state.eras.is_superseded(after.era)) {
         return Err(TableError::HistoryGone);
     }
     let watching = (node.platform.table.watch)(table, after, hold);
-    let rows = take(node, with_timeout(hold + within, watching).await)?;
+    let rows = check_era(node, with_timeout(hold + timeout, watching).await)?;
     if rows.version.era != after.era {
         return Err(TableError::HistoryGone);
     }
     Ok(rows)
 }
 
-/// Writes rows, all or none.
+/// Writes rows atomically.
 ///
 /// # Errors
 ///
-/// Returns the call's error, and [`TableError::StaleEra`] where a condition is of an earlier era than the
-/// table service: the write counts for nothing.
+/// Returns the error of the call, and [`TableError::StaleEra`] if a condition belongs to an
+/// earlier era than the table service. The write is discarded in that case.
 pub(super) async fn commit(
     node: &Node,
     transaction: Transaction,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
     let era = transaction.conditions.first().map(|condition| condition.version.era);
     if era.is_some_and(|era| node.with(|state| state.eras.is_superseded(era))) {
         return Err(TableError::StaleEra);
     }
     let committing = (node.platform.table.commit)(transaction);
-    let answer = take(node, with_timeout(within, committing).await);
+    let answer = check_era(node, with_timeout(timeout, committing).await);
     let answered_in = match &answer {
         Ok(rows) | Err(TableError::Conflict(rows)) => Some(rows.version.era),
         Err(_) => None,
@@ -129,28 +132,28 @@
     }
 }
 
-/// Writes a row, or removes it, where it has not changed since a version.
+/// Writes or removes a row if its version is unchanged.
 ///
 /// # Errors
 ///
-/// Returns the same as [`commit`].
+/// Returns the same errors as [`commit`].
 pub(super) async fn replace(
     node: &Node,
     table: TableName,
     key: &str,
     version: TableVersion,
     value: Option<Vec<u8>>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Rows, TableError> {
     let condition = Condition { table, key: key.to_owned(), version };
     let write = Write { table, key: key.to_owned(), value };
-    commit(node, Transaction { conditions: vec![condition], writes: vec![write] }, within).await
+    commit(node, Transaction { conditions: vec![condition], writes: vec![write] }, timeout).await
 }
 
-/// Notes the era that an answer shows; one of an earlier era counts for nothing.
-fn take(node: &Node, answer: Result<Rows, TableError>) -> Result<Rows, TableError> {
+/// Records the era of an answer, and rejects an answer of an earlier era.
+fn check_era(node: &Node, answer: Result<Rows, TableError>) -> Result<Rows, TableError> {
     if let Ok(rows) | Err(TableError::Conflict(rows)) = &answer {
-        note_era(node, rows.version.era);
+        record_era(node, rows.version.era);
         let known = node.with(|state| state.eras.get());
         if rows.version.era < known {
             event::emit(&Event::RowsDropped {
@@ -164,38 +167,39 @@
     answer
 }
 
-/// Notes an era that an answer showed, or that another node knows.
-pub(super) fn note_era(node: &Node, era: Era) {
+/// Records an era that an answer or another node reported.
+pub(super) fn record_era(node: &Node, era: Era) {
     let now = node.now();
-    let begun = node.with(|state| {
-        let begun = state.eras.note(now, era)?;
+    let new_era = node.with(|state| {
+        let new_era = state.eras.record(now, era)?;
         state.lease.begin_era(era);
-        if begun.before.is_some() {
-            state.directory.note_table_restored(now);
-            state.frozen.repeat();
+        if new_era.before.is_some() {
+            state.directory.record_table_restored(now);
+            state.frozen_usage.report_again();
         }
-        Some(begun)
+        Some(new_era)
     });
-    let Some(begun) = begun else { return };
-    let is_return = begun.before.is_some();
+    let Some(new_era) = new_era else { return };
+    let is_return = new_era.before.is_some();
     if is_return {
         node.metrics.store_returns.inc();
     }
-    let before = begun.before.and_then(Era::get_number);
+    let before = new_era.before.and_then(Era::get_number);
     event::emit(&Event::StoreEraBegun { era: era.get_number(), before, is_return });
 }
 
-/// Returns the key of a row that is written under a condition in an era.
+/// Returns the key of a conditionally written row in an era.
 pub(super) fn era_key(key: &str, era: Era) -> String {
     match era.get_number() {
         None => key.to_owned(),
-        Some(number) => format!("{key}{ERA_MARK}{number}"),
+        Some(number) => format!("{key}{ERA_SEPARATOR}{number}"),
     }
 }
 
-/// Splits the key of a row that is written under a condition; `None` where it is none.
+/// Splits the key of a conditionally written row into the key and its era; returns `None` for
+/// another kind of key.
 pub(super) fn split_key(key: &str) -> Option<(&str, Era)> {
-    match key.rsplit_once(ERA_MARK) {
+    match key.rsplit_once(ERA_SEPARATOR) {
         Some((key, era)) => Some((key, Era::named(era.parse().ok()?))),
         None => Some((key, Era::UNNAMED)),
     }
--- a/crates/gateway/src/node/watch/servers.rs
+++ b/crates/gateway/src/node/watch/servers.rs
@@ -1,4 +1,4 @@
-//! Keeps the list of servers.
+//! Maintains the server list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,37 +9,39 @@
 };
 use keeljunction_core::serving::table_version::TableVersion;
 
-use super::{ANSWER_WITHIN, LOOK, Watch, follow, is_due, is_reader, note_failure, part_of};
+use super::{
+    ANSWER_TIMEOUT, POLL_INTERVAL, Watch, emit_failure, follow, fraction_of, is_reader, should_read,
+};
 use crate::event::{self, Event};
-use crate::node::pause::Pause;
+use crate::node::back_off::BackOff;
 use crate::node::peers::message::Notification;
 use crate::node::{Node, staleness, table};
 use crate::port::{Row, Rows, TableError, TableName};
 use crate::runtime;
 
-/// How long a watch of the servers is held where nothing changes, as a part of the drain bound:
-/// its answer shows that the list was the newest at the call, so that the list's age swings
-/// between one hold and two.
-const SERVERS_HOLD_PART: f64 = 0.22;
-/// The pause after changes in which further ones gather, as a part of the drain bound: servers come
-/// and go in waves, and each call costs.
-const GATHER_PART: f64 = 0.08;
-/// How long after its start a node waits for its aggregator to give it a list of several pages, in
-/// milliseconds.
-const LONG_LIST_WITHIN: Millis = 2_000;
-/// Entries that are sent in one datagram: some 80 bytes each.
-const MOST_IN_DATAGRAM: usize = 64;
-/// Changes that come at once and are logged one by one.
-const MOST_LOGGED: usize = 16;
+/// How long the table service holds a server list watch without changes, as a fraction of the drain
+/// bound. An answer confirms the list as of the call, so the list's age varies between one hold
+/// time and two.
+const SERVERS_HOLD_FRACTION: f64 = 0.22;
+/// The delay after changes during which further ones accumulate, as a fraction of the drain bound.
+/// Servers come and go in waves, and each call has a cost.
+const BATCH_DELAY_FRACTION: f64 = 0.08;
+/// How long after its start a node waits for its aggregator to send a server list of several pages.
+const LONG_LIST_WAIT_MS: Millis = 2_000;
+/// The maximum number of entries per datagram, at some 80 bytes each.
+const MAX_ENTRIES_PER_DATAGRAM: usize = 64;
+/// The maximum number of simultaneous changes that are logged individually.
+const MAX_LOGGED_CHANGES: usize = 16;
 
-/// Follows the list of servers for ever, where this node reads for all or its own list is old.
-pub async fn servers(node: Arc<Node>) {
-    let mut pause = Pause::default();
+/// Follows the server list until the process ends, while this node is a reader or its list is
+/// stale.
+pub async fn watch_servers(node: Arc<Node>) {
+    let mut back_off = BackOff::default();
     let mut is_long = false;
     loop {
-        let is_left = is_long && is_left_to_aggregator(&node);
-        if is_left || !is_due(&node, staleness::is_servers_old) {
-            runtime::sleep(LOOK).await;
+        let is_delegated = is_long && is_delegated_to_aggregator(&node);
+        if is_delegated || !should_read(&node, staleness::is_servers_stale) {
+            runtime::sleep(POLL_INTERVAL).await;
             continue;
         }
         match catch_up(&node).await {
@@ -48,12 +50,12 @@
                 continue;
             }
             Ok(Some(version)) => {
-                pause.reset();
+                back_off.reset();
                 let bound = node.settings.bounds.drain_ms;
                 let watch = Watch {
                     table: TableName::Servers,
-                    hold: part_of(bound, SERVERS_HOLD_PART),
-                    gather: Some(part_of(bound, GATHER_PART)),
+                    hold: fraction_of(bound, SERVERS_HOLD_FRACTION),
+                    batch_delay: Some(fraction_of(bound, BATCH_DELAY_FRACTION)),
                     is_wanted: is_reader,
                 };
                 follow(&node, &watch, version, |rows, asked_at| {
@@ -62,26 +64,27 @@
                 .await;
             }
             Err(error) => {
-                note_failure("servers", &error);
-                node.with(|state| state.directory.note_table_unavailable());
+                emit_failure("servers", &error);
+                node.with(|state| state.directory.record_table_unavailable());
             }
         }
-        pause.wait().await;
+        back_off.wait().await;
     }
 }
 
-/// Brings the list of servers up to date; returns its version, or `None` where that is left to others.
+/// Updates the server list; returns its version, or `None` if this node waits for its aggregator's
+/// list.
 ///
-/// A node that knows a list reads only what has changed since: the whole list takes a call for each
-/// few hundred servers.
+/// A node with a list reads only the changes: the whole list takes a call for every few hundred
+/// servers.
 async fn catch_up(node: &Node) -> Result<Option<TableVersion>, TableError> {
     let known =
         node.with(|state| state.directory.is_known().then(|| state.directory.get_version()));
     let Some(after) = known else { return read_servers(node).await };
     let asked_at = node.now();
-    match table::watch(node, TableName::Servers, after, Duration::ZERO, ANSWER_WITHIN).await {
+    match table::watch(node, TableName::Servers, after, Duration::ZERO, ANSWER_TIMEOUT).await {
         Ok(rows) => {
-            note_servers_known(node);
+            record_list_recovered(node);
             update_servers(node, &rows, asked_at);
             Ok(Some(rows.version.max(after)))
         }
@@ -90,57 +93,58 @@
     }
 }
 
-/// Reads the list of servers whole; returns its version, or `None` where that is left to others.
+/// Reads the whole server list; returns its version, or `None` if this node waits for its
+/// aggregator's list.
 async fn read_servers(node: &Node) -> Result<Option<TableVersion>, TableError> {
     let asked_at = node.now();
-    let first = table::read_first(node, TableName::Servers, ANSWER_WITHIN).await?;
-    if first.has_more && is_left_to_aggregator(node) {
+    let first = table::read_first(node, TableName::Servers, ANSWER_TIMEOUT).await?;
+    if first.has_more && is_delegated_to_aggregator(node) {
         return Ok(None);
     }
-    let rows = table::read_rest(node, TableName::Servers, ANSWER_WITHIN, first).await?;
+    let rows = table::read_rest(node, TableName::Servers, ANSWER_TIMEOUT, first).await?;
     node.with(|state| state.skipped_entries.retain(&rows.rows));
     let servers = rows.rows.iter().filter_map(|row| decode_server(node, row));
-    replace_servers(node, rows.version, servers.collect());
+    replace_list(node, rows.version, servers.collect());
     node.with(|state| state.servers_freshness.confirm(asked_at));
     Ok(Some(rows.version))
 }
 
-/// Returns `true` if this node waits until its aggregator gives it a long list: where many nodes start at
-/// once, only the aggregators read it.
-fn is_left_to_aggregator(node: &Node) -> bool {
-    let is_starting = node.now() < node.clock.get_start() + LONG_LIST_WITHIN;
+/// Returns `true` if this node waits for its aggregator to send a long list. When many nodes start
+/// at once, only the aggregators read it.
+fn is_delegated_to_aggregator(node: &Node) -> bool {
+    let is_starting = node.now() < node.clock.get_start() + LONG_LIST_WAIT_MS;
     let is_member = node.with(|state| state.members.is_grouped() && !state.members.is_aggregator());
     is_starting && is_member
 }
 
-/// Takes over a whole list of servers, where it is not older than the one known.
-fn replace_servers(node: &Node, version: TableVersion, servers: Vec<Server>) {
-    note_servers_known(node);
+/// Replaces the server list, unless the given one is older.
+fn replace_list(node: &Node, version: TableVersion, servers: Vec<Server>) {
+    record_list_recovered(node);
     let changes = node.with(|state| state.directory.replace(version, servers));
     apply(node, changes);
 }
 
-/// Takes over what a peer knows of the list of servers and this node lacked.
-pub(in crate::node) fn take_update(node: &Node, update: Update<'_>) {
-    table::note_era(node, update.get_version().era);
-    note_servers_known(node);
+/// Applies an update of the server list that this node fetched from a peer.
+pub(in crate::node) fn apply_update(node: &Node, update: Update<'_>) {
+    table::record_era(node, update.get_version().era);
+    record_list_recovered(node);
     let changes = node.with(|state| state.directory.apply_update(update));
     apply(node, changes.unwrap_or_default());
 }
 
-/// Notes that the list of servers is known again, where it had grown old.
-fn note_servers_known(node: &Node) {
+/// Records that the server list is up to date again after it was stale.
+fn record_list_recovered(node: &Node) {
     let now = node.now();
-    if staleness::is_servers_old(node) {
+    if staleness::is_servers_stale(node) {
         node.with(|state| {
             if state.directory.is_known() {
-                state.directory.note_table_recovered(now);
+                state.directory.record_table_recovered(now);
             }
         });
     }
 }
 
-/// Gives up servers whose entries lapsed and did not come back.
+/// Removes servers whose entries lapsed and were not renewed.
 pub(in crate::node) fn expire_lapsed(node: &Node) {
     let now = node.now();
     let changes = node.with(|state| {
@@ -150,30 +154,30 @@
     apply(node, changes);
 }
 
-/// Takes the departures that came with a report.
+/// Applies the departures in a report.
 pub(in crate::node) fn apply_departures(node: &Node, departures: &[Departure]) {
     for departure in departures {
         apply_departure(node, departure);
     }
 }
 
-/// Takes the word of a server, in an answer to this node or another one, that it leaves; returns `true` if
-/// that is news.
+/// Applies a server's announcement that it leaves, received in a response by this node or another
+/// one; returns `true` if it is new.
 pub(crate) fn apply_departure(node: &Node, departure: &Departure) -> bool {
     let now = node.now();
     let Departure { server, incarnation } = departure;
     let DepartureOutcome { is_news, change } =
-        node.with(|state| state.directory.note_departure(now, server, *incarnation));
+        node.with(|state| state.directory.record_departure(now, server, *incarnation));
     apply(node, change.into_iter().collect());
     is_news
 }
 
-/// Takes over entries that changed since a call that began at `asked_at`, and sends them to all peers
-/// where this node reads for them.
+/// Applies the entries that changed since a call at `asked_at`. A reader also sends them to all
+/// peers.
 fn update_servers(node: &Node, rows: &Rows, asked_at: Millis) {
     let batch = make_batch(node, rows);
     if !batch.entries.is_empty() && is_reader(node) {
-        let parts = batch.clone().split(MOST_IN_DATAGRAM);
+        let parts = batch.clone().split(MAX_ENTRIES_PER_DATAGRAM);
         parts.into_iter().for_each(|part| node.notify_peers(Notification::ServersChanged(part)));
     }
     let changes = node.with(|state| state.directory.apply_batch(batch));
@@ -181,26 +185,27 @@
     node.with(|state| state.servers_freshness.confirm(asked_at));
 }
 
-/// Makes the changes of this node's list that the rows hold.
+/// Builds a batch of list changes from rows.
 fn make_batch(node: &Node, rows: &Rows) -> Batch {
     let entries = rows.rows.iter().map(|row| {
-        // An entry that cannot be read names no server to use, like one that is gone.
+        // An undecodable entry names no usable server, like a deleted one.
         let server = decode_server(node, row);
-        // A row that came without its version is taken as changed last.
+        // A row without a version counts as the last one changed.
         let version = if row.version.is_absent() { rows.version } else { row.version };
         Entry { id: row.key.clone(), version, server }
     });
-    // Nothing changed between this list and the rows: the watch goes on where it left off.
+    // Nothing changed between this list and the rows: the watch resumes from the list's version.
     let after = node.with(|state| state.directory.get_version());
     Batch { after, version: rows.version, entries: entries.collect() }
 }
 
-/// Reads a server's entry; `None` where it is gone or cannot be read, which is logged once.
+/// Decodes a server's entry; returns `None` if it was deleted or is malformed. A malformed entry is
+/// logged once.
 fn decode_server(node: &Node, row: &Row) -> Option<Server> {
     let decoded = row.value.as_deref().map(|value| (node.platform.decode_server)(&row.key, value));
     match decoded {
         Some(Err(error)) => {
-            if node.with(|state| state.skipped_entries.note(&row.key, row.version)) {
+            if node.with(|state| state.skipped_entries.record(&row.key, row.version)) {
                 event::emit(&Event::DocumentRejected { error: error.to_string() });
             }
             None
@@ -216,7 +221,7 @@
     }
 }
 
-/// Acts on changes of the list of servers.
+/// Applies the side effects of server list changes.
 pub fn apply(node: &Node, changes: Vec<Change>) {
     let now = node.now();
     for change in &changes {
@@ -232,9 +237,10 @@
     log_changes(&changes);
 }
 
-/// Logs each change; of many only how many there are of each kind, because all nodes log the same.
+/// Logs each change, or only the number of changes of each kind if there are many, because all
+/// nodes log the same ones.
 fn log_changes(changes: &[Change]) {
-    if changes.len() > MOST_LOGGED {
+    if changes.len() > MAX_LOGGED_CHANGES {
         return event::emit(&Event::ServersChanged {
             joined: changes.iter().filter(|change| matches!(change, Change::Joined(_))).count(),
             leaving: changes.iter().filter(|change| matches!(change, Change::Leaving(_))).count(),
--- a/crates/gateway/tests/document.rs
+++ b/crates/gateway/tests/document.rs
@@ -1,33 +1,33 @@
-//! Documents that peers get from each other.
+//! Compression of the documents that nodes fetch from each other.
 
-use keeljunction_gateway::node::document::{Document, unpack};
+use keeljunction_gateway::node::document::{Document, decompress};
 use proptest::prelude::*;
 
 #[test]
-fn a_long_configuration_is_packed_small() {
+fn long_configuration_compresses_well() {
     let route =
         r#"{"name":"r","host":"bahu79.example","path_prefix":"/nywu900/no2/","service":"s"}"#;
     let text = format!("[{}]", vec![route; 1_400].join(","));
-    let packed = Document::new(text.clone().into_bytes()).get_packed();
-    assert!(packed.len() * 20 < text.len(), "{} of {}", packed.len(), text.len());
-    assert_eq!(unpack(&packed), Some(text.into_bytes()));
+    let compressed = Document::new(text.clone().into_bytes()).get_compressed();
+    assert!(compressed.len() * 20 < text.len(), "{} of {}", compressed.len(), text.len());
+    assert_eq!(decompress(&compressed), Some(text.into_bytes()));
 }
 
 #[test]
-fn bytes_that_are_no_document_are_refused() {
-    assert_eq!(unpack(b"\xff\xff\xff\xff"), None);
+fn malformed_bytes_are_rejected() {
+    assert_eq!(decompress(b"\xff\xff\xff\xff"), None);
 }
 
 #[test]
-fn a_document_that_grows_without_end_is_refused() {
-    let packed = Document::new(vec![b'a'; (16 << 20) + 1]).get_packed();
-    assert_eq!(unpack(&packed), None);
+fn document_beyond_the_maximum_size_is_rejected() {
+    let compressed = Document::new(vec![b'a'; (16 << 20) + 1]).get_compressed();
+    assert_eq!(decompress(&compressed), None);
 }
 
 proptest! {
     #[test]
-    fn every_document_comes_back(text in proptest::collection::vec(any::<u8>(), 0..2_000)) {
-        let packed = Document::new(text.clone()).get_packed();
-        prop_assert_eq!(unpack(&packed), Some(text));
+    fn every_document_survives_a_round_trip(text in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+        let compressed = Document::new(text.clone()).get_compressed();
+        prop_assert_eq!(decompress(&compressed), Some(text));
     }
 }
--- a/crates/keeljunction/src/caller/check.rs
+++ b/crates/keeljunction/src/caller/check.rs
@@ -1,4 +1,4 @@
-//! Authenticates a caller's request and checks it, before anything is done for it.
+//! Authentication and validation of client requests, before admission.
 
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -10,56 +10,56 @@
 
 use super::problem::Problem;
 use crate::http;
-use crate::node::accept::Naming;
+use crate::node::accept::KeySource;
 use crate::node::request::Prompt;
-use crate::node::state::Force;
+use crate::node::state::ActiveBundle;
 use crate::node::{Node, Request};
 
-const CLASS: &str = "keeljunction-class";
-const KEY: &str = "idempotency-key";
-const LAST_EVENT: &str = "last-event-id";
-const LONGEST_KEY: usize = 128;
-const SERVICES: &str = "/services/";
-const COMPLETIONS: &str = "/v1/completions";
-const CHAT: &str = "/v1/chat/completions";
-/// Headers of callers that plain services get.
-const PASSED: [&str; 3] = ["content-type", "accept", "accept-language"];
-
-/// A request that was checked, and how its answer is to be given.
-pub struct Checked {
+const CLASS_HEADER: &str = "keeljunction-class";
+const KEY_HEADER: &str = "idempotency-key";
+const LAST_EVENT_ID_HEADER: &str = "last-event-id";
+const MAX_KEY_LENGTH: usize = 128;
+const SERVICES_PREFIX: &str = "/services/";
+const COMPLETIONS_PATH: &str = "/v1/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
+/// Client headers that are forwarded to plain services.
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "accept", "accept-language"];
+
+/// A valid request, and how to respond to it.
+pub struct ValidRequest {
     /// The request.
     pub request: Request,
-    /// How the caller names it.
-    pub naming: Naming,
-    /// The offset from which the caller wants the answer.
+    /// Where the key of the request comes from.
+    pub key_source: KeySource,
+    /// The offset of the first token to send.
     pub offset: u64,
-    /// The model, for a model request.
+    /// The model; empty for a plain service.
     pub model: String,
-    /// Whether the caller speaks of messages.
+    /// Whether the request uses the chat API.
     pub is_chat: bool,
 }
 
-/// Where a path leads.
+/// The route that a path matches.
 enum Route<'a> {
     Model,
     Plain { service: &'a str, path: String },
 }
 
-/// Checks a request whole.
+/// Validates a request.
 ///
 /// # Errors
 ///
-/// Returns the [`Problem`] to answer with; nothing was dispatched.
+/// Returns the [`Problem`] to respond with. The request was not sent to a server.
 pub async fn check(
     node: &Node,
-    force: &Force,
+    active: &ActiveBundle,
     request: HttpRequest<Incoming>,
-) -> Result<Checked, Problem> {
-    let bundle = &force.document;
+) -> Result<ValidRequest, Problem> {
+    let bundle = &active.document;
     let (head, body) = request.into_parts();
     let (group, account) = authenticate(bundle, &head.headers)?;
     let class = find_class(bundle, &head.headers)?.clone();
-    let (key, naming) = find_key(&head.headers, &class)?;
+    let (key, key_source) = find_key(&head.headers, &class)?;
     let offset = find_offset(&head.headers)?;
     let uri = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let route = find_route(&head.method, head.uri.path(), &uri)?;
@@ -74,7 +74,7 @@
     let is_model = service.kind == Kind::Model;
     let prompt = if is_model { Prompt::read(&parsed) } else { Prompt::default() };
     let digest = digest(head.method.as_str(), &path, &body);
-    let headers = PASSED.iter().filter_map(|name| {
+    let headers = FORWARDED_HEADERS.iter().filter_map(|name| {
         Some(((*name).to_owned(), head.headers.get(*name)?.to_str().ok()?.to_owned()))
     });
     let request = Request {
@@ -93,14 +93,14 @@
         body,
         prompt,
     };
-    let naming = if offset > 0 { Naming::Returning } else { naming };
+    let key_source = if offset > 0 { KeySource::Resumption } else { key_source };
     let model = parsed["model"].as_str().unwrap_or_default().to_owned();
-    Ok(Checked { request, naming, offset, model, is_chat: uri.starts_with(CHAT) })
+    Ok(ValidRequest { request, key_source, offset, model, is_chat: uri.starts_with(CHAT_PATH) })
 }
 
 fn authenticate(bundle: &Document, headers: &HeaderMap) -> Result<(String, String), Problem> {
-    let shown = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let credential = shown.and_then(|value| value.strip_prefix("Bearer ")).ok_or_else(|| {
+    let header = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let credential = header.and_then(|value| value.strip_prefix("Bearer ")).ok_or_else(|| {
         Problem::refused(StatusCode::UNAUTHORIZED, "no credential; send Authorization: Bearer ...")
     })?;
     let digest = bundle::digest(credential.trim().as_bytes());
@@ -113,7 +113,7 @@
 fn find_class<'a>(bundle: &'a Document, headers: &HeaderMap) -> Result<&'a Class, Problem> {
     let names: Vec<&str> = bundle.classes.iter().map(|class| class.name.as_str()).collect();
     let allowed = names.join(", ");
-    let Some(name) = header(headers, CLASS) else {
+    let Some(name) = header(headers, CLASS_HEADER) else {
         let detail = format!("no request class; send Keeljunction-Class, one of: {allowed}");
         return Err(Problem::refused(StatusCode::BAD_REQUEST, detail));
     };
@@ -123,14 +123,14 @@
     })
 }
 
-fn find_key(headers: &HeaderMap, class: &Class) -> Result<(String, Naming), Problem> {
-    match header(headers, KEY) {
-        Some(key) if is_key(key) => Ok((key.to_owned(), Naming::Given)),
+fn find_key(headers: &HeaderMap, class: &Class) -> Result<(String, KeySource), Problem> {
+    match header(headers, KEY_HEADER) {
+        Some(key) if is_valid_key(key) => Ok((key.to_owned(), KeySource::Client)),
         Some(_) => {
             let detail = "Idempotency-Key takes 1 to 128 of A-Z a-z 0-9 . _ : -";
             Err(Problem::refused(StatusCode::BAD_REQUEST, detail))
         }
-        None if class.repeatable => Ok((Uuid::new_v4().to_string(), Naming::Drawn)),
+        None if class.repeatable => Ok((Uuid::new_v4().to_string(), KeySource::Generated)),
         None => {
             let detail =
                 "a request of this class runs at most once; send an Idempotency-Key with it";
@@ -139,14 +139,14 @@
     }
 }
 
-fn is_key(key: &str) -> bool {
-    let is_fit = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
-    (1..=LONGEST_KEY).contains(&key.len()) && key.bytes().all(is_fit)
+fn is_valid_key(key: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
+    (1..=MAX_KEY_LENGTH).contains(&key.len()) && key.bytes().all(is_allowed)
 }
 
-/// Reads the offset after the last event that the caller has.
+/// Returns the offset after the last event that the client has received.
 fn find_offset(headers: &HeaderMap) -> Result<u64, Problem> {
-    let Some(last) = header(headers, LAST_EVENT) else { return Ok(0) };
+    let Some(last) = header(headers, LAST_EVENT_ID_HEADER) else { return Ok(0) };
     let last: u64 = last.parse().map_err(|_| {
         Problem::refused(
             StatusCode::BAD_REQUEST,
@@ -157,26 +157,28 @@
 }
 
 fn find_route<'a>(method: &Method, path: &'a str, uri: &str) -> Result<Route<'a>, Problem> {
-    if path == COMPLETIONS || path == CHAT {
+    if path == COMPLETIONS_PATH || path == CHAT_PATH {
         if method != Method::POST {
             return Err(Problem::refused(StatusCode::METHOD_NOT_ALLOWED, "this path takes POST"));
         }
         return Ok(Route::Model);
     }
-    let Some(rest) = path.strip_prefix(SERVICES) else {
-        let detail = format!("no such path; possible: {COMPLETIONS}, {CHAT}, {SERVICES}NAME/...");
+    let Some(rest) = path.strip_prefix(SERVICES_PREFIX) else {
+        let detail = format!(
+            "no such path; possible: {COMPLETIONS_PATH}, {CHAT_PATH}, {SERVICES_PREFIX}NAME/..."
+        );
         return Err(Problem::refused(StatusCode::NOT_FOUND, detail));
     };
     let service = rest.split('/').next().unwrap_or_default();
-    let path = &uri[SERVICES.len() + service.len()..];
+    let path = &uri[SERVICES_PREFIX.len() + service.len()..];
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     Ok(Route::Plain { service, path })
 }
 
 async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Problem> {
-    let most = node.settings.limits.body_bytes;
-    http::read_body(body, most).await.ok_or_else(|| {
-        let detail = format!("the body is longer than {most} bytes, or broke off");
+    let max_bytes = node.settings.limits.body_bytes;
+    http::read_body(body, max_bytes).await.ok_or_else(|| {
+        let detail = format!("the body is longer than {max_bytes} bytes, or broke off");
         Problem::refused(StatusCode::PAYLOAD_TOO_LARGE, detail)
     })
 }
--- a/crates/keeljunction/src/node/accept.rs
+++ b/crates/keeljunction/src/node/accept.rs
@@ -1,7 +1,7 @@
-//! Takes a request, or refuses it at once.
+//! Admission of requests.
 //!
-//! A request is accepted once it has a grant, a copy of its record at a peer, and, where it must
-//! not be repeated, a claim. Whatever is missing, it is refused with when to come back.
+//! A request is accepted once it has a grant, a copy of its record at a peer, and a claim if it
+//! must not be repeated. Without any of these it is rejected at once, with a retry delay.
 
 use std::sync::Arc;
 
@@ -10,47 +10,50 @@
 use uuid::Uuid;
 
 use super::answer::{not_run, unknown};
-use super::grant::{Usage, Want};
+use super::grant::{GrantOptions, Usage};
 use super::relay::Start;
 use super::{Answer, Node, Request, claims, copy, ending, find, grant, relay};
 use crate::peer::wire::Final;
 use crate::runtime;
 
-/// When to come back where all seats are taken, in milliseconds.
-const SEAT_RETRY_MS: u64 = 500;
-/// When to come back where neither a peer nor the platform answers, in milliseconds.
-const OUTAGE_RETRY_MS: u64 = 1_000;
+/// Retry delay sent when an in-flight limit is reached.
+const SATURATED_RETRY_AFTER_MS: u64 = 500;
+/// Retry delay sent when neither a peer nor the platform responds.
+const OUTAGE_RETRY_AFTER_MS: u64 = 1_000;
 
-/// How a caller names its request.
+/// Where the key of a request comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Naming {
-    /// The key came with the request, so the request may be known somewhere.
-    Given,
-    /// The key was drawn for it.
-    Drawn,
-    /// The caller comes back for the rest of an answer.
-    Returning,
+pub enum KeySource {
+    /// The client sent the key, so a node may already know the request.
+    Client,
+    /// This node generated the key.
+    Generated,
+    /// The client reconnects for the rest of an answer.
+    Resumption,
 }
 
-/// Takes a request in, or finds the answer that it has. The answer may end at once as a refusal.
-pub fn accept(node: &Arc<Node>, request: Request, naming: Naming) -> Arc<Answer> {
+/// Accepts a request, or returns the answer of an earlier request with the same key.
+///
+/// A rejected request is returned as an answer that has already ended.
+pub fn accept(node: &Arc<Node>, request: Request, key_source: KeySource) -> Arc<Answer> {
     let id = request.get_id();
     let answer = {
         let mut answers = runtime::lock(&node.answers);
         let known = answers.get(&id);
-        if let Some(known) = known.filter(|a| naming == Naming::Returning || !a.is_spent()) {
-            return same_or_refused(node, known, request);
+        if let Some(known) = known.filter(|a| key_source == KeySource::Resumption || !a.is_failed())
+        {
+            return reuse_or_refuse(node, known, request);
         }
         let answer = Arc::new(Answer::new(request));
         answers.insert(id, answer.clone());
         answer
     };
-    let (node, taken) = (node.clone(), answer.clone());
-    runtime::spawn(async move { take(node, taken, naming).await });
+    let (node, admitted) = (node.clone(), answer.clone());
+    runtime::spawn(async move { admit(node, admitted, key_source).await });
     answer
 }
 
-fn same_or_refused(node: &Node, known: &Arc<Answer>, request: Request) -> Arc<Answer> {
+fn reuse_or_refuse(node: &Node, known: &Arc<Answer>, request: Request) -> Arc<Answer> {
     if known.request.digest == request.digest {
         return known.clone();
     }
@@ -63,113 +66,121 @@
     not_run(422, "the key was used for another request", 0)
 }
 
-async fn take(node: Arc<Node>, answer: Arc<Answer>, naming: Naming) {
-    // The claim of an unrepeatable request names who has it; others are looked for.
-    let is_sought = naming == Naming::Given && !answer.request.needs_claim();
-    if (is_sought || naming == Naming::Returning) && find::resume(&node, &answer).await {
+async fn admit(node: Arc<Node>, answer: Arc<Answer>, key_source: KeySource) {
+    // A request that needs a claim finds its runner in the claim row; any other is searched for.
+    let is_search_needed = key_source == KeySource::Client && !answer.request.needs_claim();
+    if (is_search_needed || key_source == KeySource::Resumption)
+        && find::follow_known(&node, &answer).await
+    {
         return;
     }
-    if naming == Naming::Returning {
+    if key_source == KeySource::Resumption {
         let lost = unknown(409, "no node knows this answer; ask again without Last-Event-ID", 0);
         return ending::refuse(&node, &answer, lost);
     }
-    let Some(seat) = node.take_seat(&answer.request.account) else {
+    let Some(permit) = node.try_acquire_permit(&answer.request.account) else {
         return ending::refuse(
             &node,
             &answer,
-            not_run(429, "too many requests are in flight", SEAT_RETRY_MS),
+            not_run(429, "too many requests are in flight", SATURATED_RETRY_AFTER_MS),
         );
     };
     match prepare(&node, &answer).await {
         Ok(start) => {
-            answer.own();
-            answer.accept();
+            answer.set_own();
+            answer.set_accepted();
             relay::run(node.clone(), answer, start).await;
         }
-        Err(Instead::End(ended)) => ending::refuse(&node, &answer, ended),
-        Err(Instead::RunsAt(runner)) => {
-            drop(seat);
+        Err(NotRunHere::End(ended)) => ending::refuse(&node, &answer, ended),
+        Err(NotRunHere::RunsAt(runner)) => {
+            drop(permit);
             return follow_runner(&node, &answer, &runner).await;
         }
     }
-    drop(seat);
+    drop(permit);
 }
 
-/// What becomes of a request that is not run here.
-enum Instead {
-    /// It ends at once.
+/// Why a request does not run on this node.
+enum NotRunHere {
+    /// The request ends at once with this result.
     End(Final),
-    /// Another node has its claim.
+    /// The named node holds its claim.
     RunsAt(String),
 }
 
-/// Follows the node that has the claim of an unrepeatable request, where it answers for it.
+/// Follows the node that holds the claim of a request that must not be repeated, if that node
+/// confirms it.
 async fn follow_runner(node: &Arc<Node>, answer: &Arc<Answer>, runner: &str) {
-    if !find::follow_at(node, answer, runner).await && !find::resume(node, answer).await {
-        ending::refuse(node, answer, sent_before());
+    if !find::follow_runner(node, answer, runner).await && !find::follow_known(node, answer).await {
+        ending::refuse(node, answer, already_sent());
     }
 }
 
-fn sent_before() -> Final {
-    unknown(409, "the request was sent before and its answer is not known", OUTAGE_RETRY_MS)
+fn already_sent() -> Final {
+    unknown(409, "the request was sent before and its answer is not known", OUTAGE_RETRY_AFTER_MS)
 }
 
-/// Gets all that an accepted request needs.
-async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, Instead> {
+/// Obtains the grant, the copy of the record and the claim that an accepted request needs.
+async fn prepare(node: &Arc<Node>, answer: &Arc<Answer>) -> Result<Start, NotRunHere> {
     let request = &answer.request;
-    node.count_try(&request.service.name);
-    let want = Want {
+    node.count_first_attempt(&request.service.name);
+    let options = GrantOptions {
         wait: request.class.first_token_ms / 2,
         priority: request.class.priority,
         avoid: &[],
     };
-    let granted = grant::acquire(node, request, want).await;
-    let no_room = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
-    let grant = granted.map_err(|refusal| Instead::End(no_room(refusal)))?;
-    let place = if request.is_safe() { None } else { Some(copy::place(node, answer).await) };
-    if place == Some(None) {
+    let granted = grant::acquire(node, request, options).await;
+    let no_capacity = |r: Refusal| not_run(503, "no backend server has room", r.retry_after);
+    let grant = granted.map_err(|refusal| NotRunHere::End(no_capacity(refusal)))?;
+    let location = if request.is_safe() { None } else { Some(copy::create(node, answer).await) };
+    if location == Some(None) {
         release_grant(node, &grant);
-        let ended = not_run(503, "the request's record could not be copied", OUTAGE_RETRY_MS);
-        return Err(Instead::End(ended));
+        let ended = not_run(503, "the request's record could not be copied", OUTAGE_RETRY_AFTER_MS);
+        return Err(NotRunHere::End(ended));
     }
-    let place = place.flatten();
+    let location = location.flatten();
     let attempt = Uuid::new_v4().to_string();
     if request.needs_claim()
-        && let Err(instead) = get_claim(node, answer, &attempt).await
+        && let Err(not_run_here) = claim_request(node, answer, &attempt).await
     {
         release_grant(node, &grant);
-        if let Some(place) = &place {
-            copy::forget(node, answer, place).await;
+        if let Some(location) = &location {
+            copy::discard(node, answer, location).await;
         }
-        return Err(instead);
+        return Err(not_run_here);
     }
-    if let Some(place) = place {
-        copy::keep(node, answer, place);
+    if let Some(location) = location {
+        copy::keep_updated(node, answer, location);
     }
     Ok(Start::Granted(grant, attempt))
 }
 
-/// Claims a request that must not be repeated, or says what its caller gets instead.
-async fn get_claim(node: &Arc<Node>, answer: &Answer, attempt: &str) -> Result<(), Instead> {
+/// Claims a request that must not be repeated.
+///
+/// # Errors
+///
+/// Returns why the request does not run on this node.
+async fn claim_request(node: &Arc<Node>, answer: &Answer, attempt: &str) -> Result<(), NotRunHere> {
     match claims::claim(node, &answer.request, attempt).await {
-        Ok(Verdict::HeldByOther(runner)) => Err(Instead::RunsAt(runner)),
-        Ok(verdict) => judged(verdict).map_err(Instead::End),
+        Ok(Verdict::HeldByOther(runner)) => Err(NotRunHere::RunsAt(runner)),
+        Ok(verdict) => resolve_verdict(verdict).map_err(NotRunHere::End),
         Err(fault) => {
             claims::release(node, &answer.request, attempt);
             node.metric.count("claims_failed", 1);
             let why = format!("the request could not be claimed: {fault}");
-            Err(Instead::End(not_run(503, &why, OUTAGE_RETRY_MS)))
+            Err(NotRunHere::End(not_run(503, &why, OUTAGE_RETRY_AFTER_MS)))
         }
     }
 }
 
-/// Turns the verdict over a claim into leave to run, or into what the caller gets instead.
-fn judged(verdict: Verdict) -> Result<(), Final> {
+/// Converts the verdict on a claim: `Ok` if the request may run, otherwise the result for the
+/// client.
+fn resolve_verdict(verdict: Verdict) -> Result<(), Final> {
     match verdict {
         Verdict::Run => Ok(()),
         Verdict::Recorded(answer) => Err(ending::recorded(&answer)),
         Verdict::Released => Err(not_run(503, "the request was given up before it was sent", 0)),
-        Verdict::HeldByOther(_) | Verdict::Available => Err(sent_before()),
+        Verdict::HeldByOther(_) | Verdict::Available => Err(already_sent()),
         Verdict::Mismatch => Err(key_reused()),
     }
 }
--- a/crates/keeljunction/src/node/control.rs
+++ b/crates/keeljunction/src/node/control.rs
@@ -1,7 +1,8 @@
-//! Does what only one node may do for a service: orders to engines, and starting VMs.
+//! The control loop of a service: sends orders to engines and starts VMs.
 //!
-//! The owner of the service's first shard tries to hold the lease. The lease decides, not the
-//! ownership: two nodes that both think themselves owners still act one after the other.
+//! Only one node may do this at a time, so the owner of the service's first shard acquires a lease
+//! first. Ownership alone is not enough, because two nodes can consider themselves the owner at
+//! once.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,52 +10,54 @@
 
 use keeljunction_core::bundle::Service;
 
-use super::fleet::Buyer;
-use super::lease::Tenure;
+use super::fleet::VmStarter;
+use super::lease::LeaseClient;
 use super::order::Orders;
-use super::state::Force;
+use super::state::ActiveBundle;
 use super::{Node, fleet, grant, order};
 use crate::runtime;
 
-const PERIOD: Duration = Duration::from_millis(300);
+const CONTROL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a node remembers of one service that it may act for.
+/// The control state of one service.
 #[derive(Default)]
-struct Part {
-    tenure: Tenure,
+struct ServiceControl {
+    lease_client: LeaseClient,
     orders: Orders,
-    buyer: Buyer,
+    vm_starter: VmStarter,
 }
 
-/// Acts for the services that this node owns, for as long as the process lives.
+/// Runs the control loop for the services that this node owns. Never returns.
 pub async fn run(node: Arc<Node>) {
-    let mut parts: HashMap<String, Part> = HashMap::new();
+    let mut controls: HashMap<String, ServiceControl> = HashMap::new();
     loop {
-        if let Some(force) = node.get_force().filter(|_| !node.is_stopping()) {
-            for service in &force.document.services {
-                act(&node, &force, service, &mut parts).await;
+        if let Some(active) = node.get_active_bundle().filter(|_| !node.is_stopping()) {
+            for service in &active.document.services {
+                control_service(&node, &active, service, &mut controls).await;
             }
         }
-        runtime::sleep(PERIOD).await;
+        runtime::sleep(CONTROL_INTERVAL).await;
     }
 }
 
-async fn act(
+async fn control_service(
     node: &Arc<Node>,
-    force: &Force,
+    active: &ActiveBundle,
     service: &Service,
-    parts: &mut HashMap<String, Part>,
+    controls: &mut HashMap<String, ServiceControl>,
 ) {
     let is_owner =
         grant::owner_of(node, &(service.name.clone(), 0)).as_deref() == Some(node.get_name());
     if !is_owner || !(order::is_needed(service) || fleet::is_needed(service)) {
-        parts.remove(&service.name);
+        controls.remove(&service.name);
         return;
     }
-    let part = parts.entry(service.name.clone()).or_default();
-    if let Err(fault) = part.tenure.keep(node, &format!("lease/{}", service.name)).await {
-        log::debug!("the lease of {} was not renewed: {fault}", service.name);
+    let control = controls.entry(service.name.clone()).or_default();
+    if let Err(fault) =
+        control.lease_client.acquire_or_renew(node, &format!("lease/{}", service.name)).await
+    {
+        log::debug!("could not renew the lease of {}: {fault}", service.name);
     }
-    part.orders.send(node, force, service, &mut part.tenure).await;
-    part.buyer.buy(node, force, service, &part.tenure).await;
+    control.orders.send(node, active, service, &mut control.lease_client).await;
+    control.vm_starter.start_next(node, active, service, &control.lease_client).await;
 }
--- a/crates/keeljunction/src/node/copy.rs
+++ b/crates/keeljunction/src/node/copy.rs
@@ -1,8 +1,8 @@
-//! Copies of a request's record: at one peer, or in the object store where there is no peer.
+//! Replication of a request's record to one peer, or to the object store if there is no peer.
 //!
-//! The peer is the first of the key's succession list that is not this node and stands in
-//! another data centre where there is a choice, so that any node a caller comes back to knows
-//! whom to ask.
+//! The holder is the first other node in the rendezvous ranking for the key, preferably one
+//! in another data centre. Any node that a client reconnects to can therefore compute which peers
+//! to query.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,53 +17,52 @@
 use crate::peer::wire;
 use crate::runtime;
 
-/// Peers that are tried in turn.
-const TRIES: usize = 3;
-const CALL: Duration = Duration::from_millis(500);
-/// Time between two messages about the same request at least.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Messages that may fail one after another before another holder is looked for.
-const FAILURES: u32 = 3;
+const MAX_HOLDER_ATTEMPTS: usize = 3;
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Failed messages in a row after which another holder is chosen.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Where a record is kept.
+/// The location of a copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// At a peer, by name, with so many tokens of the answer.
+pub enum Location {
+    /// At the named peer, with this number of tokens.
     Peer(String, u64),
     /// In the object store.
     Store,
 }
 
-/// Copies the record of a request; `None` where neither a peer nor the store took it.
-pub async fn place(node: &Node, answer: &Answer) -> Option<Place> {
+/// Copies the record of a request. Returns `None` if neither a peer nor the object store accepted
+/// it.
+pub async fn create(node: &Node, answer: &Answer) -> Option<Location> {
     let record = full_record(node, answer);
     let copied = record.tokens.len() as u64;
     let mut nodes = node.usable_nodes();
-    for _ in 0..TRIES {
-        let Some(holder) = pick(node, &answer.request, &nodes) else { break };
+    for _ in 0..MAX_HOLDER_ATTEMPTS {
+        let Some(holder) = pick_holder(node, &answer.request, &nodes) else { break };
         let message =
             wire::HoldRequest { record: Some(record.clone()), ..wire::HoldRequest::default() };
         if send(node, &holder, message).await {
-            return Some(Place::Peer(holder, copied));
+            return Some(Location::Peer(holder, copied));
         }
         nodes.retain(|(name, _)| *name != holder);
     }
     node.metric.count("records_in_store", 1);
     let key = object_key(&answer.request);
     let stored = node.platform.put_object(&key, record.encode_to_vec().into());
-    stored.await.is_ok().then_some(Place::Store)
+    stored.await.is_ok().then_some(Location::Store)
 }
 
-/// Keeps the copy up to date until the answer has ended.
-pub fn keep(node: &Arc<Node>, answer: &Arc<Answer>, place: Place) {
+/// Keeps the copy up to date in the background until the answer has ended.
+pub fn keep_updated(node: &Arc<Node>, answer: &Arc<Answer>, location: Location) {
     let (node, answer) = (node.clone(), answer.clone());
     runtime::spawn(async move {
-        let mut place = place;
-        while let Place::Peer(holder, copied) = &place {
-            match pump(&node, &answer, holder, *copied).await {
-                Pumped::Ended => return,
-                Pumped::Lost => match self::place(&node, &answer).await {
-                    Some(another) => place = another,
+        let mut location = location;
+        while let Location::Peer(holder, copied) = &location {
+            match replicate(&node, &answer, holder, *copied).await {
+                ReplicationEnd::Ended => return,
+                ReplicationEnd::HolderLost => match self::create(&node, &answer).await {
+                    Some(other) => location = other,
                     None => return,
                 },
             }
@@ -71,7 +70,9 @@
     });
 }
 
-/// Gives a request up to the holder of its record, or to the object store.
+/// Hands a request over to the holder of its record, or to the object store.
+///
+/// Returns `true` if the record was accepted.
 pub async fn hand_over(node: &Node, answer: &Answer) -> bool {
     let message = wire::HoldRequest {
         record: Some(full_record(node, answer)),
@@ -79,15 +80,15 @@
         ..wire::HoldRequest::default()
     };
     let nodes = node.usable_nodes();
-    match pick(node, &answer.request, &nodes) {
+    match pick_holder(node, &answer.request, &nodes) {
         Some(holder) => send(node, &holder, message).await,
-        None => place(node, answer).await.is_some(),
+        None => create(node, answer).await.is_some(),
     }
 }
 
-/// Lets the holder forget a request that did not run.
-pub async fn forget(node: &Node, answer: &Answer, place: &Place) {
-    if let Place::Peer(holder, _) = place {
+/// Tells the holder to discard the record of a request that did not run.
+pub async fn discard(node: &Node, answer: &Answer, location: &Location) {
+    if let Location::Peer(holder, _) = location {
         let record = wire::Record {
             r#final: Some(super::answer::not_run(503, "refused", 0)),
             body: Vec::new(),
@@ -108,59 +109,63 @@
     wire::Record::decode(stored).ok()
 }
 
-/// Names the object of a record.
+/// Returns the key of a record in the object store.
 fn object_key(request: &Request) -> String {
     let name = format!("{}\0{}", request.account, request.key);
     format!("record-{}", bundle::digest(name.as_bytes()))
 }
 
-/// Returns `true` if an end leaves nothing to remember.
-pub fn is_forgotten(ended: &wire::Final) -> bool {
+/// Returns `true` if a record with this result need not be kept.
+pub fn is_discardable(ended: &wire::Final) -> bool {
     ended.outcome == Outcome::NotRun.as_str()
 }
 
-enum Pumped {
+enum ReplicationEnd {
     Ended,
-    Lost,
+    HolderLost,
 }
 
-/// Sends what is new to the holder, until the answer has ended or the holder goes.
+/// Sends updates to the holder until the answer has ended or the holder is lost.
 ///
-/// The tokens are at the engine, and a holder attaches to the running attempt there. So the copy
-/// needs the attempt at once, and the tokens only now and then, unless the engine's VM or this
-/// node is known to go.
-async fn pump(node: &Node, answer: &Answer, holder: &str, copied: u64) -> Pumped {
+/// After a takeover the holder attaches to the running attempt, and the engine still has its
+/// tokens. The attempt is therefore copied at once but the tokens only periodically, unless the
+/// engine's VM or this node is known to leave.
+async fn replicate(node: &Node, answer: &Answer, holder: &str, copied: u64) -> ReplicationEnd {
     let period = Duration::from_millis(node.settings.times.progress_ms);
     let mut acknowledged = copied;
-    let mut known: Option<Attempt> = None;
+    let mut replicated_attempt: Option<Attempt> = None;
     let mut failures = 0;
     loop {
-        runtime::timeout(period, answer.pressing(acknowledged, known.as_ref())).await;
+        runtime::timeout(
+            period,
+            answer.wait_replication_due(acknowledged, replicated_attempt.as_ref()),
+        )
+        .await;
         if !node.usable_nodes().iter().any(|(name, _)| name == holder) {
-            return Pumped::Lost;
+            return ReplicationEnd::HolderLost;
         }
-        let news = answer.get_since(acknowledged);
+        let update = answer.get_since(acknowledged);
         let attempt = answer.get_attempt();
-        let is_last = news.ended.is_some();
-        let count = news.tokens.len() as u64;
-        if !is_last && count == 0 && attempt == known {
+        let is_last = update.ended.is_some();
+        let count = update.tokens.len() as u64;
+        if !is_last && count == 0 && attempt == replicated_attempt {
             continue;
         }
-        let message = progress(node, answer, acknowledged, news, attempt.as_ref());
+        let message = progress(node, answer, acknowledged, update, attempt.as_ref());
         if send(node, holder, message).await {
             failures = 0;
             acknowledged += count;
-            known = attempt;
+            replicated_attempt = attempt;
             if is_last {
-                return Pumped::Ended;
+                return ReplicationEnd::Ended;
             }
         } else {
             failures += 1;
-            if failures >= FAILURES {
-                return Pumped::Lost;
+            if failures >= MAX_CONSECUTIVE_FAILURES {
+                return ReplicationEnd::HolderLost;
             }
         }
-        runtime::sleep(PAUSE).await;
+        runtime::sleep(MIN_SEND_INTERVAL).await;
     }
 }
 
@@ -168,7 +173,7 @@
     node: &Node,
     answer: &Answer,
     from_offset: u64,
-    news: super::answer::News,
+    update: super::answer::Update,
     attempt: Option<&Attempt>,
 ) -> wire::HoldRequest {
     let request = &answer.request;
@@ -176,17 +181,17 @@
         account: request.account.clone(),
         key: request.key.clone(),
         owner: node.get_name().to_owned(),
-        tokens: news.tokens,
-        r#final: news.ended,
+        tokens: update.tokens,
+        r#final: update.ended,
         ..with_attempt(wire::Record::default(), attempt)
     };
     wire::HoldRequest { record: Some(record), progress: true, from_offset, handover: false }
 }
 
 fn full_record(node: &Node, answer: &Answer) -> wire::Record {
-    let news = answer.get_since(0);
+    let update = answer.get_since(0);
     let record = answer.request.to_record(node.now(), node.get_name());
-    let record = wire::Record { tokens: news.tokens, r#final: news.ended, ..record };
+    let record = wire::Record { tokens: update.tokens, r#final: update.ended, ..record };
     with_attempt(record, answer.get_attempt().as_ref())
 }
 
@@ -202,15 +207,16 @@
     }
 }
 
-/// Picks the holder; `None` where there is no live peer.
-fn pick(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
-    let (me, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
-    let key = request.get_succession_key();
-    rendezvous::replica(&key, me, data_centre, nodes).map(str::to_owned)
+/// Picks the holder. Returns `None` if there is no live peer.
+fn pick_holder(node: &Node, request: &Request, nodes: &[(String, String)]) -> Option<String> {
+    let (local, data_centre) = (node.get_name(), node.settings.node.data_centre.as_str());
+    let key = request.get_ranking_key();
+    rendezvous::replica(&key, local, data_centre, nodes).map(str::to_owned)
 }
 
 async fn send(node: &Node, holder: &str, message: wire::HoldRequest) -> bool {
     let Some(address) = node.get_peer_address(holder) else { return false };
-    let held = node.peers.call(&address, CALL, |mut peer| async move { peer.hold(message).await });
+    let held =
+        node.peers.call(&address, CALL_TIMEOUT, |mut peer| async move { peer.hold(message).await });
     held.await.is_ok_and(|reply| reply.held)
 }
--- a/crates/keeljunction/src/node/departure.rs
+++ b/crates/keeljunction/src/node/departure.rs
@@ -1,4 +1,4 @@
-//! Moves streams off VMs that are going away.
+//! Drains streams from VMs that are being reclaimed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,9 +9,10 @@
 use super::{Answer, Node, grant, stop};
 use crate::runtime;
 
-/// Takes news in that a VM is leaving: nothing new goes there, and its streams are moved. Of its
-/// own VM the node learns like that too, and stops.
-pub fn learn(node: &Arc<Node>, departure: &Departure) {
+/// Applies a departure: the server gets no new requests and its streams are drained.
+///
+/// If the VM is that of this node, the node stops.
+pub fn apply(node: &Arc<Node>, departure: &Departure) {
     let is_new = runtime::lock(&node.directory).add_departure(departure);
     if !is_new {
         return;
@@ -20,22 +21,22 @@
     if departure.server == node.get_name() {
         stop::begin(node, Duration::from_millis(left));
     }
-    log::info!("server {} is leaving in {left} ms", departure.server);
+    log::info!("VM {} leaves in {left} ms", departure.server);
     node.metric.count("departures", 1);
     grant::sync_all(node);
-    node.post_news();
-    steer(node, &departure.server, left);
+    node.notify_peers();
+    drain_streams(node, &departure.server, left);
 }
 
-/// Plans the streams of this node on a server that is leaving, and notifies their relays.
-fn steer(node: &Arc<Node>, server: &str, notice: u64) {
-    let answers = running_on(node, server);
+/// Plans how the streams of this node leave a server, and notifies their relays.
+fn drain_streams(node: &Arc<Node>, server: &str, notice: u64) {
+    let answers = streams_on(node, server);
     let Some(first) = answers.first() else { return };
-    let sharers = node.usable_nodes().len().max(1) as u64;
-    let export = first.request.service.export_tokens_per_second / sharers;
+    let node_count = node.usable_nodes().len().max(1) as u64;
+    let export = first.request.service.export_tokens_per_second / node_count;
     let limits = Limits { notice, export_tokens_per_second: export };
-    answers.iter().for_each(|answer| answer.press());
-    let streams: Vec<Stream> = answers.iter().map(|answer| describe(answer)).collect();
+    answers.iter().for_each(|answer| answer.expedite_replication());
+    let streams: Vec<Stream> = answers.iter().map(|answer| to_stream(answer)).collect();
     for (attempt, action) in drain::plan(&limits, &streams) {
         let name = match action {
             Action::Finish => "drain_finish",
@@ -46,25 +47,26 @@
         if action == Action::Finish {
             continue;
         }
-        let is_it = |answer: &&Arc<Answer>| answer.get_attempt().is_some_and(|a| a.id == attempt);
-        if let Some(answer) = answers.iter().find(is_it) {
-            answer.steer(action);
+        let is_planned =
+            |answer: &&Arc<Answer>| answer.get_attempt().is_some_and(|a| a.id == attempt);
+        if let Some(answer) = answers.iter().find(is_planned) {
+            answer.request_drain(action);
         }
     }
 }
 
-/// Lists the model answers that run on a server.
-fn running_on(node: &Node, server: &str) -> Vec<Arc<Answer>> {
+/// Returns the unfinished model answers on a server.
+fn streams_on(node: &Node, server: &str) -> Vec<Arc<Answer>> {
     let answers = runtime::lock(&node.answers);
-    let is_there = |answer: &&Arc<Answer>| {
+    let is_running_there = |answer: &&Arc<Answer>| {
         answer.request.is_model()
             && answer.get_ended_at().is_none()
             && answer.get_attempt().is_some_and(|attempt| attempt.server == server)
     };
-    answers.values().filter(is_there).cloned().collect()
+    answers.values().filter(is_running_there).cloned().collect()
 }
 
-fn describe(answer: &Answer) -> Stream {
+fn to_stream(answer: &Answer) -> Stream {
     let generated = answer.get_length();
     let request = &answer.request;
     Stream {
--- a/crates/keeljunction/src/node/fleet.rs
+++ b/crates/keeljunction/src/node/fleet.rs
@@ -1,8 +1,8 @@
-//! Starts the VMs that the plan lacks.
+//! Starts the VMs that the capacity plan requires.
 //!
-//! Each start has an intent row with a client token before the call to the cloud, so that neither a
-//! lost answer nor a new holder of the lease starts anything twice: whoever finds the row asks
-//! again with the same token.
+//! An intent row with a client token is written before each call to the cloud. A node that finds
+//! the row repeats the call with the same token, so neither a lost response nor a new lease holder
+//! starts a VM twice.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,89 +13,94 @@
 use uuid::Uuid;
 
 use super::Node;
-use super::lease::Tenure;
-use super::state::Force;
+use super::lease::LeaseClient;
+use super::state::ActiveBundle;
 use crate::platform::{Commit, Fault, Row, Start, Transaction};
 use crate::runtime;
 
-/// How long a place that refused a start is passed over, in milliseconds.
-const REFUSED_MS: Millis = 5_000;
-/// The most VMs of one offer.
-const MOST: u32 = 100;
+/// Time for which an offer is skipped after the cloud refused a start, in milliseconds.
+const OFFER_RETRY_DELAY_MS: Millis = 5_000;
+const MAX_VMS_PER_OFFER: u32 = 100;
 
-/// What a holder remembers of the offers that refused.
+/// Starts VMs for one service, and skips offers that were refused recently.
 #[derive(Debug, Default)]
-pub struct Buyer {
+pub struct VmStarter {
     refused: BTreeMap<(String, bool), Millis>,
 }
 
-/// Returns `true` if VMs are started for a service.
+/// Returns `true` if the control loop starts VMs for a service.
 pub fn is_needed(service: &Service) -> bool {
     !service.vm_class.is_empty()
 }
 
-impl Buyer {
-    /// Starts one VM that the plan lacks, if there is one, while the lease stands.
-    pub async fn buy(
+impl VmStarter {
+    /// Starts one VM if the plan requires it and the lease is held.
+    pub async fn start_next(
         &mut self,
         node: &Arc<Node>,
-        force: &Force,
+        active: &ActiveBundle,
         service: &Service,
-        tenure: &Tenure,
+        lease_client: &LeaseClient,
     ) {
-        if !is_needed(service) || tenure.get_fence(node.now()).is_none() {
+        if !is_needed(service) || lease_client.get_fence(node.now()).is_none() {
             return;
         }
         let prefix = format!("intent/{}/", service.name);
         let intents = match node.platform.scan(&prefix).await {
             Ok(rows) => rows,
-            Err(fault) => return log::debug!("the intents were not read: {fault}"),
+            Err(fault) => return log::debug!("could not read the intents: {fault}"),
         };
-        let open = open_intents(node, &intents).await;
-        if let Some(unanswered) = open.iter().find(|open| !open.is_started) {
-            return self.ask(node, &unanswered.row, &unanswered.start, tenure).await;
+        let open_intents = list_open_intents(node, &intents).await;
+        if let Some(unconfirmed) = open_intents.iter().find(|intent| !intent.is_started) {
+            return self.request_vm(node, &unconfirmed.row, &unconfirmed.start, lease_client).await;
         }
-        let offers = self.offers(force, service);
+        let offers = self.offers(active, service);
         let demand =
             Demand { target: service.floor, after_loss: service.after_loss, floor: service.floor };
         let plan = fleet::plan(node.now(), &offers, &demand);
-        let held = held(node, service, &offers, &open);
-        let Some(place) = fleet::next_start(&offers, &plan, &held) else { return };
-        let start = make_start(service, &offers[place]);
-        if let Some(row) = write_intent(node, &prefix, &start, tenure).await {
-            self.ask(node, &row, &start, tenure).await;
+        let held_vms = held_vms(node, service, &offers, &open_intents);
+        let Some(index) = fleet::next_start(&offers, &plan, &held_vms) else { return };
+        let start = make_start(service, &offers[index]);
+        if let Some(row) = write_intent(node, &prefix, &start, lease_client).await {
+            self.request_vm(node, &row, &start, lease_client).await;
         }
     }
 
-    /// Asks the cloud for the VM of an intent, and notes in the row what came of it.
-    async fn ask(&mut self, node: &Node, row: &Row, start: &Start, tenure: &Tenure) {
-        if tenure.get_fence(node.now()).is_none() {
+    /// Requests the VM of an intent from the cloud, and records the result in the row.
+    async fn request_vm(
+        &mut self,
+        node: &Node,
+        row: &Row,
+        start: &Start,
+        lease_client: &LeaseClient,
+    ) {
+        if lease_client.get_fence(node.now()).is_none() {
             return;
         }
         let transaction = Transaction::new().expect(&row.key, Some(row.version));
-        let noted = match node.platform.start(start).await {
+        let outcome = match node.platform.start(start).await {
             Ok(started) => {
                 node.metric.count("vms_started", 1);
-                log::info!(target: "audit", "VM {} was started for {}", started.vm, start.service);
-                transaction.put(&row.key, note(start, Some(&started.vm)))
+                log::info!(target: "audit", "started VM {} for {}", started.vm, start.service);
+                transaction.put(&row.key, encode_intent(start, Some(&started.vm)))
             }
             Err(Fault::Refused(status)) => {
                 node.metric.count("vm_starts_refused", 1);
-                log::info!(target: "audit", "a VM in {} was refused with status {status}", start.data_centre);
-                let until = node.now() + REFUSED_MS;
+                log::info!(target: "audit", "the cloud refused a VM in {} with status {status}", start.data_centre);
+                let until = node.now() + OFFER_RETRY_DELAY_MS;
                 self.refused.insert((start.data_centre.clone(), start.reclaimable), until);
                 transaction.delete(&row.key)
             }
             Err(_) => return node.metric.count("vm_starts_unknown", 1),
         };
-        if let Err(fault) = node.platform.commit(&noted).await {
-            log::debug!("an intent was not noted: {fault}");
+        if let Err(fault) = node.platform.commit(&outcome).await {
+            log::debug!("could not update an intent: {fault}");
         }
     }
 
-    fn offers(&self, force: &Force, service: &Service) -> Vec<Offer> {
+    fn offers(&self, active: &ActiveBundle, service: &Service) -> Vec<Offer> {
         let prices =
-            force.document.prices.iter().filter(|price| price.vm_class == service.vm_class);
+            active.document.prices.iter().filter(|price| price.vm_class == service.vm_class);
         let offer = |price: &keeljunction_core::bundle::Price| Offer {
             data_centre: price.data_centre.clone(),
             vm_class: price.vm_class.clone(),
@@ -105,39 +110,39 @@
                 .refused
                 .get(&(price.data_centre.clone(), price.reclaimable))
                 .copied(),
-            max_vms: MOST,
+            max_vms: MAX_VMS_PER_OFFER,
         };
         prices.map(offer).collect()
     }
 }
 
-/// Lists the intents whose VMs the VM list does not show yet, and takes away the others' rows.
-async fn open_intents(node: &Node, intents: &[Row]) -> Vec<Open> {
-    let mut open = Vec::new();
+/// Returns the intents whose VMs are not in the VM list yet, and deletes the rows of all others.
+async fn list_open_intents(node: &Node, intents: &[Row]) -> Vec<OpenIntent> {
+    let mut open_intents = Vec::new();
     for row in intents {
         let Ok(intent) = serde_json::from_str::<Intent>(&row.value) else { continue };
         let is_started = intent.vm.is_some();
         let is_listed =
             intent.vm.is_some_and(|vm| runtime::lock(&node.directory).get(&vm).is_some());
         if is_listed {
-            let done = Transaction::new().expect(&row.key, Some(row.version)).delete(&row.key);
-            let _ = node.platform.commit(&done).await;
+            let removal = Transaction::new().expect(&row.key, Some(row.version)).delete(&row.key);
+            let _ = node.platform.commit(&removal).await;
         } else {
-            open.push(Open { row: row.clone(), start: intent.start, is_started });
+            open_intents.push(OpenIntent { row: row.clone(), start: intent.start, is_started });
         }
     }
-    open
+    open_intents
 }
 
-/// An intent whose VM the VM list does not show yet.
-struct Open {
+/// An intent whose VM is not in the VM list yet.
+struct OpenIntent {
     row: Row,
     start: Start,
-    /// Whether the cloud has said that it started the VM.
+    /// Whether the cloud has confirmed the start.
     is_started: bool,
 }
 
-/// An intent, as the table service keeps it.
+/// An intent as stored in the table service.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 struct Intent {
     start: Start,
@@ -145,7 +150,7 @@
     vm: Option<String>,
 }
 
-fn note(start: &Start, vm: Option<&str>) -> String {
+fn encode_intent(start: &Start, vm: Option<&str>) -> String {
     let intent = Intent { start: start.clone(), vm: vm.map(str::to_owned) };
     serde_json::to_string(&intent).unwrap_or_default()
 }
@@ -160,10 +165,15 @@
     }
 }
 
-async fn write_intent(node: &Node, prefix: &str, start: &Start, tenure: &Tenure) -> Option<Row> {
-    tenure.get_fence(node.now())?;
+async fn write_intent(
+    node: &Node,
+    prefix: &str,
+    start: &Start,
+    lease_client: &LeaseClient,
+) -> Option<Row> {
+    lease_client.get_fence(node.now())?;
     let key = format!("{prefix}{}", start.token);
-    let value = note(start, None);
+    let value = encode_intent(start, None);
     let transaction = Transaction::new().expect(&key, None).put(&key, value.clone());
     match node.platform.commit(&transaction).await {
         Ok(Commit::Done(version)) => Some(Row { key, version, value }),
@@ -171,24 +181,24 @@
     }
 }
 
-/// Counts the VMs held of each offer: those listed, and those that were requested.
-fn held(node: &Node, service: &Service, offers: &[Offer], open: &[Open]) -> Plan {
-    let mut held = Plan::new();
+/// Counts the VMs of each offer, both listed and requested.
+fn held_vms(node: &Node, service: &Service, offers: &[Offer], open_intents: &[OpenIntent]) -> Plan {
+    let mut held_vms = Plan::new();
     let directory = runtime::lock(&node.directory);
     let listed = directory.iter_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
     for server in listed {
-        if let Some(place) = offers.iter().position(|offer| offer.data_centre == server.data_centre)
+        if let Some(index) = offers.iter().position(|offer| offer.data_centre == server.data_centre)
         {
-            *held.entry(place).or_default() += 1;
+            *held_vms.entry(index).or_default() += 1;
         }
     }
-    for Open { start, .. } in open {
-        let is_it = |offer: &Offer| {
+    for OpenIntent { start, .. } in open_intents {
+        let is_same_offer = |offer: &Offer| {
             offer.data_centre == start.data_centre && offer.reclaimable == start.reclaimable
         };
-        if let Some(place) = offers.iter().position(is_it) {
-            *held.entry(place).or_default() += 1;
+        if let Some(index) = offers.iter().position(is_same_offer) {
+            *held_vms.entry(index).or_default() += 1;
         }
     }
-    held
+    held_vms
 }
--- a/crates/keeljunction/src/node/order.rs
+++ b/crates/keeljunction/src/node/order.rs
@@ -1,7 +1,7 @@
 //! Orders to engines: which models, adapters and versions to run.
 //!
-//! An order states the whole desired set, so that a late double changes nothing. The fence is
-//! read just before each order is sent.
+//! An order contains the complete desired state, so a late duplicate has no effect. The fencing
+//! token is read immediately before each order is sent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,62 +11,62 @@
 use keeljunction_core::bundle::{Kind, Service};
 use serde_json::json;
 
-use super::lease::{LONGEST_ORDER_MS, Tenure};
-use super::state::Force;
+use super::lease::{LeaseClient, ORDER_TIMEOUT_MS};
+use super::state::ActiveBundle;
 use super::{Node, attempt};
-use crate::backend::Ordered;
+use crate::backend::OrderResult;
 use crate::runtime;
 
-/// The rolls that servers were last ordered to run.
+/// The last roll that each server was ordered to run.
 #[derive(Debug, Default)]
 pub struct Orders {
     sent: HashMap<String, u64>,
 }
 
-/// Returns `true` if a service's servers take orders.
+/// Returns `true` if the servers of a service take orders.
 pub fn is_needed(service: &Service) -> bool {
     service.kind == Kind::Model
 }
 
 impl Orders {
-    /// Sends each server of a service what the bundle in force says, once for each roll.
+    /// Sends the models of the active bundle to each server of a service, once per roll.
     pub async fn send(
         &mut self,
         node: &Arc<Node>,
-        force: &Force,
+        active: &ActiveBundle,
         service: &Service,
-        tenure: &mut Tenure,
+        lease_client: &mut LeaseClient,
     ) {
         if !is_needed(service) {
             return;
         }
-        for (name, address) in staying(node, service) {
-            if self.sent.get(&name) == Some(&force.roll.number) {
+        for (name, address) in remaining_servers(node, service) {
+            if self.sent.get(&name) == Some(&active.roll.number) {
                 continue;
             }
-            let Some(fence) = tenure.get_fence(node.now()) else { return };
+            let Some(fence) = lease_client.get_fence(node.now()) else { return };
             let order = json!({
-                "fence": fence, "node": node.get_name(), "roll": force.roll.number, "models": service.models,
+                "fence": fence, "node": node.get_name(), "roll": active.roll.number, "models": service.models,
             });
             let engine = attempt::engine(node, address);
             let sending = engine.order(&order);
-            let answer = runtime::timeout(Duration::from_millis(LONGEST_ORDER_MS), sending).await;
+            let answer = runtime::timeout(Duration::from_millis(ORDER_TIMEOUT_MS), sending).await;
             match answer {
-                Some(Ordered::Taken) => {
-                    self.sent.insert(name, force.roll.number);
+                Some(OrderResult::Accepted) => {
+                    self.sent.insert(name, active.roll.number);
                     node.metric.count("orders_sent", 1);
                 }
-                Some(Ordered::OldFence) => {
+                Some(OrderResult::Fenced) => {
                     node.metric.count("orders_fenced_off", 1);
-                    return tenure.lose();
+                    return lease_client.drop_lease();
                 }
-                Some(Ordered::Failed) | None => node.metric.count("orders_failed", 1),
+                Some(OrderResult::Failed) | None => node.metric.count("orders_failed", 1),
             }
         }
     }
 }
 
-fn staying(node: &Node, service: &Service) -> Vec<(String, SocketAddr)> {
+fn remaining_servers(node: &Node, service: &Service) -> Vec<(String, SocketAddr)> {
     let directory = runtime::lock(&node.directory);
     let servers = directory.iter_service(&service.name).filter(|s| !directory.is_leaving(&s.name));
     servers.filter_map(|server| Some((server.name.clone(), server.address.parse().ok()?))).collect()
--- a/crates/keeljunction/src/node/relay.rs
+++ b/crates/keeljunction/src/node/relay.rs
@@ -1,4 +1,4 @@
-//! Carries an accepted request through as many attempts as it may have.
+//! Runs an accepted request, with failover and migration between backend servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,102 +12,103 @@
 
 use super::answer::{Attempt, not_run, unknown};
 use super::attempt;
-use super::grant::{self, Usage, Want};
+use super::grant::{self, GrantOptions, Usage};
 use super::{Answer, Node, claims};
 use crate::runtime;
 
-/// How often an attempt is attached to again in vain after its stream broke off.
-const ATTACHES: u32 = 2;
-/// Pause before attaching again, and the longest before asking for a server again.
-const ATTACH_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE_MS: u64 = 500;
-/// When to come back after a request was given up for want of retries, in milliseconds.
-const NO_RETRY_MS: u64 = 1_000;
+/// Attaches without progress after the stream of an attempt was interrupted.
+const MAX_FRUITLESS_ATTACHES: u32 = 2;
+const ATTACH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_GRANT_RETRY_INTERVAL_MS: u64 = 500;
+/// Retry delay sent when the retry budget is exhausted, in milliseconds.
+const NO_RETRY_BUDGET_RETRY_AFTER_MS: u64 = 1_000;
 
-/// A grant that was not used.
+/// The usage of a grant that was not used.
 const UNUSED: Usage = Usage { cost: Some(0), is_failed: false };
 
-/// Where a request starts.
+/// How a request starts or resumes.
 #[derive(Clone, Debug)]
 pub enum Start {
-    /// With a grant, and the attempt's name, which a claim may bear.
+    /// With a grant and the ID of the attempt, which a claim may name.
     Granted(Grant, String),
-    /// By attaching to an attempt that may still run.
+    /// By attaching to an attempt that may still be running.
     Attached(Attempt),
     /// With a claim that names this attempt.
     Claimed(String),
-    /// From nothing.
-    Anew,
+    /// With neither a grant nor an attempt.
+    Fresh,
 }
 
-/// Says what to do after an attempt.
+/// The next step after an attempt.
 enum Step {
     Stop,
-    Again,
+    Retry,
 }
 
-/// Everything that one request's attempts share.
-struct Run {
+/// The state shared by the attempts of one request.
+struct Relay {
     node: Arc<Node>,
     answer: Arc<Answer>,
     cursor: Cursor,
     avoid: Vec<String>,
-    /// The attempt that was steered off its server, and how.
-    left: Option<(Attempt, Action)>,
-    /// The attempt that the claim names; only that may be sent.
-    claimed: Option<String>,
+    /// The attempt that is being drained from its server, and how.
+    migrating: Option<(Attempt, Action)>,
+    /// The attempt that the claim names. No other attempt may be sent.
+    claimed_attempt: Option<String>,
 }
 
-/// Carries a request through until its answer has ended.
+/// Runs a request until its answer has ended.
 pub async fn run(node: Arc<Node>, answer: Arc<Answer>, start: Start) {
     let cursor = Cursor::new("", answer.get_length());
-    let mut run = Run { node, answer, cursor, avoid: Vec::new(), left: None, claimed: None };
+    let mut relay =
+        Relay { node, answer, cursor, avoid: Vec::new(), migrating: None, claimed_attempt: None };
     let mut granted = match start {
         Start::Granted(grant, attempt) => {
-            run.claimed = run.answer.request.needs_claim().then(|| attempt.clone());
+            relay.claimed_attempt = relay.answer.request.needs_claim().then(|| attempt.clone());
             Some((grant, attempt))
         }
-        Start::Attached(attempt) => match run.attach(&attempt).await {
+        Start::Attached(attempt) => match relay.attach(&attempt).await {
             Step::Stop => return,
-            Step::Again => None,
+            Step::Retry => None,
         },
         Start::Claimed(attempt) => {
-            run.claimed = Some(attempt);
+            relay.claimed_attempt = Some(attempt);
             None
         }
-        Start::Anew => None,
+        Start::Fresh => None,
     };
     loop {
         let (grant, name) = match granted.take() {
             Some(granted) => granted,
-            None => match run.next_grant().await {
+            None => match relay.next_grant().await {
                 Some(grant) => {
-                    let name = run.claimed.clone().unwrap_or_else(|| Uuid::new_v4().to_string());
+                    let name =
+                        relay.claimed_attempt.clone().unwrap_or_else(|| Uuid::new_v4().to_string());
                     (grant, name)
                 }
                 None => return,
             },
         };
-        if matches!(run.attempt(grant, name).await, Step::Stop) {
+        if matches!(relay.attempt(grant, name).await, Step::Stop) {
             return;
         }
     }
 }
 
-impl Run {
-    /// Makes one attempt with a grant, and decides how to go on.
+impl Relay {
+    /// Makes one attempt with a grant, and decides on the next step.
     async fn attempt(&mut self, grant: Grant, name: String) -> Step {
         let attempt =
             Attempt { id: name, server: grant.server.clone(), address: grant.address.clone() };
-        if let Some(step) = self.leave_behind(&attempt, &grant).await {
+        if let Some(step) = self.complete_migration(&attempt, &grant).await {
             return step;
         }
         self.answer.set_attempt(attempt.clone());
-        // Whoever learns of a departure after this sees the attempt and steers it.
+        // A departure that is applied after this point finds the attempt and drains it.
         if self.node.is_leaving(&attempt.server) {
             grant::release(&self.node, &grant.id, UNUSED);
             self.avoid.push(attempt.server);
-            return Step::Again;
+            return Step::Retry;
         }
         let before = self.cursor.get_next();
         let priority = self.answer.request.class.priority;
@@ -134,25 +135,25 @@
         self.decide(end, attempt).await
     }
 
-    /// Goes on reading an attempt whose stream broke off, where its server still has it.
+    /// Resumes reading an interrupted attempt, as long as its server still has it.
     async fn reattach(&mut self, end: End, attempt: &Attempt) -> End {
         let mut end = end;
         if !self.answer.request.is_model() {
             return end;
         }
         let mut fruitless = 0;
-        while matches!(end, End::Interrupted) && fruitless < ATTACHES {
+        while matches!(end, End::Interrupted) && fruitless < MAX_FRUITLESS_ATTACHES {
             let before = self.cursor.get_next();
             end = attempt::attach(&self.node, &self.answer, attempt, &mut self.cursor).await;
             if self.cursor.get_next() == before {
                 fruitless += 1;
-                runtime::sleep(ATTACH_PAUSE).await;
+                runtime::sleep(ATTACH_RETRY_INTERVAL).await;
             }
         }
         end
     }
 
-    /// Attaches to an attempt that another node began.
+    /// Attaches to an attempt that another node started.
     async fn attach(&mut self, attempt: &Attempt) -> Step {
         self.answer.set_sent();
         self.answer.set_attempt(attempt.clone());
@@ -162,28 +163,29 @@
     }
 
     async fn decide(&mut self, end: End, attempt: Attempt) -> Step {
-        let standing = Conditions {
+        let conditions = Conditions {
             is_repeatable: self.answer.request.class.repeatable,
             is_leaving: self.node.is_leaving(&attempt.server),
         };
-        match keeljunction_core::attempt::decide_next(end, standing, || self.take_retry()) {
+        match keeljunction_core::attempt::decide_next(end, conditions, || self.take_retry()) {
             Next::Done => Step::Stop,
             Next::KeepReading => Box::pin(self.attach(&attempt)).await,
             Next::FailOver => {
                 self.avoid.push(attempt.server);
-                Step::Again
+                Step::Retry
             }
             Next::Migrate(action) => {
                 self.node.metric.count("streams_moved", 1);
                 self.avoid = vec![attempt.server.clone()];
-                self.left = Some((attempt, action));
-                Step::Again
+                self.migrating = Some((attempt, action));
+                Step::Retry
             }
             Next::GiveUp(reason) => {
                 if reason == Reason::DeadlineExceeded {
                     self.cancel(&attempt).await;
                 }
-                let retry_after = if reason.is_transient() { NO_RETRY_MS } else { 0 };
+                let retry_after =
+                    if reason.is_transient() { NO_RETRY_BUDGET_RETRY_AFTER_MS } else { 0 };
                 self.give_up(reason.as_str(), reason.get_status(), retry_after)
             }
         }
@@ -193,55 +195,60 @@
         self.node.take_retry(&self.answer.request.service.name)
     }
 
-    /// Asks for another server until the deadline, most urgently: the request is accepted.
+    /// Acquires a grant for another server, at the highest priority since the request is accepted.
+    ///
+    /// Returns `None` if there is none before the deadline; the answer has ended then.
     async fn next_grant(&mut self) -> Option<Grant> {
         loop {
-            let left = self.answer.request.deadline.saturating_sub(self.node.now());
-            let want = Want { wait: left, priority: 0, avoid: &self.avoid };
-            let refusal = match grant::acquire(&self.node, &self.answer.request, want).await {
+            let remaining = self.answer.request.deadline.saturating_sub(self.node.now());
+            let options = GrantOptions { wait: remaining, priority: 0, avoid: &self.avoid };
+            let refusal = match grant::acquire(&self.node, &self.answer.request, options).await {
                 Ok(grant) => return Some(grant),
                 Err(refusal) => refusal,
             };
-            if self.is_hopeless(&refusal) {
+            if self.is_past_deadline(&refusal) {
                 self.give_up("no backend server had room in time", 503, refusal.retry_after);
                 return None;
             }
-            let pause = refusal.retry_after.min(LONGEST_PAUSE_MS);
-            runtime::sleep(Duration::from_millis(pause)).await;
+            let interval = refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS);
+            runtime::sleep(Duration::from_millis(interval)).await;
         }
     }
 
-    /// Returns `true` if the next room comes only after the deadline; then the end comes at once.
-    fn is_hopeless(&self, refusal: &Refusal) -> bool {
-        self.node.now() + refusal.retry_after.min(LONGEST_PAUSE_MS) >= self.answer.request.deadline
+    /// Returns `true` if the next retry would come after the deadline. The request then ends at
+    /// once.
+    fn is_past_deadline(&self, refusal: &Refusal) -> bool {
+        self.node.now() + refusal.retry_after.min(MAX_GRANT_RETRY_INTERVAL_MS)
+            >= self.answer.request.deadline
     }
 
-    /// Leaves the attempt that was steered off its server: the next engine fetches its KV cache
-    /// where that is the plan, and it is cancelled.
+    /// Completes the migration of the attempt that is being drained.
     ///
-    /// Only when an unrepeatable request's attempt is surely cancelled may it go on elsewhere;
-    /// else it is followed where it is.
-    async fn leave_behind(&mut self, next: &Attempt, grant: &Grant) -> Option<Step> {
-        let (left, action) = self.left.take()?;
+    /// The next engine fetches its KV cache if the action is a move, and the attempt is cancelled.
+    /// A request that must not be repeated continues elsewhere only if its cancellation is
+    /// confirmed. Otherwise this node keeps following it on the previous server.
+    async fn complete_migration(&mut self, next: &Attempt, grant: &Grant) -> Option<Step> {
+        let (previous, action) = self.migrating.take()?;
         if action == Action::Move {
-            self.fetch_cache(&left, next).await;
+            self.fetch_cache(&previous, next).await;
         }
-        let is_cancelled = self.cancel(&left).await;
+        let is_cancelled = self.cancel(&previous).await;
         if is_cancelled || self.answer.request.class.repeatable {
             return None;
         }
         grant::release(&self.node, &grant.id, UNUSED);
-        Some(Box::pin(self.attach(&left)).await)
+        Some(Box::pin(self.attach(&previous)).await)
     }
 
-    async fn fetch_cache(&self, left: &Attempt, next: &Attempt) {
+    async fn fetch_cache(&self, previous: &Attempt, next: &Attempt) {
         let Ok(address) = next.address.parse() else { return };
-        let imported = attempt::engine(&self.node, address).import(&left.address, &left.id).await;
+        let imported =
+            attempt::engine(&self.node, address).import(&previous.address, &previous.id).await;
         let name = if imported.is_ok() { "caches_moved" } else { "caches_lost" };
         self.node.metric.count(name, 1);
     }
 
-    /// Cancels an attempt; returns `true` if its engine has confirmed that.
+    /// Cancels an attempt. Returns `true` if its engine confirmed this.
     async fn cancel(&self, attempt: &Attempt) -> bool {
         match attempt.address.parse() {
             Ok(address) => attempt::engine(&self.node, address).cancel(&attempt.id).await,
@@ -253,8 +260,8 @@
         let ended = match keeljunction_core::attempt::decide_outcome(self.answer.is_sent()) {
             Outcome::Done | Outcome::Unknown => unknown(status, why, retry_after),
             Outcome::NotRun => {
-                if let Some(claimed) = &self.claimed {
-                    claims::release(&self.node, &self.answer.request, claimed);
+                if let Some(claimed_attempt) = &self.claimed_attempt {
+                    claims::release(&self.node, &self.answer.request, claimed_attempt);
                 }
                 not_run(503, why, retry_after)
             }
--- a/crates/keeljunction/src/node/service.rs
+++ b/crates/keeljunction/src/node/service.rs
@@ -1,4 +1,4 @@
-//! Answers peers.
+//! The peer service: calls from other nodes.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 
 use super::grant::{self, ShardKey};
 use super::request::Id;
-use super::state::Held;
+use super::state::HeldRecord;
 use super::{Answer, Node, adoption, copy, gossip, takeover};
 use crate::peer::wire;
 use crate::peer::wire::peer_server::Peer;
 use crate::runtime;
 
-/// Answers peers for a node.
+/// The peer service of a node.
 pub struct Service {
     node: Arc<Node>,
 }
 
 impl Service {
-    /// Answers peers for a node.
+    /// Creates the peer service of a node.
     pub fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -43,11 +43,14 @@
         let is_known = runtime::lock(&node.members).get(&probe.from).is_some();
         if let Some(news) = probe.news {
             let address = node.get_peer_address(&probe.from);
-            gossip::hear(node, news, address);
+            gossip::apply(node, news, address);
         }
-        let alive = probe.target.is_empty() || gossip::probe_for(node, &probe.target).await;
-        let news =
-            if is_known { gossip::news_for(node, &probe.from) } else { gossip::welcome(node) };
+        let alive = probe.target.is_empty() || gossip::probe_on_behalf(node, &probe.target).await;
+        let news = if is_known {
+            gossip::take_updates_for(node, &probe.from)
+        } else {
+            gossip::full_update(node)
+        };
         Ok(Response::new(wire::ProbeReply { alive, news: Some(news) }))
     }
 
@@ -100,7 +103,7 @@
     }
 }
 
-/// Holds a record, or takes news of one in.
+/// Stores a record, or applies progress to a stored one. Returns `true` if it was accepted.
 fn hold(node: &Arc<Node>, message: wire::HoldRequest) -> bool {
     let Some(record) = message.record else { return false };
     let id: Id = (record.account.clone(), record.key.clone());
@@ -124,48 +127,48 @@
         return false;
     }
     let deadline = now + record.deadline_left_ms;
-    records.insert(id.clone(), Held { record, since: now, deadline });
+    records.insert(id.clone(), HeldRecord { record, since: now, deadline });
     drop(records);
     if is_handover {
-        takeover::revive(node, &id);
+        takeover::take_over_request(node, &id);
     }
     true
 }
 
-fn update(node: &Node, id: &Id, news: wire::Record, from_offset: u64) -> bool {
+fn update(node: &Node, id: &Id, progress: wire::Record, from_offset: u64) -> bool {
     let mut records = runtime::lock(&node.records);
-    if news.r#final.as_ref().is_some_and(copy::is_forgotten) {
+    if progress.r#final.as_ref().is_some_and(copy::is_discardable) {
         records.remove(id);
         return true;
     }
     let Some(held) = records.get_mut(id) else { return false };
     let record = &mut held.record;
-    if record.owner != news.owner {
+    if record.owner != progress.owner {
         return false;
     }
     let mut tokens = Tokens::new(std::mem::take(&mut record.tokens));
-    let is_taken = tokens.extend(from_offset, news.tokens);
+    let is_taken = tokens.extend(from_offset, progress.tokens);
     record.tokens = tokens.into_inner();
     if !is_taken {
         return false;
     }
-    if !news.attempt.is_empty() {
-        record.attempt = news.attempt;
-        record.server = news.server;
-        record.server_address = news.server_address;
+    if !progress.attempt.is_empty() {
+        record.attempt = progress.attempt;
+        record.server = progress.server;
+        record.server_address = progress.server_address;
     }
-    if news.r#final.is_some() {
-        record.r#final = news.r#final;
+    if progress.r#final.is_some() {
+        record.r#final = progress.r#final;
     }
     true
 }
 
 fn find(node: &Arc<Node>, id: &Id, revive: bool) -> wire::FindReply {
     if revive {
-        takeover::revive(node, id);
+        takeover::take_over_request(node, id);
     }
     let answer = runtime::lock(&node.answers).get(id).cloned();
-    if let Some(answer) = answer.filter(|answer| answer.is_own() && !answer.is_spent()) {
+    if let Some(answer) = answer.filter(|answer| answer.is_own() && !answer.is_failed()) {
         return wire::FindReply {
             known: true,
             here: true,
@@ -173,7 +176,7 @@
             body_digest: answer.request.digest.clone(),
         };
     }
-    match runtime::lock(&node.records).get(id).filter(|held| !held.is_spent()) {
+    match runtime::lock(&node.records).get(id).filter(|held| !held.is_failed()) {
         None => wire::FindReply::default(),
         Some(held) => wire::FindReply {
             known: true,
@@ -189,10 +192,10 @@
     runtime::spawn(async move {
         let mut offset = from_offset;
         loop {
-            let news = answer.beyond(offset).await;
-            let is_last = news.ended.is_some();
-            let count = news.tokens.len() as u64;
-            let reply = wire::FollowReply { tokens: news.tokens, offset, r#final: news.ended };
+            let update = answer.wait_beyond(offset).await;
+            let is_last = update.ended.is_some();
+            let count = update.tokens.len() as u64;
+            let reply = wire::FollowReply { tokens: update.tokens, offset, r#final: update.ended };
             if sender.send(Ok(reply)).await.is_err() || is_last {
                 return;
             }
@@ -209,7 +212,7 @@
         return not_owner;
     }
     let Some(shard) = grant::owned_shard(node, &key) else { return not_owner };
-    let ask = GrantRequest {
+    let grant_request = GrantRequest {
         id: message.grant,
         group: message.group,
         priority: message.priority,
@@ -220,7 +223,7 @@
         prefix: message.prefix,
         avoid: message.avoid,
     };
-    match shard.acquire(ask, &message.node).await {
+    match shard.acquire(grant_request, &message.node).await {
         Ok(grant) => wire::AcquireReply {
             server: grant.server,
             address: grant.address,
@@ -235,7 +238,9 @@
     }
 }
 
-/// Takes in which grants of a node are used, given back and kept; false from a node that is not the owner.
+/// Applies a report of the grants that a node uses, has released and still holds.
+///
+/// Returns `true` if this node owns the shard.
 pub fn settle(node: &Arc<Node>, message: wire::SettleRequest) -> bool {
     let key: ShardKey = (message.service, message.shard);
     let Some(shard) = grant::owned_shard(node, &key) else { return false };
@@ -243,7 +248,7 @@
         shard.with(|queue, _| queue.record_first_token(id));
     }
     for released in &message.released {
-        grant::note_end(&shard, &released.server, released.failed);
+        grant::record_result(&shard, &released.server, released.failed);
         shard.release(&released.grant, Some(released.cost));
     }
     if message.full {
