--- a/crates/gateway/benches/log.rs
+++ b/crates/gateway/benches/log.rs
@@ -21,12 +21,12 @@
 
 fn main() {
     log::init("info", LINES_PER_SECOND);
-    report("failure line, written", measure(&ended("busy"), DRAIN));
-    report("routine line, sampled out", measure(&ended("answered"), Duration::ZERO));
+    report("a failure's line, written", measure(&ended("busy"), DRAIN));
+    report("a usual line, sampled out", measure(&ended("answered"), Duration::ZERO));
     // While this lock is held the writer is blocked, as by a reader that stalls.
     let output = std::io::stdout().lock();
     measure(&ended("busy"), Duration::ZERO);
-    report("failure line, dropped by a full queue", measure(&ended("busy"), Duration::ZERO));
+    report("a failure's line, lost to a full queue", measure(&ended("busy"), Duration::ZERO));
     drop(output);
 }
 
